--- a/src/consensus/Barriers.ts
+++ b/src/consensus/Barriers.ts
@@ -1,48 +1,48 @@
-/** Reads that wait for a majority to confirm the leader. */
+/** Tracks linearizable reads that wait for a majority to confirm the leader. */
 import type { ConfirmedBarrier } from "./Ready";
 
 interface Barrier extends ConfirmedBarrier {
-  /** Round of messages whose answers confirm it. */
+  /** Message round whose responses confirm the barrier. */
   readonly round: number;
 }
 
-/** The open barriers of one leader. */
+/** The pending and confirmed read barriers of one leader. */
 export class Barriers {
   private _nextId = 1;
-  private _open: Barrier[] = [];
+  private _pending: Barrier[] = [];
   private _confirmed: ConfirmedBarrier[] = [];
 
-  /** Gets whether any barrier was confirmed and not yet taken. */
+  /** Gets whether confirmed barriers wait to be taken. */
   get hasConfirmed(): boolean {
     return this._confirmed.length > 0;
   }
 
-  /** Adds a barrier that a round confirms; gives its id. */
+  /** Adds a barrier that the responses to a round confirm, and returns its id. */
   add(round: number, readIndex: number): number {
     const id = this._nextId++;
-    this._open.push({ id, round, readIndex });
+    this._pending.push({ id, round, readIndex });
     return id;
   }
 
-  /** Confirms barriers whose round a majority answered. */
+  /** Confirms the barriers whose round a majority has answered. */
   confirm(isAnswered: (round: number) => boolean): void {
-    const open: Barrier[] = [];
-    for (const barrier of this._open) {
+    const pending: Barrier[] = [];
+    for (const barrier of this._pending) {
       if (isAnswered(barrier.round)) this._confirmed.push({ id: barrier.id, readIndex: barrier.readIndex });
-      else open.push(barrier);
+      else pending.push(barrier);
     }
-    this._open = open;
+    this._pending = pending;
   }
 
-  /** Takes what was confirmed. */
+  /** Takes the confirmed barriers and clears them. */
   takeConfirmed(): ConfirmedBarrier[] {
     const confirmed = this._confirmed;
     this._confirmed = [];
     return confirmed;
   }
 
-  /** Drops the open ones: the leadership that they ask about is over. */
+  /** Drops the pending barriers when the leadership that they check has ended. */
   clear(): void {
-    this._open = [];
+    this._pending = [];
   }
 }
--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -1,8 +1,8 @@
 /**
  * Runs a consensus node over real storage and a real transport.
  *
- * One turn at a time: take what the node wants, sync it, send, apply. Proposals that
- * arrive during a sync share the next one (group commit).
+ * The driver processes one `Ready` at a time: it syncs the writes, sends the messages, then applies the
+ * committed entries. Proposals that arrive during a sync share the next one (group commit).
  */
 import { create, toBinary } from "@bufbuild/protobuf";
 import { type Clock, pause } from "../clock";
@@ -20,17 +20,17 @@
 import { MemberId } from "../ids";
 import type { Storage } from "../log";
 import { type Result, StateMachine } from "../state";
-import { getMember, getNextMembership, getTrimmedMembership, type MemberFacts } from "./membership";
+import { getMember, getNextMembership, getTrimmedMembership, type MembershipContext } from "./membership";
 import type { RaftNode } from "./RaftNode";
 import type { ConfirmedBarrier, Ready } from "./Ready";
 
-/** Sends messages to other members; losing some is allowed. */
+/** Sends messages to other members. Message loss is allowed. */
 export interface Transport {
-  /** Queues a message for its receiver. */
+  /** Queues a message for its recipient. */
   send(message: ConsensusMessage, address: string): void;
 }
 
-/** What a driver works with. */
+/** Options of a consensus driver. */
 export interface ConsensusDriverOptions {
   readonly node: RaftNode;
   readonly hardState: HardState;
@@ -38,14 +38,14 @@
   readonly storage: Storage;
   readonly transport: Transport;
   /**
-   * Gives the address at which this process reaches a member that its log may not know yet:
-   * a joiner answers the leader before it has learned who the members are.
+   * Gets the address of a member that may be missing from the local log: a joining member responds to the
+   * leader before it has received the membership.
    */
   readonly getAddress: (memberId: MemberId) => string | undefined;
   readonly clock: Clock;
-  /** Voters wanted at the most; without a bound every joiner votes. */
+  /** Upper limit on voters; without a limit every joining member becomes a voter. */
   readonly maxVoters?: number;
-  /** Called once when storage or an invariant fails: the process must stop. */
+  /** Called once when storage or an invariant fails. The process must stop then. */
   readonly onFatal: (cause: unknown) => void;
 }
 
@@ -64,14 +64,14 @@
 
 const TICK_MS = 20;
 const MAX_PENDING_PROPOSALS = 10_000;
-/** A snapshot is taken once this many entries were applied since the last one. */
+/** Number of entries applied since the last snapshot that triggers the next one. */
 const SNAPSHOT_ENTRIES = 2_000;
-/** Entries kept in memory behind a snapshot for members that lag a little. */
-const KEPT_ENTRIES = 500;
+/** Entries retained in memory behind a snapshot, for members that lag slightly. */
+const RETAINED_ENTRIES = 500;
 
-/** A member of the agreed state at work. */
+/** Runs one consensus member: storage, messages, proposals and reads. */
 export class ConsensusDriver {
-  /** The pure protocol. */
+  /** The Raft protocol without I/O. */
   readonly node: RaftNode;
   private readonly _storage: Storage;
   private readonly _transport: Transport;
@@ -90,9 +90,7 @@
   private _barriers = new Map<number, PendingBarrier>();
   private _newBarriers: PendingBarrier[] = [];
 
-  /**
-   * @param options - Node, storage, transport, clock, and what to do on a fatal failure.
-   */
+  /** @param options - Node, storage, transport, clock and the callback for fatal failures. */
   constructor(options: ConsensusDriverOptions) {
     this.node = options.node;
     this._storage = options.storage;
@@ -106,54 +104,57 @@
     this._machine = new StateMachine(getStateBytes(options.snapshot));
   }
 
-  /** Gets the state as applied here. */
+  /** Gets the state machine with all entries that this member has applied. */
   get machine(): StateMachine {
     return this._machine;
   }
 
-  /** Checks whether this member leads and has committed in its term. */
+  /** Checks whether this member is the leader and has committed an entry in its term. */
   isLeader(): boolean {
     return this.node.isEstablished();
   }
 
-  /** Gets the address of the leader as known here, empty when unknown. */
+  /** Gets the leader's address, or an empty string while the leader is unknown. */
   getLeaderAddress(): string {
     return getMember(this.node.membership, this.node.leaderId)?.address ?? "";
   }
 
   /**
-   * Gets when this follower heard its leader last, as long as it has applied all that leaders told it was committed.
-   * @returns Monotonic milliseconds; `undefined` while it lacks any of that, or knows no leader.
+   * Gets when this follower last received a message from its leader, provided that it has applied every entry
+   * that leaders have reported as committed.
+   * @returns Monotonic milliseconds; `undefined` while committed entries are missing or the leader is
+   * unknown.
    */
   getCaughtUpContactAt(): number | undefined {
-    const isCaughtUp = this._machine.appliedIndex >= this.node.toldCommitIndex;
+    const isCaughtUp = this._machine.appliedIndex >= this.node.leaderCommitIndex;
     return isCaughtUp ? this.node.getLeaderContactAt() : undefined;
   }
 
-  /** Adds a listener that is called after each change of the state: an applied entry, or a snapshot in its place. */
+  /** Adds a listener that is called after each state change: an applied entry or an installed snapshot. */
   addStateListener(listener: () => void): void {
     this._stateListeners.push(listener);
   }
 
-  /** Starts ticking. */
+  /** Starts the tick timer. */
   start(): void {
     this._timer = setInterval(() => this._tick(), TICK_MS);
   }
 
   /**
-   * Hands the lead over before a planned stop, so that the others need not miss it first.
-   * @param totalMs - The longest time to wait for a successor.
+   * Transfers leadership before a planned stop, so that the other members do not have to wait for their
+   * election timeout.
+   * @param maxWaitMs - Maximum wait for a successor, milliseconds.
    */
-  async handOver(totalMs: number): Promise<void> {
+  async handOver(maxWaitMs: number): Promise<void> {
     if (!this.node.transferLeadership()) return;
     this._pump();
-    const endAt = this._clock.getMonotonicMs() + totalMs;
+    const endAt = this._clock.getMonotonicMs() + maxWaitMs;
     while (this.node.role === "leader" && this._clock.getMonotonicMs() < endAt) {
       await pause(TICK_MS);
     }
   }
 
-  /** Stops ticking and closes the storage; waiting proposals are rejected as unknown. */
+  /** Stops the tick timer and closes the storage. Pending proposals are rejected with `UnknownProposal`. */
   async stop(): Promise<void> {
     this._isStopped = true;
     clearInterval(this._timer);
@@ -162,19 +163,19 @@
     await this._storage.close();
   }
 
-  /** Takes messages from another member. */
+  /** Processes messages from another member. */
   deliver(messages: readonly ConsensusMessage[]): void {
     if (this._isStopped) return;
-    this._guard(() => {
+    this._failOnError(() => {
       for (const message of messages) this.node.receive(this._clock.getMonotonicMs(), message);
     });
     this._pump();
   }
 
   /**
-   * Proposes a command and waits until it is applied here.
-   * @throws AbsentLeader - When this member doesn't lead: nothing was proposed.
-   * @throws UnknownProposal - When leadership was lost meanwhile.
+   * Proposes a command and waits until this member has applied it.
+   * @throws AbsentLeader - When this member is not the leader; nothing was proposed.
+   * @throws UnknownProposal - When this member loses its leadership before the command is applied.
    * @throws FullProposalQueue
    */
   propose(body: Command["body"]): Promise<Result | undefined> {
@@ -191,48 +192,49 @@
   }
 
   /**
-   * Waits until a majority confirmed, after this call, that this member leads, and
-   * the state is applied as far as it was committed then.
+   * Waits until a majority has confirmed, after this call, that this member is the leader, and until the
+   * entries committed at that time are applied.
    * @throws AbsentLeader
    */
   confirmLeadership(): Promise<void> {
     return new Promise((resolve, reject) => {
       this._newBarriers.push({ term: this.node.term, resolve, reject });
-      // Calls of the same turn of the event loop share one round of messages.
+      // Calls in the same event loop iteration share one round of messages.
       if (this._newBarriers.length === 1) setImmediate(() => this._startBarriers());
     });
   }
 
   /**
-   * Takes the next step of letting a joiner vote.
-   * @returns Whether the joiner votes already.
+   * Performs the next step that makes a joining member a voter.
+   * @returns Whether the joining member is already a voter.
    * @throws AbsentLeader
    */
-  addJoiner(joiner: Member): boolean {
+  addJoiner(joiningMember: Member): boolean {
     if (!this.isLeader()) throw this._createAbsentLeader();
     const now = this._clock.getMonotonicMs();
-    const isCaughtUp = this.node.getProgress(joiner.id)?.isCaughtUp(this.node.commitIndex) === true;
-    const facts = { ...this._getMemberFacts(now), isCaughtUp };
-    const next = getNextMembership(this.node.membership, joiner, facts);
+    const isCaughtUp = this.node.getProgress(joiningMember.id)?.isCaughtUp(this.node.commitIndex) === true;
+    const context = { ...this._getMembershipContext(now), isCaughtUp };
+    const next = getNextMembership(this.node.membership, joiningMember, context);
     if (next !== undefined) this.node.addMembership(now, next);
     this._pump();
-    const present = getMember(this.node.membership, joiner.id);
-    return present !== undefined && !present.learner;
+    const member = getMember(this.node.membership, joiningMember.id);
+    return member !== undefined && !member.learner;
   }
 
-  private _getMemberFacts(now: number): MemberFacts {
+  private _getMembershipContext(now: number): MembershipContext {
     const quorumContactAt = this.node.getQuorumContactAt(now);
     return {
       maxVoters: this._maxVoters,
       leaderId: this.node.id,
-      isGone: (id) => id !== this.node.id && this.node.getProgress(id)?.isGone(quorumContactAt) === true,
-      isForgotten: (id) => this.node.getProgress(id)?.isForgotten(quorumContactAt) === true,
+      isUnresponsive: (id) =>
+        id !== this.node.id && this.node.getProgress(id)?.isUnresponsive(quorumContactAt) === true,
+      isExpired: (id) => this.node.getProgress(id)?.isExpired(quorumContactAt) === true,
     };
   }
 
   private _trimMembership(now: number): void {
     if (!this.isLeader()) return;
-    const next = getTrimmedMembership(this.node.membership, this._getMemberFacts(now));
+    const next = getTrimmedMembership(this.node.membership, this._getMembershipContext(now));
     if (next !== undefined) this.node.addMembership(now, next);
   }
 
@@ -242,7 +244,7 @@
 
   private _tick(): void {
     const now = this._clock.getMonotonicMs();
-    this._guard(() => {
+    this._failOnError(() => {
       this.node.tick(now);
       this._trimMembership(now);
     });
@@ -269,7 +271,7 @@
     this._pump();
   }
 
-  private _guard(action: () => void): void {
+  private _failOnError(action: () => void): void {
     try {
       action();
     } catch (cause) {
@@ -288,19 +290,19 @@
   private _pump(): void {
     if (this._isPumping || this._isStopped) return;
     this._isPumping = true;
-    this._runTurns()
+    this._processPending()
       .catch((cause: unknown) => this._fail(cause))
       .finally(() => {
         this._isPumping = false;
       });
   }
 
-  private async _runTurns(): Promise<void> {
-    while (!this._isStopped && this.node.hasReady()) await this._runTurn(this.node.takeReady());
-    this._rejectLost();
+  private async _processPending(): Promise<void> {
+    while (!this._isStopped && this.node.hasReady()) await this._processReady(this.node.takeReady());
+    this._rejectOutdated();
   }
 
-  private async _runTurn(ready: Ready): Promise<void> {
+  private async _processReady(ready: Ready): Promise<void> {
     this._sendAll(ready.immediateMessages);
     await this._persist(ready);
     this._sendAll(ready.durableMessages);
@@ -315,7 +317,7 @@
       await this._storage.writeSnapshot(ready.snapshot, this._hardState, ready.entries);
       this._snapshotIndex = ready.snapshot.index;
       this._machine = new StateMachine(getStateBytes(ready.snapshot));
-      this._tellState();
+      this._notifyStateListeners();
     } else if (ready.hardState !== undefined || ready.entries.length > 0) {
       await this._storage.writeBatch({ hardState: ready.hardState, entries: ready.entries });
     }
@@ -331,8 +333,8 @@
   }
 
   private _send(message: ConsensusMessage): void {
-    const known = getMember(this.node.membership, message.to)?.address;
-    const address = this._getAddress(MemberId(message.to)) ?? known;
+    const loggedAddress = getMember(this.node.membership, message.to)?.address;
+    const address = this._getAddress(MemberId(message.to)) ?? loggedAddress;
     if (address !== undefined) this._transport.send(message, address);
   }
 
@@ -344,10 +346,10 @@
       if (proposal.term === entry.term) proposal.resolve(result);
       else proposal.reject(this._createAbsentLeader());
     }
-    this._tellState();
+    this._notifyStateListeners();
   }
 
-  private _tellState(): void {
+  private _notifyStateListeners(): void {
     for (const listener of this._stateListeners) listener();
   }
 
@@ -357,16 +359,16 @@
     barrier?.resolve();
   }
 
-  /** Rejects what waited on a leadership that is over. */
-  private _rejectLost(): void {
-    const leads = this.node.role === "leader";
+  /** Rejects barriers and proposals whose leadership has ended. */
+  private _rejectOutdated(): void {
+    const isLeader = this.node.role === "leader";
     for (const [id, barrier] of this._barriers) {
-      if (leads && barrier.term === this.node.term) continue;
+      if (isLeader && barrier.term === this.node.term) continue;
       this._barriers.delete(id);
       barrier.reject(this._createAbsentLeader());
     }
     for (const proposal of this._proposals.values()) {
-      if (leads && proposal.term === this.node.term) continue;
+      if (isLeader && proposal.term === this.node.term) continue;
       this._proposals.delete(proposal.index);
       proposal.reject(new UnknownProposal({ index: proposal.index }));
     }
@@ -391,11 +393,11 @@
       membership: this.node.log.getMembership(index),
       state: this._machine.encode(),
     });
-    // Entries taken by the node but not written yet follow with their own turn.
+    // Entries that the node has accepted but not yet written are written with their own `Ready`.
     const tail = this.node.log.getEntries(index + 1, Number.MAX_SAFE_INTEGER);
     await this._storage.writeSnapshot(snapshot, this._getHardState(), tail);
     this._snapshotIndex = index;
-    this.node.setSnapshot(snapshot, KEPT_ENTRIES);
+    this.node.setSnapshot(snapshot, RETAINED_ENTRIES);
   }
 
   private _getHardState(): HardState {
--- a/src/consensus/Election.ts
+++ b/src/consensus/Election.ts
@@ -1,121 +1,133 @@
 /**
- * When one member campaigns, who voted for it, and who else knows no leader.
+ * Decides when one member campaigns, and tracks its votes and the members that have no leader.
  *
- * Pure: times are monotonic milliseconds given by the caller.
+ * Pure: times are monotonic milliseconds passed by the caller.
  */
-import { ElectionPatience } from "./ElectionPatience";
+import { ElectionTimeout } from "./ElectionPatience";
 import type { RandomSource } from "./RandomSource";
 import type { Timing } from "./Timing";
 
-/** What a member said of the lack of a leader holds for so long, milliseconds: as long as most campaigns. */
-const LEADERLESS_MS = 2_500;
+/**
+ * A member's report that it has no leader is valid for this many milliseconds, as long as most campaigns
+ * take.
+ */
+const LEADERLESS_REPORT_MS = 2_500;
 
-/** The elections of one member. */
+/** Election state of one member. */
 export class Election {
   private readonly _random: RandomSource;
   private readonly _timing: Timing;
-  private readonly _patience: ElectionPatience;
-  /** When each member said last that it knows no leader. */
+  private readonly _timeout: ElectionTimeout;
+  /** When each member last reported that it has no leader. */
   private readonly _leaderlessAt = new Map<string, number>();
   private _leaderContactAt: number;
   private _campaignAt = 0;
-  private _askedAt = Number.NEGATIVE_INFINITY;
+  private _preVoteRequestedAt = Number.NEGATIVE_INFINITY;
   private _votes = new Set<string>();
 
   /**
-   * @param now - A restarted voter does not know whom it heard last: it waits as if it just had.
+   * @param now - Start time. A restarted voter has no record of its last leader contact, so it waits as if it
+   * had just received a message from the leader.
    */
   constructor(now: number, timing: Timing, random: RandomSource) {
     this._random = random;
     this._timing = timing;
-    this._patience = new ElectionPatience(now, timing);
+    this._timeout = new ElectionTimeout(now, timing);
     this._leaderContactAt = now;
     this.postponeCampaign(now);
   }
 
-  /** Gets who voted for this member in its present campaign. */
+  /** Gets the ids of members that voted for this member in its current campaign. */
   get votes(): ReadonlySet<string> {
     return this._votes;
   }
 
-  /** Gets when the leader was heard last, or the member began. */
+  /**
+   * Gets when this member last received a message from the leader, or its start time if it has received none.
+   */
   get leaderContactAt(): number {
     return this._leaderContactAt;
   }
 
-  /** Gets how long a leader may go without an answer of a majority, milliseconds. */
-  get contactMs(): number {
-    return this._patience.maxMs;
+  /** Gets how long a leader may stay without responses from a majority, milliseconds. */
+  get quorumTimeoutMs(): number {
+    return this._timeout.maxMs;
   }
 
-  /** Checks whether the member is to campaign. */
+  /** Checks whether the election timeout has elapsed. */
   isCampaignDue(now: number): boolean {
     return now >= this._campaignAt;
   }
 
-  /** Checks whether the member heard a leader so lately that it votes for nobody else. */
-  hearsLeader(now: number): boolean {
-    return now - this._leaderContactAt < this._patience.minMs;
+  /**
+   * Checks whether the last message from the leader is recent enough that the member rejects other
+   * candidates.
+   */
+  hasLeaderContact(now: number): boolean {
+    return now - this._leaderContactAt < this._timeout.minMs;
   }
 
-  /** Has the member wait from now on, for a time of its own, before it campaigns. */
+  /** Restarts the election timeout with a new random duration. */
   postponeCampaign(now: number): void {
-    const { minMs, maxMs } = this._patience;
+    const { minMs, maxMs } = this._timeout;
     this._campaignAt = now + minMs + this._random.next() * (maxMs - minMs);
   }
 
   /**
-   * Has the member, which led until now, wait for no longer than voters usually do: the others have lost
-   * their leader with it, and miss it only after their patience.
+   * Restarts the election timeout without backoff. A member that has just lost its leadership uses it: the
+   * other members notice the loss only after their own, possibly longer, timeouts.
    */
-  hastenCampaign(now: number): void {
+  resetCampaignDelay(now: number): void {
     const { electionMinMs, electionMaxMs } = this._timing;
     this._campaignAt = now + electionMinMs + this._random.next() * (electionMaxMs - electionMinMs);
   }
 
-  /** Notes that the member begins to campaign. */
+  /** Records the start of a campaign. */
   addCampaign(now: number): void {
-    this._patience.addCampaign(now);
+    this._timeout.addCampaign(now);
   }
 
-  /** Notes that the member asks whether it would be supported. */
-  addQuestion(now: number): void {
-    this._askedAt = now;
+  /** Records that the member has sent pre-vote requests. */
+  addPreVoteRequest(now: number): void {
+    this._preVoteRequestedAt = now;
   }
 
-  /** Checks whether it asked so lately that answers may still come: an older question may have been lost. */
-  isQuestionOpen(now: number): boolean {
-    return now - this._askedAt <= this._timing.electionMaxMs;
+  /**
+   * Checks whether responses to the last pre-vote requests may still arrive; older requests may have been
+   * lost.
+   */
+  isPreVotePending(now: number): boolean {
+    return now - this._preVoteRequestedAt <= this._timing.electionMaxMs;
   }
 
-  /** Forgets votes of an earlier question. */
+  /** Replaces the votes of an earlier request. */
   resetVotes(ids: readonly string[]): void {
     this._votes = new Set(ids);
   }
 
-  /** Notes a vote. */
+  /** Adds a vote. */
   addVote(id: string): void {
     this._votes.add(id);
   }
 
-  /** Notes that the leader of a term was heard. */
+  /** Records a message from the leader of a term. */
   addLeaderContact(now: number, term: number): void {
     this._leaderContactAt = now;
-    this._patience.addContact(now, term);
+    this._timeout.addContact(now, term);
   }
 
-  /** Notes, as the leader, that a follower answered. */
+  /** Records, on the leader, a response from a follower. */
   addFollowerContact(now: number, term: number): void {
-    this._patience.addContact(now, term);
+    this._timeout.addContact(now, term);
   }
 
-  /** Notes that a member said that it knows no leader. */
-  addLeaderless(now: number, id: string): void {
+  /** Records a member's report that it has no leader. */
+  addLeaderlessReport(now: number, id: string): void {
     this._leaderlessAt.set(id, now);
   }
 
-  /** Gets who said so lately. */
-  getLeaderless(now: number): string[] {
-    return [...this._leaderlessAt].filter(([, at]) => now - at <= LEADERLESS_MS).map(([id]) => id);
+  /** Gets the members with a valid report that they have no leader. */
+  getLeaderlessMembers(now: number): string[] {
+    return [...this._leaderlessAt].filter(([, at]) => now - at <= LEADERLESS_REPORT_MS).map(([id]) => id);
   }
 }
--- a/src/consensus/ElectionPatience.ts
+++ b/src/consensus/ElectionPatience.ts
@@ -1,81 +1,90 @@
 /**
- * How long a member waits for a leader before it campaigns, by what it sees.
+ * Adapts a member's election timeout to the observed delays.
  *
- * On machines that are overloaded a message waits for as long as a voter does: campaigns overtake each
- * other, and a leader that computes for a while is voted out, which makes for more work. Campaigns
- * that come to nothing, and each long silence of a leader that was slow, double the patience; a leader
- * that is heard regularly halves it again.
- * Pure: times are monotonic milliseconds given by the caller.
+ * On overloaded machines messages can be delayed by as much as the election timeout. Campaigns then overtake
+ * each other, and a leader that is busy computing is voted out, which adds further load. The timeout doubles
+ * after each failed campaign and after each long gap in a slow leader's messages. It halves again while the
+ * leader's messages arrive regularly.
+ *
+ * Pure: times are monotonic milliseconds passed by the caller.
  */
 import type { Timing } from "./Timing";
 
-/** The longest patience, in usual ones: a campaign takes four messages, and each may wait as long as a usual patience. */
+/**
+ * Longest timeout as a multiple of the base timeout: a campaign takes four messages, and each may be delayed
+ * by one base timeout.
+ */
 const MAX_FACTOR = 4;
-/** A leader that was silent for this part of a voter's patience may be missed next time. */
-const LONG_SILENCE = 0.8;
-/** Campaigns before patience grows. */
-const FREE_CAMPAIGNS = 1;
 /**
- * A leader that was heard without a long silence for this part of a voter's longest patience has kept up
- * with its work: if another one is heard after its silence, it had died, and the next death is to be missed as soon.
+ * A gap in the leader's messages is long from this share of the shortest timeout on: the next gap may exceed
+ * the timeout.
+ */
+const LONG_GAP_SHARE = 0.8;
+/** Campaigns after which the timeout starts to double. */
+const CAMPAIGNS_BEFORE_BACKOFF = 1;
+/**
+ * A leader without a long gap for this share of the longest timeout counts as stable. When messages from
+ * another leader follow, the stable leader has failed rather than slowed down, and the timeout stays, so that
+ * the next failure is detected as fast.
  */
-const KEPT_UP = 0.5;
-/** A leader has to be heard regularly for so long before patience is halved, milliseconds. */
-const REGULAR_MS = 3_000;
+const STABLE_SHARE = 0.5;
+/** Time of regular contact with the leader after which the timeout is halved, milliseconds. */
+const REGULAR_CONTACT_MS = 3_000;
 
-/** The patience of one member. */
-export class ElectionPatience {
+/** The election timeout of one member. */
+export class ElectionTimeout {
   private readonly _timing: Timing;
   private _factor = 1;
   private _campaigns = 0;
-  private _heardAt: number;
-  /** Term of the leader that was heard last, and since when it was heard without a long silence. */
+  private _contactAt: number;
+  /** Term of the last contact. */
   private _term: number | undefined;
-  /** A member that was just started can't tell how long the leader that it finds has led. */
-  private _keptUpSince = Number.NEGATIVE_INFINITY;
-  private _regularSince: number;
-
   /**
-   * @param now - When the member began; it waits as if it had just heard a leader.
+   * Time of the last long gap or change of term. A member that has just started cannot determine how long the
+   * current leader has been leading, so it assumes that the leader is stable.
    */
+  private _stableSince = Number.NEGATIVE_INFINITY;
+  private _regularSince: number;
+
+  /** @param now - Start time of the member; it waits as if it had just received a message from a leader. */
   constructor(now: number, timing: Timing) {
     this._timing = timing;
-    this._heardAt = now;
+    this._contactAt = now;
     this._regularSince = now;
   }
 
-  /** Gets the shortest silence of a leader after which a voter campaigns, milliseconds. */
+  /** Gets the shortest gap in the leader's messages after which a voter campaigns, milliseconds. */
   get minMs(): number {
     return this._timing.electionMinMs * this._factor;
   }
 
-  /** Gets the longest such silence, milliseconds. */
+  /** Gets the longest such gap, milliseconds. */
   get maxMs(): number {
     return this._timing.electionMaxMs * this._factor;
   }
 
-  /** Notes that the member campaigns; earlier campaigns came to nothing if no leader was heard since. */
+  /** Records a campaign. Earlier campaigns failed if no message from a leader has arrived since. */
   addCampaign(now: number): void {
     this._campaigns += 1;
-    if (this._campaigns > FREE_CAMPAIGNS) this._double(now);
+    if (this._campaigns > CAMPAIGNS_BEFORE_BACKOFF) this._double(now);
   }
 
-  /** Notes that the leader of a term was heard, or as that leader a follower. */
+  /** Records a message from the leader of a term or, on that leader, a response from a follower. */
   addContact(now: number, term: number): void {
-    const isLongSilence = now - this._heardAt > this.minMs * LONG_SILENCE;
-    const isOther = term !== this._term;
-    if (isLongSilence && !(isOther && this._hadKeptUp())) this._double(now);
-    if (this._term !== undefined && (isLongSilence || isOther)) this._keptUpSince = now;
+    const isLongGap = now - this._contactAt > this.minMs * LONG_GAP_SHARE;
+    const isOtherTerm = term !== this._term;
+    if (isLongGap && !(isOtherTerm && this._wasStable())) this._double(now);
+    if (this._term !== undefined && (isLongGap || isOtherTerm)) this._stableSince = now;
     this._campaigns = 0;
-    this._heardAt = now;
+    this._contactAt = now;
     this._term = term;
-    if (now - this._regularSince <= REGULAR_MS) return;
+    if (now - this._regularSince <= REGULAR_CONTACT_MS) return;
     this._factor = Math.max(1, this._factor / 2);
     this._regularSince = now;
   }
 
-  private _hadKeptUp(): boolean {
-    return this._heardAt - this._keptUpSince >= this.maxMs * KEPT_UP;
+  private _wasStable(): boolean {
+    return this._contactAt - this._stableSince >= this.maxMs * STABLE_SHARE;
   }
 
   private _double(now: number): void {
--- a/src/consensus/MemoryLog.ts
+++ b/src/consensus/MemoryLog.ts
@@ -1,4 +1,4 @@
-/** The part of the replicated log after the newest snapshot, in memory. */
+/** The in-memory part of the replicated log, after the newest snapshot. */
 
 import { throwIfBroken } from "../errors";
 import type { LogEntry, Membership, Snapshot } from "../gen/ploverstage/v1/consensus_pb";
@@ -14,22 +14,20 @@
   private _snapshotIndex = 0;
   private _snapshotTerm = 0;
   private _snapshotMembership: Membership;
-  /** Entries held that change the members, ascending: looked up with every message. */
+  /** Log entries that change the membership, in ascending order; looked up for every message. */
   private _membershipEntries: MembershipEntry[] = [];
 
-  /**
-   * @param membership - The members before any entry.
-   */
+  /** @param membership - The membership before the first entry. */
   constructor(membership: Membership) {
     this._snapshotMembership = membership;
   }
 
-  /** Gets the index of the first entry held. */
+  /** Gets the index of the first entry after the snapshot. */
   get firstIndex(): number {
     return this._snapshotIndex + 1;
   }
 
-  /** Gets the index of the last entry, or of the snapshot when none follows it. */
+  /** Gets the index of the last entry, or of the snapshot if no entry follows it. */
   get lastIndex(): number {
     return this._snapshotIndex + this._entries.length;
   }
@@ -39,12 +37,14 @@
     return this.getTerm(this.lastIndex) ?? 0;
   }
 
-  /** Gets the entry at an index. */
+  /** Gets the entry at an index; `undefined` if the log does not contain it. */
   getEntry(index: number): LogEntry | undefined {
     return this._entries[index - this.firstIndex];
   }
 
-  /** Gets the term of an index, if it is held or is the snapshot's. */
+  /**
+   * Gets the term at an index; `undefined` if the index is neither in the log nor the snapshot's last index.
+   */
   getTerm(index: number): number | undefined {
     if (index === this._snapshotIndex) return this._snapshotTerm;
     return this.getEntry(index)?.term;
@@ -52,7 +52,7 @@
 
   /**
    * Gets entries from an index on.
-   * @param limit - The most entries to give.
+   * @param limit - Maximum number of entries.
    */
   getEntries(from: number, limit: number): LogEntry[] {
     const start = from - this.firstIndex;
@@ -69,24 +69,24 @@
 
   /**
    * Appends an entry.
-   * @remarks An index at or below the last one cuts the tail from there on.
+   * @remarks An index at or below the last one truncates the log from that index on.
    */
   addEntry(entry: LogEntry): void {
     throwIfBroken(
       entry.index >= this.firstIndex && entry.index <= this.lastIndex + 1,
-      "a log entry follows the one before it",
+      "a log entry must directly follow the previous one",
       { index: entry.index, first: this.firstIndex, last: this.lastIndex },
     );
     this._entries.length = entry.index - this.firstIndex;
     this._entries.push(entry);
-    this._noteMembership(entry);
+    this._trackMembership(entry);
   }
 
-  /** Forgets entries up to an index that a snapshot covers. */
+  /** Removes the entries up to an index that a snapshot covers. */
   compact(index: number): void {
     if (index <= this._snapshotIndex) return;
     const term = this.getTerm(index);
-    throwIfBroken(term !== undefined, "a snapshot covers entries that were held", index);
+    throwIfBroken(term !== undefined, "a snapshot must cover entries of the log", index);
     this._snapshotMembership = this.getMembership(index);
     this._entries = this._entries.slice(index - this._snapshotIndex);
     this._membershipEntries = this._membershipEntries.filter((entry) => entry.index > index);
@@ -95,21 +95,21 @@
   }
 
   /**
-   * Takes a snapshot from elsewhere.
-   * @remarks Entries that follow the snapshot's last entry are kept.
+   * Replaces the start of the log by a snapshot from another member.
+   * @remarks Entries after the snapshot's last entry are retained if the log matches the snapshot there.
    */
   setSnapshot(snapshot: Snapshot): void {
-    const follows = this.getTerm(snapshot.index) === snapshot.term;
-    this._entries = follows ? this._entries.slice(snapshot.index - this._snapshotIndex) : [];
+    const isMatching = this.getTerm(snapshot.index) === snapshot.term;
+    this._entries = isMatching ? this._entries.slice(snapshot.index - this._snapshotIndex) : [];
     this._snapshotIndex = snapshot.index;
     this._snapshotTerm = snapshot.term;
     this._snapshotMembership = snapshot.membership!;
-    this._membershipEntries = follows
+    this._membershipEntries = isMatching
       ? this._membershipEntries.filter((entry) => entry.index > snapshot.index)
       : [];
   }
 
-  private _noteMembership(entry: LogEntry): void {
+  private _trackMembership(entry: LogEntry): void {
     while ((this._membershipEntries.at(-1)?.index ?? 0) >= entry.index) this._membershipEntries.pop();
     if (entry.body.case !== "membership") return;
     this._membershipEntries.push({ index: entry.index, membership: entry.body.value });
--- a/src/consensus/Outbox.ts
+++ b/src/consensus/Outbox.ts
@@ -1,8 +1,8 @@
-/** What a turn of a node wants done, collected until the driver takes it. */
+/** Collects the messages and writes that a node requests until the driver takes them. */
 import type { ConsensusMessage, HardState, LogEntry, Snapshot } from "../gen/ploverstage/v1/consensus_pb";
 import type { Ready } from "./Ready";
 
-/** Messages and writes that wait to be taken. */
+/** Pending messages and writes of one node. */
 export class Outbox {
   private _immediate: ConsensusMessage[] = [];
   private _durable: ConsensusMessage[] = [];
@@ -10,7 +10,7 @@
   private _snapshot: Snapshot | undefined;
   private _hardState: HardState | undefined;
 
-  /** Checks whether nothing waits. */
+  /** Checks whether there are no pending messages or writes. */
   isEmpty(): boolean {
     return (
       this._immediate.length === 0 &&
@@ -21,33 +21,33 @@
     );
   }
 
-  /** Adds a message that promises nothing, and so need not wait for a sync. */
+  /** Adds a message that does not depend on a sync, because it confirms no stored data. */
   addImmediate(message: ConsensusMessage): void {
     this._immediate.push(message);
   }
 
-  /** Adds a message that is sent only once everything before it is synced. */
+  /** Adds a message that is sent only after all earlier writes are synced. */
   addDurable(message: ConsensusMessage): void {
     this._durable.push(message);
   }
 
-  /** Adds an entry to be written. */
+  /** Adds an entry to write. */
   addEntry(entry: LogEntry): void {
     this._entries.push(entry);
   }
 
-  /** Sets the term and vote to be written. */
+  /** Sets the term and vote to write. */
   setHardState(hardState: HardState): void {
     this._hardState = hardState;
   }
 
-  /** Sets a snapshot to be written, and the entries that follow it. */
+  /** Sets a snapshot to write, and replaces the pending entries by those that follow it. */
   setSnapshot(snapshot: Snapshot, following: readonly LogEntry[]): void {
     this._snapshot = snapshot;
     this._entries = [...following];
   }
 
-  /** Takes everything. */
+  /** Takes all pending messages and writes and clears them. */
   take(): Omit<Ready, "committed" | "confirmed"> {
     const taken = {
       immediateMessages: this._immediate,
--- a/src/consensus/Progress.ts
+++ b/src/consensus/Progress.ts
@@ -1,60 +1,60 @@
 /**
- * What a leader knows of one other member, and what it sends it next.
+ * Tracks the replication progress of one member on the leader and plans its next append.
  *
- * As long as the member takes what it is sent, entries are sent once, ahead of its answers.
- * After a refusal the leader probes: one append at a time finds out where the logs agree, and
- * further refusals of what was under way change nothing. Pure: times are monotonic
- * milliseconds given by the caller.
+ * While the member accepts appends, the leader sends each entry once, without waiting for responses. After a
+ * rejection the leader probes: it sends one append at a time until it finds the last matching index. It
+ * ignores further rejections of appends that were in flight. Pure: times are monotonic milliseconds passed by
+ * the caller.
  */
 import type { LogEntry } from "../gen/ploverstage/v1/consensus_pb";
 import type { MemoryLog } from "./MemoryLog";
 
-/** Bounds on one append, so that no message holds a small process up for long. */
+/** Limits of one append, so that processing one message does not block a small process for long. */
 const MAX_ENTRIES_PER_APPEND = 512;
 const MAX_BYTES_PER_APPEND = 262_144;
-/** An entry without a command. */
-const SMALL_ENTRY_BYTES = 64;
-/** A probe that was not answered for so many heartbeats is sent again. */
+/** Assumed size of an entry without a command. */
+const EMPTY_ENTRY_BYTES = 64;
+/** An unanswered probe is sent again after this many heartbeat intervals. */
 const PROBE_HEARTBEATS = 5;
 
-/** A voter that has answered so long before a majority did last gives its vote to a learner. */
-const GONE_MS = 1_000;
-/** A learner that has been silent for so long is sent nothing more. */
-const FORGOTTEN_MS = 10_000;
-/** A joiner that lacks no more entries than this may vote. */
+/**
+ * A voter loses its vote to a learner if its last response is older than the majority's by more than this.
+ */
+const UNRESPONSIVE_MS = 1_000;
+/** A learner is removed if its last response is older than the majority's by more than this. */
+const EXPIRY_MS = 10_000;
+/** A joining member may vote if it lacks at most this many entries. */
 const CAUGHT_UP_ENTRIES = 50;
 
-/** What to send: entries after an index that the member is thought to have. */
+/** The entries to send, and the index before them that the member is assumed to have. */
 export interface PlannedAppend {
   readonly previousIndex: number;
   readonly entries: LogEntry[];
 }
 
-/** A search for the index up to which the logs agree. */
+/** A search for the last index at which the logs match. */
 interface Probe {
   readonly sentAt: number;
-  /** Index of the last entry in it. */
+  /** Index of the last entry in the probe. */
   readonly lastIndex: number;
 }
 
-/** Progress of one member. */
+/** Replication progress of one member. */
 export class Progress {
-  /** Newest round of the leader that it answered; shows that it still follows. */
+  /** Newest round of the leader that the member responded to; it confirms that the member still follows. */
   round = 0;
-  /** When its last answer arrived, the term began or the member was added, whichever is latest. */
+  /** Time of the last response, of the start of the term or of the member's addition, whichever is latest. */
   answeredAt = Number.NEGATIVE_INFINITY;
-  /** Whether it answered in this term. */
+  /** Whether the member has responded in this term. */
   hasAnswered = false;
-  /** When a snapshot was last sent; none is sent again until it can have arrived. */
+  /** When a snapshot was last sent. The next one is sent only after this one can have arrived. */
   snapshotSentAt = Number.NEGATIVE_INFINITY;
   private _nextIndex: number;
   private _matchIndex = 0;
   private _isProbing = false;
   private _probe: Probe | undefined;
 
-  /**
-   * @param lastIndex - The leader's: the member is thought to have everything.
-   */
+  /** @param lastIndex - The leader's last index; the member is initially assumed to have all entries. */
   constructor(lastIndex: number) {
     this._nextIndex = lastIndex + 1;
   }
@@ -64,52 +64,54 @@
     return this._nextIndex;
   }
 
-  /** Gets the highest index known to be durable there. */
+  /** Gets the highest index that the member has confirmed as durable. */
   get matchIndex(): number {
     return this._matchIndex;
   }
 
   /**
-   * Checks whether the member is taken for gone.
-   * @param quorumContactAt - When a majority answered last: a leader that stood still itself has missed everyone alike.
+   * Checks whether the member counts as failed and loses its vote.
+   * @param quorumContactAt - When a majority last responded. The comparison with it excludes pauses of the
+   * leader itself, during which it receives no responses from any member.
    */
-  isGone(quorumContactAt: number): boolean {
-    return quorumContactAt - this.answeredAt > GONE_MS;
+  isUnresponsive(quorumContactAt: number): boolean {
+    return quorumContactAt - this.answeredAt > UNRESPONSIVE_MS;
   }
 
-  /** Checks whether the member has been silent for so long that it has to join anew. */
-  isForgotten(quorumContactAt: number): boolean {
-    return quorumContactAt - this.answeredAt > FORGOTTEN_MS;
+  /** Checks whether the member has not responded for so long that it is removed and has to join again. */
+  isExpired(quorumContactAt: number): boolean {
+    return quorumContactAt - this.answeredAt > EXPIRY_MS;
   }
 
-  /** Checks whether the member may vote; one that never answered would only weaken the set. */
+  /** Checks whether the member may vote. A voter that never responded would only weaken the majority. */
   isCaughtUp(commitIndex: number): boolean {
     return this._matchIndex > 0 && this._matchIndex >= commitIndex - CAUGHT_UP_ENTRIES;
   }
 
-  /** Plans the next append; its entries count as sent. */
+  /** Plans the next append and marks its entries as sent. */
   planAppend(now: number, log: MemoryLog, heartbeatMs: number): PlannedAppend {
     const previousIndex = this._nextIndex - 1;
     if (!this._isProbing) {
-      const entries = takeEntries(log, this._nextIndex);
+      const entries = getAppendEntries(log, this._nextIndex);
       this._nextIndex += entries.length;
       return { previousIndex, entries };
     }
     if (this._probe !== undefined && now - this._probe.sentAt < heartbeatMs * PROBE_HEARTBEATS) {
-      // A sign of life where the logs are known to agree; where that is forgotten, any other.
-      const isHeld = log.getTerm(this._matchIndex) !== undefined;
-      return { previousIndex: isHeld ? this._matchIndex : previousIndex, entries: [] };
+      // Send a heartbeat at the last matching index. If the log no longer contains that index, use the
+      // previous one.
+      const isInLog = log.getTerm(this._matchIndex) !== undefined;
+      return { previousIndex: isInLog ? this._matchIndex : previousIndex, entries: [] };
     }
-    const entries = takeEntries(log, this._nextIndex);
+    const entries = getAppendEntries(log, this._nextIndex);
     this._probe = { sentAt: now, lastIndex: previousIndex + entries.length };
     return { previousIndex, entries };
   }
 
-  /** Notes that a member has everything up to an index. */
+  /** Records that the member has all entries up to an index. */
   addMatch(matchIndex: number): void {
     this._matchIndex = Math.max(this._matchIndex, matchIndex);
-    const hasEnded = this._probe === undefined || this._matchIndex >= this._probe.lastIndex;
-    if (this._isProbing && hasEnded) {
+    const isProbeComplete = this._probe === undefined || this._matchIndex >= this._probe.lastIndex;
+    if (this._isProbing && isProbeComplete) {
       this._isProbing = false;
       this._probe = undefined;
       this._nextIndex = this._matchIndex + 1;
@@ -118,12 +120,13 @@
   }
 
   /**
-   * Notes a refusal.
-   * @param hint - The highest index up to which the logs may agree.
-   * @returns Whether it says anything new: a probe is due.
+   * Records a rejected append.
+   * @param hint - The highest index at which the logs may match.
+   * @returns Whether the rejection is new and a probe is due.
    */
-  addRefusal(hint: number): boolean {
-    // A probe that is refused names an index below it; what names another one is older.
+  addRejection(hint: number): boolean {
+    // The rejection of the current probe names an index below the probe's start. Any other rejection is
+    // stale.
     if (this._isProbing && hint + 1 >= this._nextIndex) return false;
     this._isProbing = true;
     this._probe = undefined;
@@ -132,13 +135,13 @@
   }
 }
 
-function takeEntries(log: MemoryLog, from: number): LogEntry[] {
+function getAppendEntries(log: MemoryLog, from: number): LogEntry[] {
   const entries = log.getEntries(from, MAX_ENTRIES_PER_APPEND);
   let bytes = 0;
   const count = entries.findIndex((entry) => {
-    bytes += entry.body.case === "command" ? entry.body.value.length : SMALL_ENTRY_BYTES;
+    bytes += entry.body.case === "command" ? entry.body.value.length : EMPTY_ENTRY_BYTES;
     return bytes > MAX_BYTES_PER_APPEND;
   });
-  // One entry is sent however large it is.
+  // The first entry is always included, whatever its size.
   return count === -1 ? entries : entries.slice(0, Math.max(1, count));
 }
--- a/src/consensus/RaftNode.ts
+++ b/src/consensus/RaftNode.ts
@@ -1,9 +1,9 @@
 /**
- * One member of the agreed state as a deterministic state machine.
+ * One consensus member as a deterministic state machine.
  *
- * The published Raft protocol with pre-vote, check-quorum, learners, single-member
- * changes and confirmed reads. It reads no clock, does no I/O and draws randomness
- * from an injected source: everything it wants done comes out of `takeReady`.
+ * Implements the published Raft protocol with pre-vote, check-quorum, learners, single-member changes and
+ * confirmed reads. The node reads no clock, does no I/O and takes randomness from an injected source.
+ * `takeReady` returns all messages and writes that it requests.
  */
 import { create } from "@bufbuild/protobuf";
 import { throwIfBroken } from "../errors";
@@ -29,13 +29,13 @@
 import type { Ready } from "./Ready";
 import type { Timing } from "./Timing";
 
-/** What a member is at the moment. */
+/** The current role of a member. */
 export type Role = "follower" | "preCandidate" | "candidate" | "leader";
 
-/** What a node starts from: what its disk held, and how it is set up. */
+/** Initial state and options of a node, as read from disk and from the configuration. */
 export interface RaftNodeOptions {
   readonly id: string;
-  /** Members before any entry; empty for a joiner that waits for a leader. */
+  /** Membership before the first entry; empty for a joining member that waits for a leader. */
   readonly membership: Membership;
   readonly hardState: HardState;
   readonly snapshot: Snapshot | undefined;
@@ -48,10 +48,10 @@
 
 type MessageBody = ConsensusMessage["body"];
 
-/** Why a member leads no more. */
-export type LeadershipEnd = "no majority answered" | "another term began" | "it votes no more";
+/** Why a member lost its leadership. */
+export type LeadershipEndReason = "no majority answered" | "another term began" | "no longer a voter";
 
-/** A member of the agreed state. */
+/** A consensus member. */
 export class RaftNode {
   /** This member's id. */
   readonly id: string;
@@ -63,12 +63,12 @@
   private _term: number;
   private _vote: string;
   private _leaderId = "";
-  private _toldCommitIndex = 0;
+  private _leaderCommitIndex = 0;
   private _commitIndex: number;
   private _deliveredIndex: number;
   private _durableIndex: number;
   private _heartbeatAt = 0;
-  /** When entries were proposed that no message has carried yet. */
+  /** When the first entries were proposed that are not yet part of an append. */
   private _appendDueAt: number | undefined;
   private _progress = new Map<string, Progress>();
   private _round = 0;
@@ -76,11 +76,9 @@
   private readonly _barriers = new Barriers();
   private readonly _outbox = new Outbox();
   private _snapshot: Snapshot | undefined;
-  private _leadershipEnd: LeadershipEnd | undefined;
+  private _leadershipEnd: LeadershipEndReason | undefined;
 
-  /**
-   * @param options - What the disk held, timing, randomness and the present time.
-   */
+  /** @param options - Stored state, timing, random source and the current time. */
   constructor(options: RaftNodeOptions) {
     this.id = options.id;
     this.timing = options.timing;
@@ -89,7 +87,7 @@
     if (options.snapshot !== undefined) this.log.setSnapshot(options.snapshot);
     for (const entry of options.entries) this.log.addEntry(entry);
     this._snapshot = options.snapshot;
-    // Entries may have become durable a moment before their term did.
+    // Entries may have become durable before the hard state with their term was written.
     this._term = Math.max(options.hardState.term, this.log.lastTerm);
     this._vote = this._term === options.hardState.term ? options.hardState.vote : "";
     this._commitIndex = options.snapshot?.index ?? 0;
@@ -97,7 +95,7 @@
     this._durableIndex = this.log.lastIndex;
   }
 
-  /** Gets what this member is. */
+  /** Gets the current role of this member. */
   get role(): Role {
     return this._role;
   }
@@ -107,42 +105,42 @@
     return this._term;
   }
 
-  /** Gets why this member stopped to lead last; `undefined` if it never did. */
-  get leadershipEnd(): LeadershipEnd | undefined {
+  /** Gets why this member last lost its leadership; `undefined` if it never did. */
+  get leadershipEnd(): LeadershipEndReason | undefined {
     return this._leadershipEnd;
   }
 
-  /** Gets the id of the leader of this term, empty when unknown. */
+  /** Gets the id of the current term's leader, or an empty string if unknown. */
   get leaderId(): string {
     return this._leaderId;
   }
 
-  /** Gets the highest index known to be committed. */
+  /** Gets the highest index that this member has recorded as committed. */
   get commitIndex(): number {
     return this._commitIndex;
   }
 
-  /** Gets the newest membership, committed or not. */
+  /** Gets the newest membership in the log, committed or not. */
   get membership(): Membership {
     return this.log.getMembership();
   }
 
-  /** Gets what the leader knows of a member. */
+  /** Gets the leader's replication progress of a member. */
   getProgress(id: string): Progress | undefined {
     return this._progress.get(id);
   }
 
-  /** Checks whether this leader has committed an entry of its own term. */
+  /** Checks whether this member is the leader and has committed an entry of its own term. */
   isEstablished(): boolean {
     return this._role === "leader" && this._commitIndex >= this._termStartIndex;
   }
 
-  /** Checks whether `takeReady` would give anything. */
+  /** Checks whether `takeReady` would return any work. */
   hasReady(): boolean {
     return !this._outbox.isEmpty() || this._barriers.hasConfirmed || this._deliveredIndex < this._commitIndex;
   }
 
-  /** Takes all that is to be done; the driver must do it in the order of `Ready`. */
+  /** Takes all pending work. The driver must execute it in the order that `Ready` describes. */
   takeReady(): Ready {
     this._sendDueAppends();
     const undelivered = this._commitIndex - this._deliveredIndex;
@@ -152,8 +150,8 @@
   }
 
   /**
-   * Notes that entries up to an index are synced.
-   * @param term - Term of that entry, in case the tail was replaced meanwhile.
+   * Marks the entries up to an index as durable.
+   * @param term - Term of the entry at that index. A mismatch means that the entry has been replaced since.
    */
   setDurable(index: number, term: number): void {
     if (this.log.getTerm(index) !== term) return;
@@ -161,14 +159,14 @@
     if (this._role === "leader") this._advanceCommit();
   }
 
-  /** Forgets the log up to a saved snapshot, but for a tail that slow members may need. */
-  setSnapshot(snapshot: Snapshot, keptEntries: number): void {
+  /** Removes the log up to a saved snapshot, except for a tail that lagging members may need. */
+  setSnapshot(snapshot: Snapshot, retainedEntries: number): void {
     this._snapshot = snapshot;
-    this.log.compact(Math.min(snapshot.index, this.log.lastIndex - keptEntries));
+    this.log.compact(Math.min(snapshot.index, this.log.lastIndex - retainedEntries));
   }
 
   /**
-   * Lets time pass: campaigns, sends heartbeats, or steps down without a majority.
+   * Processes the passage of time: starts a campaign, sends heartbeats, or steps down without a majority.
    * @param now - Monotonic milliseconds.
    */
   tick(now: number): void {
@@ -182,31 +180,32 @@
   }
 
   /**
-   * Appends a command as the leader.
-   * @returns The index it will have if committed; `undefined` when not leading.
+   * Appends a command to the leader's log.
+   * @returns The index of the command if it commits; `undefined` if this member is not the leader.
    */
   addCommand(now: number, command: Uint8Array): number | undefined {
     return this._addBody(now, { case: "command", value: command });
   }
 
   /**
-   * Appends a change of members as the leader.
-   * @returns `undefined` when not leading, or while an earlier change is not committed.
+   * Appends a membership change to the leader's log.
+   * @returns The index of the change; `undefined` if this member is not an established leader or an earlier
+   * change is not committed.
    */
   addMembership(now: number, membership: Membership): number | undefined {
     if (!this.isEstablished() || this._hasPendingMembership()) return undefined;
-    const known = this.membership;
+    const previous = this.membership;
     const index = this._addBody(now, { case: "membership", value: membership });
     for (const { id } of membership.members) {
-      if (getMember(known, id) === undefined) this._addProgress(now, id);
+      if (getMember(previous, id) === undefined) this._addProgress(now, id);
     }
     return index;
   }
 
   /**
-   * Asks the majority whether this leader still leads.
-   * @returns The barrier's id, later found in `Ready.confirmed`; `undefined` when the
-   * node can't answer reads: not leading, or nothing of its term committed yet.
+   * Starts a round of messages in which a majority confirms this leader.
+   * @returns The id under which `Ready.confirmed` reports the barrier; `undefined` if this member is not the
+   * leader or has not committed an entry of its term yet.
    */
   addBarrier(now: number): number | undefined {
     if (!this.isEstablished()) return undefined;
@@ -218,48 +217,54 @@
   }
 
   /**
-   * Asks the voter that is furthest to take the lead over, before a planned stop.
-   * @returns Whether one was asked.
+   * Requests the voter with the highest match index to take over leadership, before a planned stop.
+   * @returns Whether a request was sent.
    */
   transferLeadership(): boolean {
     if (!this.isEstablished()) return false;
-    const successor = this._getFurthestVoter();
+    const successor = this._getMostAdvancedVoter();
     if (successor === undefined) return false;
     this._sendImmediate(successor, { case: "transferRequest", value: create(TransferRequestSchema) });
     return true;
   }
 
   /**
-   * Checks whether a majority, this member among it, said lately that it knows no leader: there is
-   * none, and this member is not cut off from the others.
+   * Checks whether this member and recent reports of others form a majority without a leader. In that case no
+   * leader exists, and this member is not partitioned.
    */
   isElecting(now: number): boolean {
     if (this._role === "leader" || this._leaderId !== "") return false;
-    return this._hasMajority(new Set([this.id, ...this._election.getLeaderless(now)]));
+    return this._hasMajority(new Set([this.id, ...this._election.getLeaderlessMembers(now)]));
   }
 
-  /** Gets how far leaders said that they had committed, whether the entries have come here or not. */
-  get toldCommitIndex(): number {
-    return Math.max(this._toldCommitIndex, this._commitIndex);
+  /**
+   * Gets the highest commit index received from leaders or reached locally, even if the entries have not
+   * arrived yet.
+   */
+  get leaderCommitIndex(): number {
+    return Math.max(this._leaderCommitIndex, this._commitIndex);
   }
 
-  /** Gets when a follower heard its leader last, monotonic milliseconds; `undefined` while it knows none. */
+  /**
+   * Gets when this follower last received a message from its leader, monotonic milliseconds; `undefined`
+   * while it has no leader.
+   */
   getLeaderContactAt(): number | undefined {
     return this._role === "follower" && this._leaderId !== "" ? this._election.leaderContactAt : undefined;
   }
 
-  /** Gets when a majority answered last, for a leader; monotonic milliseconds. */
+  /** Gets when a majority, including this leader, last responded, monotonic milliseconds. */
   getQuorumContactAt(now: number): number {
     const answeredAt = getVoters(this.membership).map(({ id }) => this._getAnsweredAt(now, id));
     return answeredAt.sort((a, b) => b - a)[this.getQuorumSize() - 1] ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Takes a message from another member. */
+  /** Processes a message from another member. */
   receive(now: number, message: ConsensusMessage): void {
     if (message.to !== this.id) return;
-    if (tellsOfNoLeader(message.body)) this._election.addLeaderless(now, message.from);
+    if (impliesNoLeader(message.body)) this._election.addLeaderlessReport(now, message.from);
     if (message.term > this._term && !this._acceptHigherTerm(now, message)) return;
-    // Who supports a question may never have heard of the terms in between.
+    // A member that grants a pre-vote may still be in an earlier term.
     if (message.term < this._term && message.body.case !== "preVoteResponse") {
       this._answerLowerTerm(message);
       return;
@@ -267,7 +272,7 @@
     this._dispatch(now, message);
   }
 
-  /** Gets how many votes or answers make a majority. */
+  /** Gets the number of members that form a majority. */
   protected getQuorumSize(): number {
     return getQuorumSize(this.membership);
   }
@@ -289,11 +294,11 @@
         return;
       case "appendRequest":
         this._followLeader(now, message.from);
-        this._toldCommitIndex = Math.max(this._toldCommitIndex, body.value.commitIndex);
+        this._leaderCommitIndex = Math.max(this._leaderCommitIndex, body.value.commitIndex);
         this._appendEntries(message, body.value);
         return;
       case "appendResponse":
-        this._noteAppendResponse(now, message.from, body.value);
+        this._handleAppendResponse(now, message.from, body.value);
         return;
       case "snapshotRequest":
         this._followLeader(now, message.from);
@@ -306,20 +311,21 @@
   }
 
   private _acceptHigherTerm(now: number, message: ConsensusMessage): boolean {
-    // A pre-vote asks about a term that nobody has entered yet.
+    // A pre-vote request names a term that no member has entered yet.
     if (message.body.case === "preVoteRequest") {
       this._answerPreVote(now, message, message.body.value.lastIndex, message.body.value.lastTerm);
       return false;
     }
-    // A voter that hears its leader isn't drawn into another's election.
-    const isUninvited = message.body.case === "voteRequest" && !message.body.value.transfer;
-    if (isUninvited && this._hearsOtherLeader(now, message.from)) return false;
+    // A voter with a recent message from its leader rejects other candidates.
+    const isOrdinaryRequest = message.body.case === "voteRequest" && !message.body.value.transfer;
+    if (isOrdinaryRequest && this._hasOtherLeaderContact(now, message.from)) return false;
     const role = this._role;
     if (role === "leader") this._leadershipEnd = "another term began";
     this._becomeFollower(now, message.term, "");
-    if (role === "leader") this._election.hastenCampaign(now);
-    // Its question named a term that had been; nothing else was said against it.
-    if (role === "preCandidate" && message.body.case === "preVoteResponse") this._askForPreVotes(now);
+    if (role === "leader") this._election.resetCampaignDelay(now);
+    // The pre-vote request used an outdated term, which is the only reason for its rejection. Repeat it with
+    // the new term.
+    if (role === "preCandidate" && message.body.case === "preVoteResponse") this._requestPreVotes(now);
     return true;
   }
 
@@ -336,18 +342,18 @@
     }
   }
 
-  private _noteHardState(): void {
+  private _queueHardState(): void {
     this._outbox.setHardState(create(HardStateSchema, { term: this._term, vote: this._vote }));
   }
 
-  private _hearsLeader(now: number): boolean {
+  private _hasLeaderContact(now: number): boolean {
     if (this._role === "leader") return true;
-    return this._election.hearsLeader(now);
+    return this._election.hasLeaderContact(now);
   }
 
-  /** A leader that asks for votes itself leads no more: nobody is kept from supporting it. */
-  private _hearsOtherLeader(now: number, from: string): boolean {
-    return from !== this._leaderId && this._hearsLeader(now);
+  /** A leader that requests votes no longer leads, so its own followers may vote for it. */
+  private _hasOtherLeaderContact(now: number, from: string): boolean {
+    return from !== this._leaderId && this._hasLeaderContact(now);
   }
 
   private _isUpToDate(lastIndex: number, lastTerm: number): boolean {
@@ -358,9 +364,9 @@
   private _answerPreVote(now: number, message: ConsensusMessage, lastIndex: number, lastTerm: number): void {
     const granted =
       message.term > this._term &&
-      !this._hearsOtherLeader(now, message.from) &&
+      !this._hasOtherLeaderContact(now, message.from) &&
       this._isUpToDate(lastIndex, lastTerm) &&
-      !this._precedes(now, message.from, lastIndex, lastTerm);
+      !this._winsTie(now, message.from, lastIndex, lastTerm);
     if (granted && this._role === "preCandidate") this._becomeFollower(now, this._term, "");
     this._sendDurable(message.from, {
       case: "preVoteResponse",
@@ -369,13 +375,14 @@
   }
 
   /**
-   * Of members that ask at the same time and could win alike, the first by id goes on and the others
-   * support it. Members that start together would all become candidates, each with its own vote.
+   * Breaks the tie between members that request pre-votes at the same time with equal logs: the member with
+   * the lowest id continues and the others support it. Otherwise members that start together would all become
+   * candidates and each vote for itself.
    */
-  private _precedes(now: number, from: string, lastIndex: number, lastTerm: number): boolean {
-    const isRival = lastTerm === this.log.lastTerm && lastIndex === this.log.lastIndex;
-    const isAsking = this._role === "preCandidate" && this._election.isQuestionOpen(now);
-    return isAsking && isRival && this.id < from;
+  private _winsTie(now: number, from: string, lastIndex: number, lastTerm: number): boolean {
+    const isTied = lastTerm === this.log.lastTerm && lastIndex === this.log.lastIndex;
+    const isRequesting = this._role === "preCandidate" && this._election.isPreVotePending(now);
+    return isRequesting && isTied && this.id < from;
   }
 
   private _answerVote(now: number, message: ConsensusMessage, lastIndex: number, lastTerm: number): void {
@@ -383,7 +390,7 @@
     const granted = isFree && this._role === "follower" && this._isUpToDate(lastIndex, lastTerm);
     if (granted) {
       this._vote = message.from;
-      this._noteHardState();
+      this._queueHardState();
       this._election.postponeCampaign(now);
     }
     this._sendDurable(message.from, {
@@ -394,13 +401,13 @@
 
   private _startPreVote(now: number): void {
     this._election.addCampaign(now);
-    this._askForPreVotes(now);
+    this._requestPreVotes(now);
   }
 
-  private _askForPreVotes(now: number): void {
-    // Answers to the same question that are still on their way go on counting.
+  private _requestPreVotes(now: number): void {
+    // Responses to the same request that are still in flight remain valid.
     if (this._role !== "preCandidate") this._election.resetVotes([this.id]);
-    this._election.addQuestion(now);
+    this._election.addPreVoteRequest(now);
     this._role = "preCandidate";
     this._leaderId = "";
     this._sendVoteRequests("preVoteRequest", this._term + 1);
@@ -417,11 +424,11 @@
     this._role = "candidate";
     this._term += 1;
     this._vote = this.id;
-    this._noteHardState();
+    this._queueHardState();
     this._election.resetVotes([]);
     this._election.postponeCampaign(now);
     this._sendVoteRequests("voteRequest", this._term, isTransfer);
-    // Its own vote travels like the others', so that it counts only once it is synced.
+    // The member's own vote is sent as a message, so that it counts only after the sync.
     this._sendDurable(
       this.id,
       { case: "voteResponse", value: { $typeName: "ploverstage.v1.VoteResponse", granted: true } },
@@ -455,7 +462,7 @@
     if (term > this._term) {
       this._term = term;
       this._vote = "";
-      this._noteHardState();
+      this._queueHardState();
     }
     this._role = "follower";
     this._leaderId = leaderId;
@@ -464,7 +471,10 @@
   }
 
   private _followLeader(now: number, leaderId: string): void {
-    throwIfBroken(this._role !== "leader", "one leader a term", { term: this._term, leaderId });
+    throwIfBroken(this._role !== "leader", "a term must have at most one leader", {
+      term: this._term,
+      leaderId,
+    });
     this._becomeFollower(now, this._term, leaderId);
     this._election.addLeaderContact(now, this._term);
   }
@@ -481,7 +491,7 @@
 
   private _addProgress(now: number, id: string): void {
     const progress = new Progress(this.log.lastIndex);
-    // Nobody counts as silent before it could answer.
+    // The time until the first response is measured from the member's addition.
     progress.answeredAt = now;
     this._progress.set(id, progress);
   }
@@ -491,7 +501,7 @@
     const entry = create(LogEntrySchema, { index: this.log.lastIndex + 1, term: this._term, body });
     this.log.addEntry(entry);
     this._outbox.addEntry(entry);
-    // Sent with the next turn, so that entries proposed together travel together.
+    // The append is sent with the next `Ready`, so that entries proposed together share one message.
     this._appendDueAt = now;
     return entry.index;
   }
@@ -519,7 +529,7 @@
   }
 
   private _hasQuorumContact(now: number): boolean {
-    return now - this.getQuorumContactAt(now) <= this._election.contactMs;
+    return now - this.getQuorumContactAt(now) <= this._election.quorumTimeoutMs;
   }
 
   private _sendDueAppends(): void {
@@ -590,13 +600,13 @@
       this._sendAppendResponse(message.from, false, this._getConflictHint(previousIndex), request.round);
       return;
     }
-    for (const entry of entries) this._takeEntry(entry);
+    for (const entry of entries) this._storeEntry(entry);
     const matchIndex = previousIndex + entries.length;
     this._setCommitIndex(Math.min(request.commitIndex, matchIndex));
     this._sendAppendResponse(message.from, true, matchIndex, request.round);
   }
 
-  /** Goes back over the whole conflicting term at once. */
+  /** Skips the whole conflicting term at once. */
   private _getConflictHint(index: number): number {
     const term = this.log.getTerm(index);
     let hint = index;
@@ -604,13 +614,13 @@
     return hint;
   }
 
-  private _takeEntry(entry: LogEntry): void {
+  private _storeEntry(entry: LogEntry): void {
     if (entry.index < this.log.firstIndex) return;
     const knownTerm = this.log.getTerm(entry.index);
     if (knownTerm === entry.term) return;
     throwIfBroken(
       knownTerm === undefined || entry.index > this._commitIndex,
-      "a committed entry is never replaced",
+      "a committed entry must not be replaced",
       { index: entry.index, commitIndex: this._commitIndex },
     );
     this.log.addEntry(entry);
@@ -622,7 +632,7 @@
     if (snapshot.index > this._commitIndex) {
       this.log.setSnapshot(snapshot);
       this._snapshot = snapshot;
-      // What follows the snapshot must be written after it, so it is offered anew.
+      // The entries after the snapshot must be written after it, so they are queued again.
       this._outbox.setSnapshot(snapshot, this.log.getEntries(snapshot.index + 1, Number.MAX_SAFE_INTEGER));
       this._commitIndex = snapshot.index;
       this._deliveredIndex = snapshot.index;
@@ -638,7 +648,7 @@
     });
   }
 
-  private _noteAppendResponse(
+  private _handleAppendResponse(
     now: number,
     from: string,
     response: { accepted: boolean; matchIndex: number; round: number },
@@ -651,7 +661,7 @@
     progress.round = Math.max(progress.round, response.round);
     this._confirmBarriers();
     if (!response.accepted) {
-      if (progress.addRefusal(response.matchIndex)) this._sendAppend(now, from);
+      if (progress.addRejection(response.matchIndex)) this._sendAppend(now, from);
       return;
     }
     progress.addMatch(response.matchIndex);
@@ -659,7 +669,7 @@
     if (progress.nextIndex <= this.log.lastIndex) this._sendAppend(now, from);
   }
 
-  private _getFurthestVoter(): string | undefined {
+  private _getMostAdvancedVoter(): string | undefined {
     const others = getVoters(this.membership).filter((member) => member.id !== this.id);
     const getMatch = (id: string) => this._progress.get(id)?.matchIndex ?? 0;
     return others.sort((a, b) => getMatch(b.id) - getMatch(a.id))[0]?.id;
@@ -672,14 +682,14 @@
       )
       .sort((a, b) => b - a);
     const candidate = matches[this.getQuorumSize() - 1] ?? 0;
-    // Only an entry of its own term may be committed by counting.
+    // Counting replicas may only commit an entry of the leader's own term.
     if (this.log.getTerm(candidate) === this._term) this._setCommitIndex(candidate);
     this._stepDownIfRemoved();
   }
 
   private _stepDownIfRemoved(): void {
     if (isVoter(this.membership, this.id) || this._hasPendingMembership()) return;
-    this._leadershipEnd = "it votes no more";
+    this._leadershipEnd = "no longer a voter";
     this._role = "follower";
     this._leaderId = "";
   }
@@ -689,10 +699,10 @@
   }
 
   private _confirmBarriers(): void {
-    this._barriers.confirm((round) => this._isAnswered(round));
+    this._barriers.confirm((round) => this._isConfirmed(round));
   }
 
-  private _isAnswered(round: number): boolean {
+  private _isConfirmed(round: number): boolean {
     const ids = new Set([this.id]);
     for (const [id, progress] of this._progress) {
       if (progress.round >= round) ids.add(id);
@@ -701,29 +711,32 @@
   }
 
   private _sendDurable(to: string, body: MessageBody, term = this._term): void {
-    if (this._knows(to, body)) this._outbox.addDurable(this._createMessage(to, body, term));
+    if (this._canSendTo(to, body)) this._outbox.addDurable(this._createMessage(to, body, term));
   }
 
   private _sendImmediate(to: string, body: MessageBody): void {
-    if (this._knows(to, body)) this._outbox.addImmediate(this._createMessage(to, body, this._term));
+    if (this._canSendTo(to, body)) this._outbox.addImmediate(this._createMessage(to, body, this._term));
   }
 
   private _createMessage(to: string, body: MessageBody, term: number): ConsensusMessage {
     return create(ConsensusMessageSchema, { from: this.id, to, term, body });
   }
 
-  private _knows(to: string, body: MessageBody): boolean {
-    return to === this.id || getMember(this.membership, to) !== undefined || this._answers(body);
+  private _canSendTo(to: string, body: MessageBody): boolean {
+    return to === this.id || getMember(this.membership, to) !== undefined || this._isResponse(body);
   }
 
-  /** Answers go to anyone who asked, also to one that this log doesn't know yet. */
-  private _answers(body: MessageBody): boolean {
+  /**
+   * Checks whether a message is a response. Responses are also sent to members that are not in the local log
+   * yet.
+   */
+  private _isResponse(body: MessageBody): boolean {
     return body.case === "appendResponse" || body.case === "voteResponse" || body.case === "preVoteResponse";
   }
 }
 
-/** Who asks for votes, or gives one, knows no leader. */
-function tellsOfNoLeader(body: MessageBody): boolean {
+/** Checks whether a message implies that its sender has no leader: it requests votes or grants one. */
+function impliesNoLeader(body: MessageBody): boolean {
   switch (body.case) {
     case "preVoteRequest":
       return true;
--- a/src/consensus/RandomSource.ts
+++ b/src/consensus/RandomSource.ts
@@ -1,21 +1,19 @@
-/** Seedable randomness, injected wherever a decision draws a number. */
+/** Seedable random numbers, injected wherever a decision is random. */
 
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Gives numbers in [0, 1). */
+/** Generates numbers in [0, 1). */
 export interface RandomSource {
   /** Gets the next number. */
   next(): number;
 }
 
-/** A reproducible source: the same seed gives the same numbers. */
+/** Reproducible random numbers: the same seed yields the same sequence. */
 export class SeededRandom implements RandomSource {
   private readonly _generator;
 
-  /**
-   * @param seed - A 32-bit whole number.
-   */
+  /** @param seed - A 32-bit integer. */
   constructor(seed: number) {
     this._generator = xoroshiro128plus(seed);
   }
--- a/src/consensus/Ready.ts
+++ b/src/consensus/Ready.ts
@@ -1,4 +1,4 @@
-/** What a consensus node wants done, in the order in which it must be done. */
+/** The pending work of a consensus node, in the order in which the driver must execute it. */
 import type { ConsensusMessage, HardState, LogEntry, Snapshot } from "../gen/ploverstage/v1/consensus_pb";
 
 /** A confirmed read: state applied up to `readIndex` is current. */
@@ -8,11 +8,11 @@
 }
 
 /**
- * Work that one turn of a consensus node produced.
+ * Work that a consensus node has produced since the last `takeReady`.
  *
- * @remarks The driver sends `immediateMessages`, makes `snapshot`, `hardState` and
- * `entries` durable with one sync, tells the node, sends `durableMessages`, then
- * applies `committed`. A message that promises something is never in the first list.
+ * @remarks The driver sends `immediateMessages`, makes `snapshot`, `hardState` and `entries` durable with one
+ * sync, calls `setDurable` on the node, sends `durableMessages`, then applies `committed`. A message that
+ * depends on a write is never in `immediateMessages`.
  */
 export interface Ready {
   readonly immediateMessages: readonly ConsensusMessage[];
--- a/src/consensus/Timing.ts
+++ b/src/consensus/Timing.ts
@@ -1,12 +1,12 @@
-/** Intervals of the agreement protocol, all in milliseconds. */
+/** Intervals of the Raft protocol, in milliseconds. */
 export interface Timing {
-  /** How often a leader sends to each member at the least. */
+  /** Maximum interval between two messages from the leader to a member. */
   readonly heartbeatMs: number;
-  /** Shortest silence of a leader after which a voter campaigns. */
+  /** Shortest gap in the leader's messages after which a voter campaigns. */
   readonly electionMinMs: number;
-  /** Longest such silence; each voter draws its own in between. */
+  /** Longest such gap; each voter draws a random value between the two. */
   readonly electionMaxMs: number;
 }
 
-/** Intervals for voters a few milliseconds apart. */
+/** Intervals for voters with a network latency of a few milliseconds. */
 export const DEFAULT_TIMING: Timing = { heartbeatMs: 100, electionMinMs: 500, electionMaxMs: 1000 };
--- a/src/consensus/index.ts
+++ b/src/consensus/index.ts
@@ -1,4 +1,4 @@
-/** The agreement protocol: a pure core, and the driver that runs it. */
+/** The consensus protocol: a core without I/O, and the driver that runs it. */
 export { ConsensusDriver, type ConsensusDriverOptions, type Transport } from "./ConsensusDriver";
 export { MemoryLog } from "./MemoryLog";
 export {
@@ -10,8 +10,8 @@
   getVoterCount,
   getVoters,
   isVoter,
-  type JoiningFacts,
-  type MemberFacts,
+  type JoiningContext,
+  type MembershipContext,
 } from "./membership";
 export type { Progress } from "./Progress";
 export { RaftNode, type RaftNodeOptions, type Role } from "./RaftNode";
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -1,4 +1,4 @@
-/** Pure helpers over the set of members. */
+/** Pure functions on the set of members. */
 import { create } from "@bufbuild/protobuf";
 import { type Member, type Membership, MembershipSchema } from "../gen/ploverstage/v1/consensus_pb";
 
@@ -7,12 +7,12 @@
   return membership.members.filter((member) => !member.learner);
 }
 
-/** Gets how many voters make a majority. */
+/** Gets the number of voters that form a majority. */
 export function getQuorumSize(membership: Membership): number {
   return Math.floor(getVoters(membership).length / 2) + 1;
 }
 
-/** Checks whether an id is a voter. */
+/** Checks whether a member is a voter. */
 export function isVoter(membership: Membership, id: string): boolean {
   return membership.members.some((member) => member.id === id && !member.learner);
 }
@@ -22,78 +22,87 @@
   return membership.members.find((member) => member.id === id);
 }
 
-/** Makes a membership out of members. */
+/** Creates a membership from a list of members. */
 export function createMembership(members: readonly Member[]): Membership {
   return create(MembershipSchema, { members: [...members] });
 }
 
-/** What is known of the members. */
-export interface MemberFacts {
-  /** Voters wanted at the most; without a bound every joiner votes. */
+/** Limits and member states that decide on membership changes. */
+export interface MembershipContext {
+  /** Upper limit on voters; without a limit every joining member becomes a voter. */
   readonly maxVoters?: number;
-  /** The member that leads; it keeps its vote. */
+  /** The current leader, which never loses its vote. */
   readonly leaderId?: string;
-  /** Whether a voter has been silent for so long that a learner is to vote in its place. */
-  readonly isGone?: (memberId: string) => boolean;
-  /** Whether a learner has been silent for so long that it has to join anew. */
-  readonly isForgotten?: (memberId: string) => boolean;
+  /** Checks whether a voter has not responded for so long that a learner replaces it. */
+  readonly isUnresponsive?: (memberId: string) => boolean;
+  /** Checks whether a learner has not responded for so long that it is removed and has to join again. */
+  readonly isExpired?: (memberId: string) => boolean;
 }
 
-/** What is known of the members when one joins. */
-export interface JoiningFacts extends MemberFacts {
-  /** Whether the joiner holds nearly the whole log. */
+/** Limits and member states that decide on a join. */
+export interface JoiningContext extends MembershipContext {
+  /** Whether the joining member has nearly the whole log. */
   readonly isCaughtUp: boolean;
 }
 
 /**
- * Gets the next membership on the way to letting a joiner vote.
+ * Gets the next membership in the steps that make a joining member a voter.
  *
- * One member changes a step, so that any two successive majorities share a voter: the
- * joiner is added as a learner, and once it has caught up it votes. Where there are voters
- * enough, it learns on until one is gone whose place it takes. It votes before that one
- * loses its vote (`getTrimmedMembership`), so that no loss meanwhile meets a smaller set.
- * @returns `undefined` when there is nothing left to change now.
+ * Each step changes one member, so that any two successive majorities share a voter. The joining member is
+ * first added as a learner, and becomes a voter once it has caught up. While there are enough voters, it
+ * remains a learner until a voter fails, and then replaces that voter. It becomes a voter before the failed
+ * one loses its vote (`getTrimmedMembership`), so that a further failure in between does not meet a smaller
+ * set of voters.
+ * @returns `undefined` if no change is currently possible.
  */
 export function getNextMembership(
   current: Membership,
-  joiner: Member,
-  facts: JoiningFacts,
+  joiningMember: Member,
+  context: JoiningContext,
 ): Membership | undefined {
-  const present = getMember(current, joiner.id);
-  if (present === undefined) return createMembership([...current.members, { ...joiner, learner: true }]);
-  if (!present.learner || !facts.isCaughtUp || !hasPlace(current, present, facts)) return undefined;
-  return setLearner(current, joiner.id, false);
+  const member = getMember(current, joiningMember.id);
+  if (member === undefined)
+    return createMembership([...current.members, { ...joiningMember, learner: true }]);
+  if (!member.learner || !context.isCaughtUp || !hasVoterCapacity(current, member, context)) return undefined;
+  return setLearner(current, joiningMember.id, false);
 }
 
-/** Checks whether one more may vote: there are too few voters, or one whose place is free. */
-function hasPlace(current: Membership, joiner: Member, facts: MemberFacts): boolean {
+/**
+ * Checks whether a learner may become a voter: there are too few voters, or it replaces a failed or former
+ * one.
+ */
+function hasVoterCapacity(current: Membership, joiningMember: Member, context: MembershipContext): boolean {
   const voters = getVoters(current);
-  const maxVoters = facts.maxVoters ?? Number.POSITIVE_INFINITY;
-  if (voters.length < maxVoters || voters.some((voter) => voter.name === joiner.name)) return true;
-  return voters.length === maxVoters && voters.some((voter) => facts.isGone?.(voter.id));
+  const maxVoters = context.maxVoters ?? Number.POSITIVE_INFINITY;
+  if (voters.length < maxVoters || voters.some((voter) => voter.name === joiningMember.name)) return true;
+  return voters.length === maxVoters && voters.some((voter) => context.isUnresponsive?.(voter.id));
 }
 
 /**
- * Gets the membership with one change that needs nobody to ask for it: a member that lost its disk and
- * joined anew under its name is removed, a learner that stays away is removed, and of voters that are too many
- * one learns on: one that is gone, so that it follows at once when it is back, else the last that joined.
- * @returns `undefined` when there is none.
+ * Gets the membership after the next change that does not depend on a join request. In this order, it removes
+ * a member that has joined again under its name after the loss of its disk, removes a learner that has not
+ * responded for long, or makes a surplus voter a learner. The surplus voter is a failed one, so that it can
+ * follow as soon as it returns, or else the last one that joined.
+ * @returns `undefined` if no change is due.
  */
-export function getTrimmedMembership(current: Membership, facts: MemberFacts): Membership | undefined {
+export function getTrimmedMembership(
+  current: Membership,
+  context: MembershipContext,
+): Membership | undefined {
   const { members } = current;
   const voters = getVoters(current);
-  // Members stand in the order in which they joined.
+  // Members are listed in the order in which they joined.
   const isReplaced = (member: Member, i: number) =>
     members.slice(i + 1).some((later) => later.name === member.name && !later.learner);
   const removed =
-    members.find(isReplaced) ?? members.find(({ id, learner }) => learner && facts.isForgotten?.(id));
+    members.find(isReplaced) ?? members.find(({ id, learner }) => learner && context.isExpired?.(id));
   if (removed !== undefined) {
     return createMembership(members.filter((member) => member !== removed));
   }
-  if (voters.length <= (facts.maxVoters ?? Number.POSITIVE_INFINITY)) return undefined;
-  const others = voters.filter(({ id }) => id !== facts.leaderId);
-  const spare = others.find(({ id }) => facts.isGone?.(id)) ?? others.at(-1);
-  return spare === undefined ? undefined : setLearner(current, spare.id, true);
+  if (voters.length <= (context.maxVoters ?? Number.POSITIVE_INFINITY)) return undefined;
+  const others = voters.filter(({ id }) => id !== context.leaderId);
+  const surplus = others.find(({ id }) => context.isUnresponsive?.(id)) ?? others.at(-1);
+  return surplus === undefined ? undefined : setLearner(current, surplus.id, true);
 }
 
 function setLearner({ members }: Membership, memberId: string, learner: boolean): Membership {
@@ -103,9 +112,9 @@
 }
 
 /**
- * Gets how many voters leave a majority after some are lost at once.
- * @param lossesBorne - At least one loss is borne, whatever was asked for.
+ * Gets the number of voters that retain a majority after some fail at the same time.
+ * @param toleratedLosses - Values below 1 count as 1.
  */
-export function getVoterCount(lossesBorne: number): number {
-  return 2 * Math.max(1, lossesBorne) + 1;
+export function getVoterCount(toleratedLosses: number): number {
+  return 2 * Math.max(1, toleratedLosses) + 1;
 }
--- a/test/consensus/ElectionPatience.test.ts
+++ b/test/consensus/ElectionPatience.test.ts
@@ -1,13 +1,13 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { ElectionPatience } from "../../src/consensus/ElectionPatience";
+import { ElectionTimeout } from "../../src/consensus/ElectionPatience";
 
 const TIMING = { heartbeatMs: 100, electionMinMs: 500, electionMaxMs: 1_000 };
 
 describe("ElectionPatience", () => {
-  let patience: ElectionPatience;
+  let patience: ElectionTimeout;
 
   beforeEach(() => {
-    patience = new ElectionPatience(0, TIMING);
+    patience = new ElectionTimeout(0, TIMING);
   });
 
   it("doubles with each campaign that came to nothing, up to a bound", () => {
--- a/test/consensus/MemberSeries.ts
+++ b/test/consensus/MemberSeries.ts
@@ -14,7 +14,7 @@
   getVoterCount,
   getVoters,
   isVoter,
-  type MemberFacts,
+  type MembershipContext,
   RaftNode,
   SeededRandom,
 } from "../../src/consensus";
@@ -471,13 +471,14 @@
     if (next !== undefined) leader.addMembership(this._now, next);
   }
 
-  private _getFacts(leader: RaftNode): MemberFacts {
+  private _getFacts(leader: RaftNode): MembershipContext {
     const quorumContactAt = leader.getQuorumContactAt(this._now);
     return {
       maxVoters: getVoterCount(LOSSES_BORNE),
       leaderId: leader.id,
-      isGone: (id) => id !== leader.id && leader.getProgress(id)?.isGone(quorumContactAt) === true,
-      isForgotten: (id) => leader.getProgress(id)?.isForgotten(quorumContactAt) === true,
+      isUnresponsive: (id) =>
+        id !== leader.id && leader.getProgress(id)?.isUnresponsive(quorumContactAt) === true,
+      isExpired: (id) => leader.getProgress(id)?.isExpired(quorumContactAt) === true,
     };
   }
 
--- a/test/consensus/Progress.test.ts
+++ b/test/consensus/Progress.test.ts
@@ -35,9 +35,9 @@
   it("probes once after many refusals of one place, then goes on", () => {
     const log = createLog(10);
     const progress = new Progress(10);
-    expect(progress.addRefusal(4)).toBe(true);
+    expect(progress.addRejection(4)).toBe(true);
     expect(plan(progress, 0, log)).toEqual([4, 6]);
-    for (let refusal = 0; refusal < 50; refusal++) expect(progress.addRefusal(4)).toBe(false);
+    for (let refusal = 0; refusal < 50; refusal++) expect(progress.addRejection(4)).toBe(false);
     expect(plan(progress, 100, log)).toEqual([0, 0]);
     progress.addMatch(0);
     expect(plan(progress, 200, log)).toEqual([0, 0]);
@@ -49,9 +49,9 @@
   it("goes further back when its probe is refused, and probes again when nothing is heard", () => {
     const log = createLog(10);
     const progress = new Progress(10);
-    progress.addRefusal(8);
+    progress.addRejection(8);
     expect(plan(progress, 0, log)).toEqual([8, 2]);
-    expect(progress.addRefusal(3)).toBe(true);
+    expect(progress.addRejection(3)).toBe(true);
     expect(plan(progress, 10, log)).toEqual([3, 7]);
     expect(plan(progress, 500, log)).toEqual([0, 0]);
     expect(plan(progress, 510, log)).toEqual([3, 7]);
--- a/test/consensus/membership.test.ts
+++ b/test/consensus/membership.test.ts
@@ -5,7 +5,7 @@
   getTrimmedMembership,
   getVoterCount,
   getVoters,
-  type JoiningFacts,
+  type JoiningContext,
 } from "../../src/consensus";
 import type { Member, Membership } from "../../src/gen/ploverstage/v1/consensus_pb";
 
@@ -23,7 +23,7 @@
 const CURRENT = createMembership(["a", "b", "c"].map((name) => createMember(name)));
 
 /** Takes steps until nothing is left to change: the joiner asks, and the leader trims after each step. */
-function join(current: Membership, joiner: Member, facts: JoiningFacts): Membership[] {
+function join(current: Membership, joiner: Member, facts: JoiningContext): Membership[] {
   const steps: Membership[] = [];
   for (let now = current; ; ) {
     const next = getTrimmedMembership(now, facts) ?? getNextMembership(now, joiner, facts);
@@ -78,7 +78,7 @@
   it("never keeps a voter too many: one that is gone, else the last that joined, gives its vote away", () => {
     const four = join(CURRENT, createMember("d"), { isCaughtUp: true, maxVoters: 4 }).at(-1)!;
     const trim = (leaderId: string, gone = "") =>
-      getTrimmedMembership(four, { maxVoters: 3, leaderId, isGone: (id) => id === gone });
+      getTrimmedMembership(four, { maxVoters: 3, leaderId, isUnresponsive: (id) => id === gone });
     expect(getVoterIds(trim("a.0", "c.0"))).toEqual(["a.0", "b.0", "d.0"]);
     expect(getVoterIds(trim("a.0"))).toEqual(["a.0", "b.0", "c.0"]);
     expect(getVoterIds(trim("d.0"))).toEqual(["a.0", "b.0", "d.0"]);
@@ -86,18 +86,34 @@
 
   it("keeps a voter that gave its vote away as a learner, until it is forgotten", () => {
     const isGone = (id: string) => id === "b.0";
-    const swapped = join(CURRENT, createMember("d"), { isCaughtUp: true, maxVoters: 3, isGone }).at(-1)!;
+    const swapped = join(CURRENT, createMember("d"), {
+      isCaughtUp: true,
+      maxVoters: 3,
+      isUnresponsive: isGone,
+    }).at(-1)!;
     expect(swapped.members.map(({ id, learner }) => [id, learner])).toContainEqual(["b.0", true]);
-    const trimmed = getTrimmedMembership(swapped, { maxVoters: 3, isGone, isForgotten: isGone });
+    const trimmed = getTrimmedMembership(swapped, {
+      maxVoters: 3,
+      isUnresponsive: isGone,
+      isExpired: isGone,
+    });
     expect(trimmed?.members.map((member) => member.id)).toEqual(["a.0", "c.0", "d.0"]);
   });
 
   it("forgets learners that are gone, and no joiner that others ask beside", () => {
     const current = createMembership([...CURRENT.members, createMember("x", true)]);
     const isForgotten = (id: string) => id === "x.0";
-    const steps = join(current, createMember("d"), { isCaughtUp: false, maxVoters: 3, isForgotten });
+    const steps = join(current, createMember("d"), {
+      isCaughtUp: false,
+      maxVoters: 3,
+      isExpired: isForgotten,
+    });
     expect(steps.at(-1)?.members.map((member) => member.id)).toEqual(["a.0", "b.0", "c.0", "d.0"]);
-    const beside = join(current, createMember("d"), { isCaughtUp: false, maxVoters: 3, isGone: isForgotten });
+    const beside = join(current, createMember("d"), {
+      isCaughtUp: false,
+      maxVoters: 3,
+      isUnresponsive: isForgotten,
+    });
     expect(beside.at(-1)?.members.map((member) => member.id)).toEqual(["a.0", "b.0", "c.0", "x.0", "d.0"]);
   });
 
