--- a/test/consensus/membership.test.ts
+++ b/test/consensus/membership.test.ts
@@ -48,14 +48,14 @@
   });
 
   it("keeps a joiner as a learner while voters enough are there, or it lags", () => {
-    const facts = { isCaughtUp: true, maxVoters: 3, isGone: () => false };
+    const facts = { isCaughtUp: true, maxVoters: 3, isUnresponsive: () => false };
     expect(getVoterIds(join(CURRENT, createMember("d"), facts).at(-1))).toEqual(["a.0", "b.0", "c.0"]);
-    const lagging = { isCaughtUp: false, maxVoters: 3, isGone: (id: string) => id === "b.0" };
+    const lagging = { isCaughtUp: false, maxVoters: 3, isUnresponsive: (id: string) => id === "b.0" };
     expect(getVoterIds(join(CURRENT, createMember("d"), lagging).at(-1))).toEqual(["a.0", "b.0", "c.0"]);
   });
 
   it("gives a joiner the place of a voter that is gone, one member a step", () => {
-    const facts = { isCaughtUp: true, maxVoters: 3, isGone: (id: string) => id === "b.0" };
+    const facts = { isCaughtUp: true, maxVoters: 3, isUnresponsive: (id: string) => id === "b.0" };
     const steps = join(CURRENT, createMember("d"), facts);
     expect(steps.map((step) => step.members.length)).toEqual([4, 4, 4]);
     expect(steps.map((step) => getVoters(step).length)).toEqual([3, 4, 3]);
@@ -68,7 +68,7 @@
   });
 
   it("never has fewer voters than before while one takes another's place", () => {
-    const facts = { isCaughtUp: true, maxVoters: 3, isGone: (id: string) => id === "b.0" };
+    const facts = { isCaughtUp: true, maxVoters: 3, isUnresponsive: (id: string) => id === "b.0" };
     for (const joiner of [createMember("d"), createMember("b", false, "1")]) {
       const counts = join(CURRENT, joiner, facts).map((step) => getVoters(step).length);
       expect(Math.min(...counts)).toBe(3);
@@ -85,34 +85,28 @@
   });
 
   it("keeps a voter that gave its vote away as a learner, until it is forgotten", () => {
-    const isGone = (id: string) => id === "b.0";
-    const swapped = join(CURRENT, createMember("d"), {
-      isCaughtUp: true,
-      maxVoters: 3,
-      isUnresponsive: isGone,
-    }).at(-1)!;
+    const isUnresponsive = (id: string) => id === "b.0";
+    const swapped = join(CURRENT, createMember("d"), { isCaughtUp: true, maxVoters: 3, isUnresponsive }).at(
+      -1,
+    )!;
     expect(swapped.members.map(({ id, learner }) => [id, learner])).toContainEqual(["b.0", true]);
     const trimmed = getTrimmedMembership(swapped, {
       maxVoters: 3,
-      isUnresponsive: isGone,
-      isExpired: isGone,
+      isUnresponsive,
+      isExpired: isUnresponsive,
     });
     expect(trimmed?.members.map((member) => member.id)).toEqual(["a.0", "c.0", "d.0"]);
   });
 
   it("forgets learners that are gone, and no joiner that others ask beside", () => {
     const current = createMembership([...CURRENT.members, createMember("x", true)]);
-    const isForgotten = (id: string) => id === "x.0";
-    const steps = join(current, createMember("d"), {
-      isCaughtUp: false,
-      maxVoters: 3,
-      isExpired: isForgotten,
-    });
+    const isExpired = (id: string) => id === "x.0";
+    const steps = join(current, createMember("d"), { isCaughtUp: false, maxVoters: 3, isExpired });
     expect(steps.at(-1)?.members.map((member) => member.id)).toEqual(["a.0", "b.0", "c.0", "d.0"]);
     const beside = join(current, createMember("d"), {
       isCaughtUp: false,
       maxVoters: 3,
-      isUnresponsive: isForgotten,
+      isUnresponsive: isExpired,
     });
     expect(beside.at(-1)?.members.map((member) => member.id)).toEqual(["a.0", "b.0", "c.0", "x.0", "d.0"]);
   });
