--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -30,7 +30,6 @@
   send(message: ConsensusMessage, address: string): void;
 }
 
-/** Options of a consensus driver. */
 export interface ConsensusDriverOptions {
   readonly node: RaftNode;
   readonly hardState: HardState;
--- a/src/consensus/Election.ts
+++ b/src/consensus/Election.ts
@@ -105,7 +105,6 @@
     this._votes = new Set(ids);
   }
 
-  /** Adds a vote. */
   addVote(id: string): void {
     this._votes.add(id);
   }
--- a/src/consensus/MemoryLog.ts
+++ b/src/consensus/MemoryLog.ts
@@ -32,7 +32,6 @@
     return this._snapshotIndex + this._entries.length;
   }
 
-  /** Gets the term of the last entry. */
   get lastTerm(): number {
     return this.getTerm(this.lastIndex) ?? 0;
   }
@@ -95,7 +94,7 @@
   }
 
   /**
-   * Replaces the start of the log by a snapshot from another member.
+   * Replaces the start of the log by a snapshot.
    * @remarks Entries after the snapshot's last entry are retained if the log matches the snapshot there.
    */
   setSnapshot(snapshot: Snapshot): void {
--- a/src/consensus/RaftNode.ts
+++ b/src/consensus/RaftNode.ts
@@ -53,7 +53,6 @@
 
 /** A consensus member. */
 export class RaftNode {
-  /** This member's id. */
   readonly id: string;
   /** The log after the newest snapshot. */
   readonly log: MemoryLog;
@@ -95,12 +94,10 @@
     this._durableIndex = this.log.lastIndex;
   }
 
-  /** Gets the current role of this member. */
   get role(): Role {
     return this._role;
   }
 
-  /** Gets the current term. */
   get term(): number {
     return this._term;
   }
--- a/src/consensus/RandomSource.ts
+++ b/src/consensus/RandomSource.ts
@@ -5,7 +5,6 @@
 
 /** Generates numbers in [0, 1). */
 export interface RandomSource {
-  /** Gets the next number. */
   next(): number;
 }
 
--- a/test/consensus/ConsensusDriver.test.ts
+++ b/test/consensus/ConsensusDriver.test.ts
@@ -71,7 +71,7 @@
     driver.deliver([
       createMessage({ case: "snapshotRequest", value: create(SnapshotRequestSchema, { snapshot }) }),
     ]);
-    await waitUntil("a state change is notified", () => stateChanges > 0);
+    await waitUntil("a state listener is called", () => stateChanges > 0);
     expect(driver.machine.getDeclaration()?.version).toBe(9);
     expect(driver.getCaughtUpContactAt()).toBe(now);
   });
--- a/test/consensus/ConsensusModel.ts
+++ b/test/consensus/ConsensusModel.ts
@@ -94,7 +94,7 @@
   private _now = 0;
   private _nextSeed = 1;
   private _proposalCount = 0;
-  /** Number of committed commands, over all members. */
+  /** Number of committed entries; an entry that several members apply counts once. */
   committedCount = 0;
   /** Number of log entries sent to each member; an entry that is sent again counts again. */
   readonly sentEntries = [] as number[];
@@ -518,7 +518,7 @@
     for (const member of replica.members) {
       const known = holders.get(member.instanceId);
       if (known !== undefined)
-        throw new Violation(`instance ${member.instanceId} is in replicas ${known} and ${replica.id}`);
+        throw new Violation(`${member.instanceId} is a member of replicas ${known} and ${replica.id}`);
       holders.set(member.instanceId, replica.id);
     }
   }
--- a/test/consensus/ElectionHarness.ts
+++ b/test/consensus/ElectionHarness.ts
@@ -9,7 +9,6 @@
   SnapshotSchema,
 } from "../../src/gen/ploverstage/v1/consensus_pb";
 
-/** Creates a voter. */
 export function createVoter(name: string): Member {
   return create(MemberSchema, { id: name, name, address: `${name}:1` });
 }
--- a/test/consensus/MemberSeries.ts
+++ b/test/consensus/MemberSeries.ts
@@ -67,7 +67,7 @@
   /** Time until which the machine computes or is paused. */
   busyUntil: number;
   isLeader: boolean;
-  patience: VoterPatience;
+  joinTimeout: VoterPatience;
   nextJoinAt: number;
   /** Names of the machines configured as seeds when the machine started. */
   seeds: readonly string[];
@@ -93,7 +93,7 @@
 const TOLERATED_LOSSES = 2;
 const JOIN_INTERVAL_MS = 300;
 /** A machine that has returned counts as lost for this long. */
-const CATCH_UP_MS = 6_000;
+const RECOVERY_MS = 6_000;
 const MAX_MACHINES = 9;
 
 /** Machines and the links between them. */
@@ -289,7 +289,7 @@
     this._losses = this._losses.filter(({ until }) => until > this._now);
     if (this._losses.length >= TOLERATED_LOSSES || this._losses.some(({ name }) => name === machine.name))
       return false;
-    this._losses.push({ name: machine.name, until: this._now + forMs + CATCH_UP_MS });
+    this._losses.push({ name: machine.name, until: this._now + forMs + RECOVERY_MS });
     return true;
   }
 
@@ -320,7 +320,7 @@
       node: undefined,
       busyUntil: 0,
       isLeader: false,
-      patience: new VoterPatience(),
+      joinTimeout: new VoterPatience(),
       nextJoinAt: 0,
       seeds: [],
     };
@@ -344,7 +344,7 @@
     });
     machine.busyUntil = this._now;
     machine.isLeader = false;
-    machine.patience = new VoterPatience();
+    machine.joinTimeout = new VoterPatience();
     machine.seeds = this.machines.slice(0, BOOTSTRAP_MEMBERS).map(({ name }) => name);
   }
 
@@ -457,8 +457,8 @@
     if (this._now < machine.nextJoinAt) return;
     machine.nextJoinAt = this._now + JOIN_INTERVAL_MS;
     const isVoting = isVoter(node.membership, node.id);
-    const isSettling = node.leaderId !== "" || node.isElecting(this._now);
-    if (!machine.patience.isOver(this._now, isVoting, isSettling)) return;
+    const isElecting = node.leaderId !== "" || node.isElecting(this._now);
+    if (!machine.joinTimeout.isOver(this._now, isVoting, isElecting)) return;
     const leader = this._findLeader(machine);
     if (leader?.node === undefined || !leader.node.isEstablished() || leader.busyUntil > this._now) return;
     this._addJoiningMember(leader.node, createMember(machine.name, machine.disk.id));
--- a/test/consensus/memberSeries.test.ts
+++ b/test/consensus/memberSeries.test.ts
@@ -13,9 +13,9 @@
 const START_MS = 6_000;
 const MIN_FAILURES = 3;
 const EXTRA_FAILURES = 8;
-const SHORTEST_MS = 300;
-const LONGEST_MS = 6_000;
-const LONGEST_GAP_MS = 4_000;
+const MIN_FAILURE_MS = 300;
+const MAX_FAILURE_MS = 6_000;
+const MAX_GAP_MS = 4_000;
 /**
  * The system is calm once no failure has happened for this long. A command must then commit within two
  * seconds.
@@ -50,8 +50,8 @@
   const count = MIN_FAILURES + Math.floor(random.next() * EXTRA_FAILURES);
   for (let i = 0; i < count; i++) {
     const failure = FAILURES[Math.floor(random.next() * FAILURES.length)]!;
-    series.inject(failure, SHORTEST_MS + random.next() * (LONGEST_MS - SHORTEST_MS));
-    series.run(random.next() * LONGEST_GAP_MS);
+    series.inject(failure, MIN_FAILURE_MS + random.next() * (MAX_FAILURE_MS - MIN_FAILURE_MS));
+    series.run(random.next() * MAX_GAP_MS);
   }
   series.endFailures();
   const commitMs = series.measureCommit(CALM_MS + COMMIT_MS);
