--- a/src/consensus/Barriers.ts
+++ b/src/consensus/Barriers.ts
@@ -12,7 +12,7 @@
   private _pending: Barrier[] = [];
   private _confirmed: ConfirmedBarrier[] = [];
 
-  /** Gets whether confirmed barriers wait to be taken. */
+  /** Checks whether there are confirmed barriers to take. */
   get hasConfirmed(): boolean {
     return this._confirmed.length > 0;
   }
--- a/src/consensus/RaftNode.ts
+++ b/src/consensus/RaftNode.ts
@@ -67,7 +67,7 @@
   private _deliveredIndex: number;
   private _durableIndex: number;
   private _heartbeatAt = 0;
-  /** When the first entries were proposed that are not yet part of an append. */
+  /** When entries that are not yet part of an append were last proposed. */
   private _appendDueAt: number | undefined;
   private _progress = new Map<string, Progress>();
   private _round = 0;
@@ -226,8 +226,8 @@
   }
 
   /**
-   * Checks whether this member and recent reports of others form a majority without a leader. In that case no
-   * leader exists, and this member is not partitioned.
+   * Checks whether a majority, including this member, has reported within the last 2.5 s that it has no
+   * leader. In that case no leader exists, and this member is not partitioned.
    */
   isElecting(now: number): boolean {
     if (this._role === "leader" || this._leaderId !== "") return false;
@@ -603,7 +603,7 @@
     this._sendAppendResponse(message.from, true, matchIndex, request.round);
   }
 
-  /** Skips the whole conflicting term at once. */
+  /** Gets the last index before the conflicting term, so that the leader skips the whole term at once. */
   private _getConflictHint(index: number): number {
     const term = this.log.getTerm(index);
     let hint = index;
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -68,8 +68,8 @@
 }
 
 /**
- * Checks whether a learner may become a voter: there are too few voters, or it replaces a failed or former
- * one.
+ * Checks whether a learner may become a voter: there are too few voters, or it replaces a failed voter or
+ * one of the same name.
  */
 function hasVoterCapacity(current: Membership, joiningMember: Member, context: MembershipContext): boolean {
   const voters = getVoters(current);
--- a/test/consensus/BusyMembers.ts
+++ b/test/consensus/BusyMembers.ts
@@ -104,7 +104,7 @@
     for (const host of this._hosts.slice(0, count)) host.busyUntil = Number.POSITIVE_INFINITY;
   }
 
-  /** Gets the number of members that detect an election by a majority. */
+  /** Gets the number of members that detect that a majority has no leader. */
   countElecting(): number {
     return this._hosts.filter((host) => host.node.isElecting(this._now)).length;
   }
--- a/test/consensus/ConsensusModel.ts
+++ b/test/consensus/ConsensusModel.ts
@@ -139,7 +139,7 @@
     return this._hosts.map((host) => host.node?.term ?? 0);
   }
 
-  /** Gets the members that are leaders of the newest term by their own state. */
+  /** Gets the names of the members that have the leader role in the newest term. */
   getLeaderNames(): string[] {
     const term = Math.max(...this.getTerms());
     return this._hosts
--- a/test/consensus/MemberSeries.ts
+++ b/test/consensus/MemberSeries.ts
@@ -152,7 +152,7 @@
   }
 
   /**
-   * Advances time until a command that is proposed meanwhile is committed.
+   * Proposes a command, again after each change of leader, and advances time until it is committed.
    * @returns The time that this took, milliseconds; `undefined` if no command was committed in time.
    */
   measureCommit(maxMs: number): number | undefined {
