--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -144,7 +144,7 @@
    * election timeout.
    * @param maxWaitMs - Maximum wait for a successor, milliseconds.
    */
-  async handOver(maxWaitMs: number): Promise<void> {
+  async transferLeadership(maxWaitMs: number): Promise<void> {
     if (!this.node.transferLeadership()) return;
     this._pump();
     const endAt = this._clock.getMonotonicMs() + maxWaitMs;
@@ -208,7 +208,7 @@
    * @returns Whether the joining member is already a voter.
    * @throws AbsentLeader
    */
-  addJoiner(joiningMember: Member): boolean {
+  addJoiningMember(joiningMember: Member): boolean {
     if (!this.isLeader()) throw this._createAbsentLeader();
     const now = this._clock.getMonotonicMs();
     const isCaughtUp = this.node.getProgress(joiningMember.id)?.isCaughtUp(this.node.commitIndex) === true;
--- a/src/consensus/Election.ts
+++ b/src/consensus/Election.ts
@@ -3,7 +3,7 @@
  *
  * Pure: times are monotonic milliseconds passed by the caller.
  */
-import { ElectionTimeout } from "./ElectionPatience";
+import { ElectionTimeout } from "./ElectionTimeout";
 import type { RandomSource } from "./RandomSource";
 import type { Timing } from "./Timing";
 
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -182,7 +182,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
     yield* Effect.acquireRelease(
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
--- a/test/consensus/ElectionPatience.test.ts
+++ b/test/consensus/ElectionTimeout.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { ElectionTimeout } from "../../src/consensus/ElectionPatience";
+import { ElectionTimeout } from "../../src/consensus/ElectionTimeout";
 
 const TIMING = { heartbeatMs: 100, electionMinMs: 500, electionMaxMs: 1_000 };
 
--- a/test/consensus/memberSeries.test.ts
+++ b/test/consensus/memberSeries.test.ts
@@ -4,7 +4,7 @@
  */
 import { describe, expect, it } from "vitest";
 import { SeededRandom } from "../../src/consensus";
-import { FAILURES, FailureSeries, type Load } from "./MemberSeries";
+import { FAILURES, FailureSeries, type Load } from "./FailureSeries";
 
 const FIRST_SEED = Number(process.env.SERIES_SEED ?? 10_000);
 const RUNS = Number(process.env.SERIES_RUNS ?? 300);
