--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -1,9 +1,9 @@
 /**
- * A control process whose instances register themselves: a member of the agreed state
- * and, while it leads, the planner of replicas.
+ * A control process for instances that register themselves. It is a member of the replicated state and, while
+ * it leads, plans the replicas.
  *
- * Members find each other from seeds alone: at the first start of the whole system the
- * seeds are the founding members, everyone else joins.
+ * Members discover each other from the seeds alone: at the first start of the whole system the seeds are the
+ * bootstrap members, and every other process joins.
  */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
@@ -41,25 +41,25 @@
 import type { ReplicaTimes } from "./ReplicaController";
 import { ShownViewLog } from "./ShownViewLog";
 
-/** What a fleet control process is started with. */
+/** Options of a fleet control process. */
 export interface FleetControlOptions {
-  /** Addresses and folders count as read at the start; all else may change. */
+  /** Addresses and folders are read once at the start; every other setting may change. */
   readonly settings: LiveSettings<FleetControlSettings>;
   readonly secret: string | undefined;
   readonly format: DeclarationFormat;
   readonly orders: InstanceOrders;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called once when the process can't go on. */
+  /** Called once when the process cannot continue. */
   readonly onFatal: (cause: unknown) => void;
 }
 
 const HAND_OVER_MS = 700;
-/** Reports that pass until an instance that was refused is heard elsewhere. */
+/** Report intervals after which a refused instance has reported to another control process. */
 const REPORT_MARGIN = 1.25;
 const MIN_REPORT_PATIENCE_MS = 300;
 
-/** Starts a control process; it runs until its scope is closed. */
+/** Starts a control process, which runs until its scope is closed. */
 export function startFleetControl(
   options: FleetControlOptions,
 ): Effect.Effect<Registrar, unknown, Scope.Scope> {
@@ -89,7 +89,7 @@
       Effect.sync(() => new PeerTransport(transports)),
       (opened) => Effect.sync(() => opened.close()),
     );
-    // A member's name is its address, so that an answer can be sent before the members are known.
+    // A member's name is its address, so the process can answer before it has received the member list.
     const driver = createMemberDriver({
       storage,
       stored,
@@ -213,7 +213,8 @@
       control.listen,
       settings.process.failureDomain,
     );
-    // The seeds may all be gone by now; whoever hears a leader knows where it is.
+    // All seeds may have been replaced by now; a process that receives messages from a leader has its
+    // address.
     const getOthers = () =>
       [driver.getLeaderAddress(), ...getSeeds()].filter(
         (address) => address !== "" && address !== control.listen,
@@ -257,7 +258,9 @@
   });
 }
 
-/** Founding members make their folder with the founders agreed; all others join. */
+/**
+ * Creates the data folder of a bootstrap member with the bootstrap membership; any other process joins later.
+ */
 async function prepareDataFolder({ settings: { current: settings }, logger }: FleetControlOptions) {
   const { dataFolder, publicAddress, seeds, isFirstStart } = settings.control;
   const isFounder = isFirstStart && seeds.includes(publicAddress);
@@ -279,7 +282,7 @@
   return memberId.slice(0, memberId.lastIndexOf("."));
 }
 
-/** All members serve each other at the same port of their machines. */
+/** Gets the RPC address of a member: all members listen on the same port. */
 function getRpcAddress(settings: FleetControlSettings, publicAddress: string): string {
   return `${splitAddress(publicAddress).host}:${splitAddress(settings.control.listen).port}`;
 }
@@ -289,8 +292,8 @@
 }
 
 /**
- * A process that has lost the leader refuses reports early enough for an instance to be heard
- * by another one before it counts as absent.
+ * Gets how long reports are still accepted without contact with a leader, milliseconds. The time is short
+ * enough for a refused instance to report to another process before it counts as absent.
  */
 function getReportPatienceMs({ control }: FleetControlSettings): number {
   const { reportMs, reportsMissed } = control.replicas;
@@ -302,7 +305,7 @@
   return { ...times, presenceMs: reportMs * reportsMissed, loadWindowMs: loadWindowS * 1_000 };
 }
 
-/** Times are worked out once for each reading of the settings: planning asks for them very often. */
+/** Caches the times until the settings change, because planning reads them very often. */
 function createTimesCache(settings: LiveSettings<FleetControlSettings>): () => ReplicaTimes {
   let source: FleetControlSettings | undefined;
   let times: ReplicaTimes | undefined;
@@ -315,7 +318,7 @@
   };
 }
 
-/** A declaration is parsed once a version. */
+/** Caches the routes, so that each version of the declaration is parsed once. */
 function createRouteCache(
   getDeclaration: () => { readonly version: number; readonly document: Uint8Array } | undefined,
   format: DeclarationFormat,
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -1,4 +1,4 @@
-/** Everything that a control process with registered instances holds only while it leads. */
+/** The part of a control process with registered instances that exists only while the process leads. */
 
 import { create } from "@bufbuild/protobuf";
 import type { Clock, LoopLag } from "../clock";
@@ -36,7 +36,7 @@
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
-/** What a leadership works with. */
+/** Options of a leadership. */
 export interface FleetLeadershipOptions {
   readonly driver: ConsensusDriver;
   readonly orders: InstanceOrders;
@@ -44,28 +44,31 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly meter: WorkMeter;
-  /** How late this process runs. */
+  /** Measures the event loop lag of this process. */
   readonly lag: LoopLag;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
   readonly getRoutes: () => RouteTable | undefined;
   /** The entries that watch this process. */
   readonly entries: EntryRoster;
-  /** Called when watchers may be told something, and when the term ends. */
+  /** Called when the view may have changed, and when the term ends. */
   readonly onChange: () => void;
 }
 
-/** How often it is asked whether planning is due. */
+/** Interval at which the leadership checks whether planning is due, milliseconds. */
 const STEP_MS = 20;
-/** A plain service's instance stays a target that long after its last report: entries find out sooner. */
+/**
+ * Time after its last report for which an instance of a plain service stays a target, milliseconds: entries
+ * detect a failed instance sooner.
+ */
 const SILENT_TARGET_MS = 20_000;
 
-/** One term of leadership at work. */
+/** The leadership of one term. */
 export class FleetLeadership {
-  /** The term that it belongs to. */
+  /** The term of this leadership. */
   readonly term: number;
-  /** What watchers are told. */
+  /** The view that this leader publishes. */
   readonly view = new FleetView();
   private readonly _options: FleetLeadershipOptions;
   private readonly _registry: InstanceRegistry;
@@ -101,7 +104,7 @@
     });
   }
 
-  /** Gets whether the term is over. */
+  /** Gets whether the term has ended. */
   get isEnded(): boolean {
     return this._isEnded;
   }
@@ -112,14 +115,14 @@
     this._timer = setInterval(() => void this._step(), STEP_MS);
   }
 
-  /** Ends planning and publishing. */
+  /** Stops planning and publishing. */
   end(): void {
     this._isEnded = true;
     clearInterval(this._timer);
     this._options.onChange();
   }
 
-  /** Takes reports of instances over; resolves once departures among them are agreed. */
+  /** Applies reports of instances; resolves once the departures among them are committed. */
   async addReports(reports: readonly InstanceReport[]): Promise<void> {
     const now = this._options.clock.getMonotonicMs();
     const { machine } = this._options.driver;
@@ -145,13 +148,19 @@
     this._publish();
   }
 
-  /** Who deregisters may give nothing but its id: it is the life that is known under it. */
+  /**
+   * Gets the incarnation that departs. An instance may deregister with its id alone: then it is the
+   * incarnation registered under that id.
+   */
   private _getLeavingLife({ instanceId, born }: InstanceReport): Life {
     const knownBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
     return { instanceId, born: born === 0 ? knownBorn : born };
   }
 
-  /** An older life may be heard first in a term: what was agreed tells that a newer one has begun. */
+  /**
+   * Gets the start time of the newest committed incarnation of an instance, 0 without one. The first report
+   * in a term may come from an older incarnation than the committed one.
+   */
   private _getAgreedBorn(instanceId: string): number {
     const replicas = this._options.driver.machine.getReplicas();
     const lives = replicas.flatMap(({ members }) =>
@@ -166,8 +175,8 @@
   }
 
   /**
-   * Takes over what another control process heard; resolves once departures in it are agreed.
-   * @returns Instances that this leader has to be told of in full.
+   * Applies what another control process received; resolves once the departures among it are committed.
+   * @returns Ids of the instances whose full reports this leader needs.
    */
   async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
@@ -182,19 +191,19 @@
   }
 
   /**
-   * Chooses the process that an instance is to send its next reports to.
-   * @returns `undefined` when there is no other one.
+   * Chooses the control process to which an instance sends its next reports.
+   * @returns `undefined` when no other control process is active.
    */
   chooseRelay(instanceId: string): string | undefined {
     return this._relays.chooseRelay(this._options.clock.getMonotonicMs(), instanceId);
   }
 
-  /** Publishes what was just agreed on. */
+  /** Publishes newly committed state. */
   publish(): void {
     this._publish();
   }
 
-  /** Notes what entries saw of targets. */
+  /** Applies suspicions of targets that entries reported. */
   addSuspicions(suspicions: readonly Suspicion[]): void {
     for (const { targetId, instanceId, unreachable } of suspicions) {
       if (!this._controller.checkReplica(targetId)) continue;
@@ -207,11 +216,12 @@
     }
   }
 
-  /** Takes over what an entry saw of requests under which instances ended; resolves once it is agreed on. */
+  /** Records crashes that an entry reported; resolves once they are committed. */
   async addCrashes(records: readonly CrashRecord[]): Promise<void> {
     await this._crashes.addRecords(records);
     const before = this.view.revision;
-    // At once, and without the rest of the view: the request comes again within a fraction of a second.
+    // The records are published at once and without the rest of the view, because the caller repeats the
+    // request within a fraction of a second.
     this._crashes.publish(this.view);
     if (this.view.revision !== before) this._options.onChange();
   }
@@ -230,9 +240,10 @@
   }
 
   /**
-   * What was heard before the usual silence says less than the agreed state: the instance may have taken
-   * a place since and report it to another process. It counts as unheard, so that its replica stands
-   * until it has been silent for long enough.
+   * Adds a report unless it is older than the time after which an instance counts as absent. The committed
+   * state is more reliable than such a report: since then the instance may have taken a place and reported it
+   * to another process. The instance then counts as not reported yet, so that its replica is kept until its
+   * heartbeats are missing for long enough.
    */
   private _addReport(now: number, report: InstanceReport): void {
     if (report.ageMs > this._options.getTimes().presenceMs) return;
@@ -243,8 +254,8 @@
   }
 
   /**
-   * An order that was given up on may be carried out seconds later: it shows in an instance that takes
-   * a place in a replica whose instances have been released.
+   * Logs an instance that takes a place in a replica whose instances have been released. The cause is an
+   * abandoned order that was executed seconds later.
    */
   private _logUnexpectedPlace(before: InstanceReport, { instanceId, sequence, place }: InstanceReport): void {
     if (place === undefined) return;
@@ -276,7 +287,7 @@
     this._pace.addEnd(endedAt, plannedMs + endedAt - publishingAt);
   }
 
-  /** What changes whenever there may be something new to decide. */
+  /** Gets a value that changes whenever there may be something new to decide. */
   private _getPlanningInputs(): string {
     const { driver, entries } = this._options;
     const revisions = [this._registry.revision, this._controller.revision, entries.revision];
@@ -287,12 +298,15 @@
     try {
       await this._crashes.releaseDue(now);
     } catch (cause) {
-      // They are looked for again a moment later, here or by the next leader.
+      // Due requests are released at a later step, by this leader or by the next one.
       this._options.logger.warn({ event: "requests_not_released", reason: String(cause) });
     }
   }
 
-  /** Gives how long planning computed, milliseconds. */
+  /**
+   * Runs the planning.
+   * @returns The computing time, milliseconds; 0 when planning failed.
+   */
   private async _plan(): Promise<number> {
     try {
       return await this._controller.step();
@@ -310,7 +324,7 @@
     this.view.setDeclaration(driver.machine.getDeclaration());
     this._crashes.publish(this.view);
     this.view.setTargets(this._createTargets(now));
-    // Once the view is complete, watchers hold nothing but what it told them.
+    // Watchers of a complete view have only targets that this view has published.
     if (!this.view.isComplete) this.view.removeTargets(this._agreed.getEndedTargetIds());
     if (this._hearing.getListenedMs(now) > getTimes().presenceMs) this._setComplete();
     this.view.setEntries(
@@ -325,7 +339,7 @@
     const others = driver.node.membership.members.filter((member) => member.id !== driver.node.id);
     const contacts = others.map(({ id, name }) => ({
       answeredAt: driver.node.getProgress(id)?.answeredAt ?? Number.NEGATIVE_INFINITY,
-      // Members are named by the address at which instances reach them.
+      // A member's name is the address at which instances reach it.
       reportedAt: this._relays.getReportedAt(name),
     }));
     this._hearing.update(now, contacts, getTimes().presenceMs);
@@ -343,7 +357,10 @@
     });
   }
 
-  /** The leader has enough to do: entries watch the others, where there are any. */
+  /**
+   * Gets the addresses of the control processes that entries watch: the other voters if there are any,
+   * because the leader has the highest load.
+   */
   private _getWatchable(): string[] {
     const { node } = this._options.driver;
     const voters = getVoters(node.membership);
@@ -358,7 +375,7 @@
         service.engine,
       ]),
     );
-    // A service that nobody declares is no target: the report of it may come from another writer.
+    // An undeclared service is not a target, because another writer may have reported it.
     const isPlain = (service: string) =>
       engineServices.has(service) && engineServices.get(service) === undefined;
     const plain = this._registry
@@ -401,7 +418,7 @@
 
 function createPlainTarget({ report }: RegisteredInstance): Target {
   return create(TargetSchema, {
-    // Each life is a target of its own: what entries saw of an earlier one says nothing of it.
+    // Each incarnation is a separate target: what entries observed of an earlier one does not apply to it.
     id: getLifeKey(report),
     service: report.service,
     model: "",
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -1,8 +1,8 @@
 /**
- * What a control process does between instances and entries on one side and the leader on the
- * other: it passes reports and suspicions up, and the leader's view down.
+ * The relay of a control process, between instances and entries on one side and the leader on the other: it
+ * forwards reports and suspicions to the leader, and the leader's view to entries.
  *
- * Every control process has one, whoever leads, so that the leader's work does not grow with
+ * Every control process runs a relay, whichever process leads, so that the leader's load does not grow with
  * each instance and entry.
  */
 import type { Clock } from "../clock";
@@ -28,62 +28,71 @@
 import { ViewHub } from "./ViewHub";
 import { ViewWatcher } from "./ViewWatcher";
 
-/** What a relay works with. */
+/** Options of a relay. */
 export interface FleetRelayOptions {
   readonly driver: ConsensusDriver;
-  /** Gives the leadership while this process leads. */
+  /** Gets the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
-  /** host:port at which seeds are reached. */
+  /** Gets the host:port addresses of the seeds. */
   readonly getSeeds: () => readonly string[];
-  /** Where the other processes reach this one. */
+  /** The address at which other control processes reach this one. */
   readonly listen: string;
-  /** Where instances reach this one. */
+  /** The address at which instances reach this one. */
   readonly publicAddress: string;
   readonly transports: TransportPool;
-  /** What this process showed before it started; shown again until a leader is heard. */
+  /**
+   * The view that this process published before it restarted; it is published again until a leader's view
+   * arrives.
+   */
   readonly recovered: ViewUpdate | undefined;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** How long the leader may be silent while reports are still taken for it, milliseconds. */
+  /** Gets how long reports are still accepted without contact with a leader, milliseconds. */
   readonly getReportPatienceMs: () => number;
 }
 
 /**
- * Entries keep watching a process that hears of a leader, but is shown nothing, for so long. Entries count as in touch 3 s after
- * a cut: the rest of that is for the call to end and for finding another process.
+ * Time for which entries keep watching a process that receives messages from a leader, but no view. An entry
+ * counts as connected for 3 s after a partition begins; the rest of that time is needed to end the call and
+ * to find another process.
  */
 const WATCH_PATIENCE_MS = 2_200;
 /**
- * They leave one that hears of no leader, while no majority elects one, sooner: it is cut off, and the next process that
- * they ask may be so as well.
+ * Time for which entries keep watching a process without a leader while no majority elects one. It is
+ * shorter, because the process is partitioned and the next process that the entry asks may be partitioned as
+ * well.
  */
 const ISOLATED_PATIENCE_MS = 1_500;
 /**
- * A process that follows a leader in the agreement and can't tell it of reports for so long takes none: instances turn to
- * others. A new leader answers its first calls later than the patience of a calm day.
+ * A process that follows a leader in consensus, but has failed to send it reports for this time, accepts no
+ * reports, and its instances switch to other processes. The time exceeds the usual report timeout, because a
+ * new leader answers its first calls late.
  */
 const MAX_UNTOLD_MS = 4_000;
-/** An entry that told of crashes waits half a second for an answer. */
+/** Timeout of forwarding crashes: the entry that reported them waits half a second for an answer. */
 const CRASHES_MS = 450;
-/** A target that several entries suspect is reported no more often than this. */
+/** A target that several entries suspect is reported to the leader no more often than this. */
 const SUSPICION_PAUSE_MS = 500;
 
 /** The relay of one control process. */
 export class FleetRelay {
-  /** The leader's view as it was told to this process. */
+  /** The leader's view as this process received it. */
   readonly view = new FollowedView();
   readonly reports = new ReportRelay();
   readonly hub: ViewHub;
   readonly sender: ReportSender;
-  /** Calls the leader. */
+  /** Client for calls to the leader. */
   readonly client: LeaderClient<typeof FleetService>;
   private readonly _options: FleetRelayOptions;
   private readonly _relayed: RelayedView;
   private readonly _watcher: ViewWatcher;
-  /** When a leader showed its view last, and when it was heard in the agreement. */
+  /**
+   * When a leader's view was received last, or, while this process leads, when a majority answered it last.
+   */
   private readonly _shown: LeaderContact;
+  /** When this process last followed a leader in consensus. */
   private _followedAt = Number.NEGATIVE_INFINITY;
   private readonly _suspicions = new SuspicionQueue(SUSPICION_PAUSE_MS);
   private readonly _agreed: AgreedFacts;
@@ -99,7 +108,8 @@
     this._shown = new LeaderContact(clock.getMonotonicMs());
     if (options.recovered !== undefined) this.view.apply(options.recovered);
     this._agreed = new AgreedFacts(() => driver.machine);
-    // A process that starts applies its whole log once more: what it had kept before is not told again.
+    // A restarted process applies its whole log again; it does not log a declaration again that it had
+    // persisted.
     this._toldVersion = options.recovered?.declaration?.version ?? 0;
     const relayed = new RelayedView(this.view, this._agreed);
     this._relayed = relayed;
@@ -142,7 +152,7 @@
       followsHints: true,
       transports,
       clock,
-      // The agreement tells who leads.
+      // The consensus module provides the leader's address.
       getLeaderAddress: () => driver.getLeaderAddress(),
     });
     this.sender = new ReportSender({
@@ -155,30 +165,33 @@
     });
   }
 
-  /** Starts following the leader and telling it. */
+  /** Starts following the leader's view and sending reports to the leader. */
   start(): void {
     this._options.driver.addStateListener(() => this.updateSoon());
     void this._watcher.run();
     this.sender.start();
   }
 
-  /** Gets the newest declaration that this process knows as agreed. */
+  /** Gets the newest committed declaration that this process has applied. */
   get agreed(): Declaration | undefined {
     return this._agreed.declaration;
   }
 
-  /** Follows the leader anew: what it showed last may have been overtaken. */
+  /** Restarts following the leader's view: the last update received may be outdated. */
   restart(): void {
     this._watcher.restart();
   }
 
-  /** Follows and tells no more. */
+  /** Stops following the view and sending reports. */
   stop(): void {
     this._watcher.stop();
     this.sender.stop();
   }
 
-  /** Checks whether reports may be taken here: the leader is told of them in time, or there is none. */
+  /**
+   * Checks whether this process accepts reports: it can forward them to the leader in time, or there is no
+   * leader.
+   */
   takesReports(): boolean {
     const patienceMs = this._options.getReportPatienceMs();
     const failingMs = this.sender.getFailingMs(this._options.clock.getMonotonicMs());
@@ -186,9 +199,9 @@
   }
 
   /**
-   * Gets the entries that are known now: to the leader, or else to this process alone.
+   * Gets the current entries: those in the leader's view, or else those that watch this process.
    *
-   * A list that no leader confirms any more is not given out: it may name entries that are gone.
+   * A list that no leader confirms any more is not returned, because it may contain removed entries.
    */
   getEntries(): readonly EntryEndpoint[] {
     const own = this._options.getLeadership()?.view.entries ?? [];
@@ -197,7 +210,10 @@
     return followed.length > 0 ? followed : this.hub.entries.getEntries(this._options.clock.getMonotonicMs());
   }
 
-  /** Shows watchers what was agreed on since; what is applied in one turn of the event loop is shown together. */
+  /**
+   * Schedules publishing of newly committed state; changes applied in one turn of the event loop are
+   * published together.
+   */
   updateSoon(): void {
     if (this._isUpdating) return;
     this._isUpdating = true;
@@ -210,7 +226,10 @@
     });
   }
 
-  /** Passes on what an entry saw of targets: of new ones at once, of the others with what else the leader is told. */
+  /**
+   * Forwards an entry's suspicions of targets to the leader: new ones at once, the others with the next
+   * report.
+   */
   reportSuspicions(suspicions: readonly Suspicion[]): void {
     const now = this._options.clock.getMonotonicMs();
     const news = suspicions.map((suspicion) => this._suspicions.add(now, suspicion));
@@ -218,8 +237,8 @@
   }
 
   /**
-   * Passes on what an entry saw of requests under which instances ended; resolves once it is agreed on.
-   * @throws UnreachableControl - When no leader took it in time: the entry tells it again.
+   * Forwards crashes that an entry reported to the leader; resolves once they are committed.
+   * @throws UnreachableControl - When no leader accepted them in time; the entry then reports them again.
    */
   async reportCrashes(crashes: ReportCrashesRequest): Promise<void> {
     const relayed = { ...crashes, relayed: true };
@@ -230,25 +249,32 @@
     return this._options.driver.node.leaderId === "" ? ISOLATED_PATIENCE_MS : WATCH_PATIENCE_MS;
   }
 
-  /** Checks whether this process may keep its entries: it follows a leader, or nobody knows better. */
+  /**
+   * Checks whether this process may keep its entries: it follows a leader, or no process has newer
+   * information.
+   */
   private _isInTouch(patienceMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
     const contactAt = this._options.driver.getCaughtUpContactAt();
-    // Who follows a leader in the agreement speaks for it before it is shown its view: what is agreed is told here.
+    // A process that follows a leader in consensus may serve entries before it receives the leader's view,
+    // because it publishes committed state itself.
     if (contactAt !== undefined) this._followedAt = contactAt;
     return this._isShown(patienceMs) || now - this._followedAt <= patienceMs;
   }
 
-  /** Checks whether a leader has shown this process its view lately, or nobody knows better. */
+  /**
+   * Checks whether this process has a leader's view within the timeout, or no process has newer information.
+   */
   private _isShown(patienceMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
     if (this._noteLeadership()) return true;
-    // While a majority elects a leader refusing would only have everyone ask on.
+    // During an election a refusal would only make every watcher ask the next process.
     return this._shown.isInTouch(now, patienceMs) || this._options.driver.node.isElecting(now);
   }
 
   /**
-   * A leader that is cut off leads on until it misses the majority: what it shows is no newer than their last answer.
+   * Records the last answer of a majority while this process leads. A partitioned leader leads on until it
+   * detects that the majority is missing, so its view is no newer than that answer.
    * @returns Whether this process leads.
    */
   private _noteLeadership(): boolean {
@@ -265,7 +291,7 @@
     this._options.logger.info({ event: "declaration_agreed", version });
   }
 
-  /** Only the leader shows its view to other control processes: while none is known, nobody is asked. */
+  /** Gets the leader's address, if known. Only the leader sends its view to other control processes. */
   private _getLeader(): string[] {
     const { driver, listen } = this._options;
     const leader = driver.getLeaderAddress();
--- a/src/registration/FleetView.ts
+++ b/src/registration/FleetView.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader tells its watchers: targets, entries, members and the declaration.
+ * The view that a leader publishes to watchers: targets, entries, members, crash records and the declaration.
  *
- * Each change has a revision, so that a watcher is sent only what it lacks. Pure.
+ * Each change has a revision, so that a watcher receives only the changes that it lacks. Pure.
  */
 import { create, equals } from "@bufbuild/protobuf";
 import {
@@ -14,14 +14,14 @@
 } from "../gen/ploverstage/v1/fleet_pb";
 import { type CrashRecord, CrashRecordSchema, type Declaration } from "../gen/ploverstage/v1/state_pb";
 
-/** How far a watcher was told. */
+/** The changes that a watcher has received. */
 export interface WatchPosition {
   readonly revision: number;
   readonly declarationVersion: number;
 }
 
 interface RevisedTarget {
-  /** `undefined` once removed. */
+  /** `undefined` once the target is removed. */
   readonly target: Target | undefined;
   readonly revision: number;
 }
@@ -31,13 +31,13 @@
   readonly revision: number;
 }
 
-/** Removed targets kept, so that watchers can be told of them. */
+/** Number of removed targets to retain, so that watchers can be notified of the removal. */
 const KEPT_REMOVALS = 1_000;
 
-/** A revisioned view. */
+/** A view with a revision for each change. */
 export class FleetView {
   private readonly _targets = new Map<string, RevisedTarget>();
-  /** Targets that are agreed to be over, and the numbers of the changes by which they were. */
+  /** Ids of the targets that are committed as ended, with the revision of each change. */
   private readonly _ended = new Map<string, number>();
   private readonly _crashRecords = new Map<string, RevisedCrashRecord>();
   private _entries: readonly EntryEndpoint[] = [];
@@ -50,7 +50,7 @@
   private _isComplete = false;
   private _completeRevision = 0;
 
-  /** Gets the number of the newest change. */
+  /** Gets the revision of the newest change. */
   get revision(): number {
     return this._revision;
   }
@@ -60,22 +60,22 @@
     return this._declaration?.version ?? 0;
   }
 
-  /** Gets whether every target is known. */
+  /** Gets whether the view contains every target. */
   get isComplete(): boolean {
     return this._isComplete;
   }
 
-  /** Gets how many targets are held, removed ones that are kept included. */
+  /** Gets the number of targets, including the removed targets that are retained. */
   get targetCount(): number {
     return this._targets.size;
   }
 
-  /** Gets the entries that callers may be sent to. */
+  /** Gets the entries to which callers may be sent. */
   get entries(): readonly EntryEndpoint[] {
     return this._entries;
   }
 
-  /** Sets the targets; those not named are removed. */
+  /** Sets the targets; targets that are not in the list are removed. */
   setTargets(targets: readonly Target[]): void {
     const ids = new Set(targets.map((target) => target.id));
     for (const target of targets) {
@@ -91,7 +91,7 @@
     this._forgetRemovals();
   }
 
-  /** Tells of targets that are gone although this leader never told of them. */
+  /** Publishes the removal of targets that this view never contained. */
   removeTargets(ids: readonly string[]): void {
     for (const id of ids) {
       if (this._targets.has(id)) continue;
@@ -100,42 +100,42 @@
     this._forgetRemovals();
   }
 
-  /** Sets the targets that are agreed to be over, whether this view ever held them or not. */
+  /** Sets the targets that are committed as ended, whether this view contained them or not. */
   setEnded(ids: readonly string[]): void {
     const present = new Set(ids);
     for (const id of this._ended.keys()) if (!present.has(id)) this._ended.delete(id);
     for (const id of ids) if (!this._ended.has(id)) this._ended.set(id, this._advance());
   }
 
-  /** Says that every target is known: what a watcher holds beyond them is gone. */
+  /** Marks the view as complete: watchers remove all targets that it does not contain. */
   setComplete(): void {
     if (this._isComplete) return;
     this._isComplete = true;
     this._completeRevision = this._advance();
   }
 
-  /** Sets the entries. */
+  /** Sets the entries; an equal list causes no revision. */
   setEntries(entries: readonly EntryEndpoint[]): void {
     if (JSON.stringify(entries) === JSON.stringify(this._entries)) return;
     this._entries = entries;
     this._entriesRevision = ++this._revision;
   }
 
-  /** Sets the addresses of the control members. */
+  /** Sets the addresses of the control processes to watch; an equal list causes no revision. */
   setControlAddresses(addresses: readonly string[]): void {
     if (addresses.join() === this._controlAddresses.join()) return;
     this._controlAddresses = addresses;
     this._controlRevision = this._advance();
   }
 
-  /** Sets the declaration unless the one held has a higher version. */
+  /** Sets the declaration if its version is higher than the current one. */
   setDeclaration(declaration: Declaration | undefined): void {
     if (declaration === undefined || declaration.version <= this.declarationVersion) return;
     this._declaration = declaration;
     this._advance();
   }
 
-  /** Sets the accounts of crashes; watchers keep what they were told of those that are gone. */
+  /** Sets the crash records; watchers keep the records that are removed here. */
   setCrashRecords(records: readonly CrashRecord[]): void {
     const digests = new Set(records.map(({ digest }) => digest));
     for (const digest of this._crashRecords.keys()) {
@@ -148,16 +148,16 @@
     }
   }
 
-  /** Gets the number of the newest change of anything but the entries. */
+  /** Gets the revision of the newest change that is not a change of entries. */
   get revisionBesideEntries(): number {
     return this._revisionBesideEntries;
   }
 
   /**
-   * Gets what a watcher lacks.
+   * Creates an update with all changes that a watcher lacks.
    * @param position - `undefined` at the start of a call.
-   * @param isEntry - An entry is told only how many entries there are: of many that start at once each
-   * would be told of all others as they come.
+   * @param isEntry - Whether the watcher is an entry. An entry receives only the number of entries: of many
+   * that start at the same time each would otherwise receive every other one as it starts.
    */
   createUpdate(
     term: number,
@@ -185,7 +185,8 @@
   }
 
   /**
-   * Gets what holds whichever leader's view a watcher has: it has a newer one than this, and lacks nothing else.
+   * Creates an update for a watcher whose view has a newer term than this one. It contains only what holds in
+   * every term: ended targets, the declaration and crash records.
    * @param position - `undefined` at the start of a call.
    */
   createPendingUpdate(term: number, position: WatchPosition | undefined, knownVersion: number): ViewUpdate {
@@ -195,12 +196,12 @@
     return create(ViewUpdateSchema, { term, pending: true, removedTargetIds, declaration, crashRecords });
   }
 
-  /** Gets the position of a watcher that was sent everything. */
+  /** Gets the position of a watcher that has received every change. */
   getPosition(): WatchPosition {
     return { revision: this._revision, declarationVersion: this.declarationVersion };
   }
 
-  /** Gives the number of a change of anything but the entries. */
+  /** Gets a new revision for a change that is not a change of entries. */
   private _advance(): number {
     this._revision += 1;
     this._revisionBesideEntries = this._revision;
@@ -208,7 +209,7 @@
   }
 
   private _getCrashRecordsSince(revision: number): CrashRecord[] {
-    // The table is mostly empty, and this is asked for each watcher and change.
+    // The table is mostly empty, and this method is called for each watcher and change.
     if (this._crashRecords.size === 0) return [];
     const changed = [...this._crashRecords.values()].filter((item) => item.revision > revision);
     return changed.map(({ record }) => record);
@@ -223,7 +224,7 @@
   }
 }
 
-/** A view of one term. */
+/** A view and the term of its leader. */
 export interface ViewSource {
   readonly term: number;
   readonly view: FleetView;
--- a/src/registration/FollowedView.ts
+++ b/src/registration/FollowedView.ts
@@ -1,17 +1,20 @@
 /**
- * The leader's view as a watcher holds it.
+ * A watcher's copy of the leader's view.
  *
- * Updates of an older term are dropped, but for their declaration: each one that is shown was agreed on, and the one with the
- * highest version holds, whoever shows it. One below the one held is dropped: what a watcher acts on never goes back. Pure.
+ * Updates of an older term are dropped except for their declaration: every published declaration is
+ * committed, and the highest version applies, whichever process publishes it. A declaration with a lower
+ * version than the current one is dropped, so that a watcher never returns to an older declaration. Pure.
  */
 import { CrashTable, KEPT_CRASH_RECORDS } from "../containment";
 import type { EntryEndpoint, Target, ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord, Declaration } from "../gen/ploverstage/v1/state_pb";
 
-/** Term of a view that no leader has confirmed in this process's life: every leader's is higher. */
+/**
+ * Term of a view that no leader has confirmed since this process started; the term of every leader is higher.
+ */
 export const RECOVERED_TERM = 0;
 
-/** A followed view. */
+/** A copy of the leader's view. */
 export class FollowedView {
   private readonly _targets = new Map<string, Target>();
   private _entries: readonly EntryEndpoint[] = [];
@@ -21,54 +24,55 @@
   private readonly _crashes = new CrashTable(KEPT_CRASH_RECORDS);
   private _term = RECOVERED_TERM;
 
-  /** Gets the term of the leader that was heard last. */
+  /** Gets the term of the newest leader whose view was received. */
   get term(): number {
     return this._term;
   }
 
-  /** Gets whether a leader has confirmed the view in this process's life. */
+  /** Gets whether a leader has confirmed the view since this process started. */
   get isConfirmed(): boolean {
     return this._term !== RECOVERED_TERM;
   }
 
-  /** Gets the declaration with the highest version heard of. */
+  /** Gets the declaration with the highest version received. */
   get declaration(): Declaration | undefined {
     return this._declaration;
   }
 
-  /** Gets where requests may be sent. */
+  /** Gets the targets to which requests may be sent. */
   getTargets(): Target[] {
     return [...this._targets.values()];
   }
 
-  /** Gets the entries that callers may be sent to. */
+  /** Gets the entries to which callers may be sent. */
   getEntries(): readonly EntryEndpoint[] {
     return this._entries;
   }
 
-  /** Gets how many entries there are; an entry is told no more of them. */
+  /** Gets the number of entries; an entry receives no more than this number. */
   get entryCount(): number {
     return this._entryCount;
   }
 
-  /** Gets the addresses of the control members, as far as the leader told them. */
+  /** Gets the addresses of the control processes that the leader published. */
   getControlAddresses(): readonly string[] {
     return this._controlAddresses;
   }
 
-  /** Gets what is known of requests under which instances ended. */
+  /** Gets the records of requests during which instances ended. */
   getCrashRecords(): CrashRecord[] {
     return this._crashes.getRecords();
   }
 
-  /** Takes a declaration over that is agreed on, unless the one held is as new. */
+  /** Sets a committed declaration unless the current one is at least as new. */
   addDeclaration(declaration: Declaration): void {
     if (declaration.version > (this._declaration?.version ?? 0)) this._declaration = declaration;
   }
 
   /**
-   * Takes an update over.
-   * @returns Whether it came from the newest leader heard of, or holds whoever leads; of another one only the declaration counts.
+   * Applies an update.
+   * @returns Whether the update is of the newest leader or holds in every term; of any other update only the
+   * declaration is applied.
    */
   apply(update: ViewUpdate): boolean {
     if (update.declaration !== undefined) this.addDeclaration(update.declaration);
@@ -89,7 +93,7 @@
     return true;
   }
 
-  /** What is gone stays gone, whichever leader told of it. */
+  /** Applies removals and crash records, which hold in every term. */
   private _applyAgreed({ removedTargetIds, crashRecords }: ViewUpdate): void {
     for (const id of removedTargetIds) this._targets.delete(id);
     for (const record of crashRecords) this._crashes.addRecord(record);
--- a/src/registration/KnownView.ts
+++ b/src/registration/KnownView.ts
@@ -1,11 +1,11 @@
 /**
- * What this process showed its watchers last, kept in a file.
+ * The view that this process published last, persisted in a file.
  *
- * A leader knows what serves only once a majority runs, has elected it and has heard the
- * instances. What a process showed before it was stopped is mostly right a moment later, so
- * that entries can serve from it until a leader confirms or replaces it: after a loss of power
- * everywhere the first request is served as soon as a control process has started, about two
- * seconds before a leader knows its replicas.
+ * A leader has a complete view only after a majority runs and has elected it, and the instances have reported
+ * to it. The view that a process published before it stopped is mostly correct when it restarts shortly
+ * after, so entries serve from it until a leader confirms or replaces it: after a power loss of all machines
+ * the first request is served as soon as a control process has started, about two seconds before a leader has
+ * its replicas.
  */
 import { readFile } from "node:fs/promises";
 import { join } from "node:path";
@@ -18,19 +18,19 @@
 import { RECOVERED_TERM } from "./FollowedView";
 
 const FILE = "view.bin";
-/** How often it is asked whether there is something to write, milliseconds. */
+/** Interval at which the process checks whether the view has to be written, milliseconds. */
 const CHECK_MS = 50;
 /**
- * Targets and entries are written no more often than this, milliseconds: they change several
- * times a second while replicas are repaired, and each write costs two syncs. A declaration is
- * written at once, since one that is older by a change decides about every request.
+ * Minimum time between two writes of targets and entries, milliseconds: they change several times a second
+ * while replicas are repaired, and each write costs two syncs. A declaration is written at once, because
+ * every request depends on it and an older one may be wrong after a single change.
  */
 const PAUSE_MS = 500;
 
-/** Revision of no view. */
+/** Recorded after a failed write; no view has this revision. */
 const NOT_WRITTEN = -1;
 
-/** How far the file was written. */
+/** The view and revision of the last write. */
 interface WrittenPosition {
   readonly source: ViewSource;
   readonly revision: number;
@@ -38,13 +38,13 @@
   readonly writtenAt: number;
 }
 
-/** The last view of one data folder. */
+/** The persisted view of one data folder. */
 export class KnownView {
   private readonly _path: string;
   private readonly _logger: Logger;
   private readonly _recovered: ViewUpdate | undefined;
   private _written: WrittenPosition | undefined;
-  /** What is in the file. */
+  /** The view in the file. */
   private _kept: ViewUpdate | undefined;
   private _retryAt = Number.NEGATIVE_INFINITY;
   private _timer: NodeJS.Timeout | undefined;
@@ -58,23 +58,27 @@
     this._kept = recovered;
   }
 
-  /** Reads what was kept; a file that is missing or damaged holds nothing. */
+  /** Reads the persisted view; a missing or damaged file counts as no view. */
   static async open(folder: string, logger: Logger): Promise<KnownView> {
     const path = join(folder, FILE);
     const recovered = await readView(path, logger);
     return new KnownView(path, logger, recovered);
   }
 
-  /** Gets what was shown before this process started, as an update that no leader confirms. */
+  /**
+   * Gets the view that was published before this process started, as an update that no leader confirms;
+   * `undefined` without one.
+   */
   get recovered(): ViewUpdate | undefined {
     return this._recovered;
   }
 
   /**
-   * Starts keeping what is shown.
-   * @param getSource - Gives the view that watchers are shown now.
-   * @param getNow - Gives the present time, monotonic milliseconds.
-   * @param getAgreed - Gives the declaration that this process knows as agreed; it may be newer than what it was shown.
+   * Starts persisting the published view.
+   * @param getSource - Gets the view that is published to watchers.
+   * @param getNow - Gets the current time, monotonic milliseconds.
+   * @param getCommitted - Gets the newest committed declaration that this process has applied; it may be
+   * newer than the published one.
    */
   start(
     getSource: () => ViewSource | undefined,
@@ -84,7 +88,7 @@
     this._timer = setInterval(() => this._keepDue(getNow(), getSource(), getAgreed()), CHECK_MS).unref();
   }
 
-  /** Keeps no more. */
+  /** Stops persisting. */
   stop(): void {
     clearInterval(this._timer);
   }
@@ -120,7 +124,7 @@
       now,
       create(ViewUpdateSchema, { ...update, complete: false, removedTargetIds: [] }),
     );
-    // Whether anything changes meanwhile or not, it is tried again after a pause.
+    // The write is retried after the write interval, whether the view changes meanwhile or not.
     if (!isWritten) this._written = { source, revision: NOT_WRITTEN, declarationVersion, writtenAt: now };
   }
 
@@ -140,7 +144,7 @@
     }
   }
 
-  /** Tells which declaration watchers are shown after a start from now on. */
+  /** Logs the version of the declaration that watchers receive after a restart. */
   private _tellKept(version: number): void {
     if (version === this._toldVersion) return;
     this._toldVersion = version;
--- a/src/registration/LeaderContact.ts
+++ b/src/registration/LeaderContact.ts
@@ -1,9 +1,9 @@
-/** How lately this process heard of a leader. Pure: times are monotonic milliseconds. */
+/** Tracks the last contact of this process with a leader. Pure: times are monotonic milliseconds. */
 
-/** A process that has not found a leader yet is given that long: the others may just start as well. */
+/** Time that a process has to find its first leader: the other processes may be starting as well. */
 const START_MS = 5_000;
 
-/** The contact of one process. */
+/** The leader contact of one process. */
 export class LeaderContact {
   private readonly _startedAt: number;
   private _heardAt: number | undefined;
@@ -15,14 +15,17 @@
     this._startedAt = startedAt;
   }
 
-  /** Notes when a leader was heard, or a majority answered this process as their leader; in any order. */
+  /**
+   * Records a message from a leader, or an answer of a majority to this process as the leader; calls may come
+   * in any order.
+   */
   addContact(at: number): void {
     this._heardAt = Math.max(at, this._heardAt ?? at);
   }
 
   /**
-   * Checks whether this process may still speak for a leader.
-   * @param patienceMs - How long the leader may have been silent.
+   * Checks whether this process may still publish a leader's view.
+   * @param timeoutMs - Maximum time since the last contact.
    */
   isInTouch(now: number, patienceMs: number): boolean {
     if (this._heardAt === undefined) return now - this._startedAt <= START_MS;
--- a/src/registration/RelayCall.ts
+++ b/src/registration/RelayCall.ts
@@ -1,7 +1,7 @@
 /**
- * One long call to the leader over which a control process tells what it heard, one report after the other.
+ * A streaming call over which a control process sends its reports to the leader, one after the other.
  *
- * A call of its own for each report costs the leader several times what is in it.
+ * A separate call for each report would cost the leader several times as much as the report itself.
  */
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { type Client, Code, ConnectError } from "@connectrpc/connect";
@@ -9,25 +9,23 @@
 
 type Report = MessageInitShape<typeof ReportRequestSchema>;
 
-/** A call to one process; it is of no use any more once a report over it has failed. */
+/** A call to one process; it cannot be used again once a report over it has failed. */
 export class RelayCall {
   private readonly _ended = new AbortController();
   private readonly _answers: AsyncIterator<ReportResponse>;
   private _next: Report | undefined;
   private _wake: () => void = () => {};
 
-  /**
-   * @param leader - Calls the process that is taken for the leader.
-   */
+  /** @param leader - Client of the process that is assumed to lead. */
   constructor(leader: Client<typeof FleetService>) {
     const answers = leader.relay(this._takeReports(), { signal: this._ended.signal });
     this._answers = answers[Symbol.asyncIterator]();
   }
 
   /**
-   * Tells one report; the one before must have been answered.
-   * @param timeoutMs - The longest time to wait for the answer.
-   * @throws ConnectError - When the process does not lead, or gave no answer in time.
+   * Sends one report; the previous one must have been answered.
+   * @param timeoutMs - Maximum wait for the answer.
+   * @throws ConnectError - When the process does not lead, or did not answer in time.
    */
   async tell(report: Report, timeoutMs: number): Promise<ReportResponse> {
     const timer = setTimeout(() => this.end("the operation timed out"), timeoutMs);
@@ -35,7 +33,7 @@
     this._wake();
     try {
       const { value, done } = await this._answers.next();
-      if (done === true) throw new ConnectError("the call ended", Code.Unavailable);
+      if (done === true) throw new ConnectError("the relay call ended without an answer", Code.Unavailable);
       return value;
     } finally {
       clearTimeout(timer);
--- a/src/registration/RelayRoster.ts
+++ b/src/registration/RelayRoster.ts
@@ -1,14 +1,17 @@
 /**
- * The control processes that relay reports to this leader, and the entries that watch them.
+ * The control processes that forward reports to this leader, and the entries that watch them.
  *
  * Pure: times are monotonic milliseconds given by the caller.
  */
 import type { EntryEndpoint } from "../gen/ploverstage/v1/fleet_pb";
 import { orderByAffinity } from "./affinity";
 
-/** A relay that was silent for so long gets no more instances. */
+/** A relay from which no report was received for this time is assigned no more instances. */
 const ACTIVE_MS = 1_500;
-/** Entries of a silent relay stay known that long: they turn to another one, which tells of them. */
+/**
+ * Entries of a relay that does not report are retained for this time: meanwhile they switch to another relay,
+ * which reports them.
+ */
 const KEPT_MS = 5_000;
 
 interface Relay {
@@ -16,20 +19,20 @@
   readonly entries: readonly EntryEndpoint[];
 }
 
-/** Relays by their public address. */
+/** Relays, by their public addresses. */
 export class RelayRoster {
   private readonly _relays = new Map<string, Relay>();
 
   /**
-   * Notes a relay's report.
-   * @param entries - The entries that watch it; `undefined` when unchanged.
+   * Adds a report of a relay.
+   * @param entries - The entries that watch the relay; `undefined` if they are unchanged.
    */
   addReport(now: number, address: string, entries: readonly EntryEndpoint[] | undefined): void {
     const known = this._relays.get(address)?.entries ?? [];
     this._relays.set(address, { heardAt: now, entries: entries ?? known });
   }
 
-  /** Gets when a relay reported last; `undefined` if it did not in this term. */
+  /** Gets when a relay reported last; `undefined` if it has not reported in this term. */
   getReportedAt(address: string): number | undefined {
     return this._relays.get(address)?.heardAt;
   }
@@ -43,7 +46,7 @@
   }
 
   /**
-   * Chooses the relay for an instance's next reports, so that they are spread over all.
+   * Chooses the relay for an instance's next reports; instances are spread over all active relays.
    * @returns `undefined` when no relay is active.
    */
   chooseRelay(now: number, instanceId: string): string | undefined {
--- a/src/registration/RelayedView.ts
+++ b/src/registration/RelayedView.ts
@@ -1,23 +1,24 @@
 /**
- * The leader's view as a control process that follows it passes it on to entries.
+ * The leader's view as a relay publishes it to entries.
  *
- * Each term has a view of its own, so that what a leader has not said to be complete is never
- * told as complete.
+ * Each term has its own view, so that a relay never publishes a view as complete unless the leader of that
+ * term has done so.
  */
 import type { ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import type { AgreedFacts } from "./AgreedFacts";
 import { FleetView, type ViewSource } from "./FleetView";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
-/** A followed view that can be watched. */
+/** Publishes a followed view to watchers. */
 export class RelayedView {
   private readonly _followed: FollowedView;
   private readonly _agreed: AgreedFacts | undefined;
   private _source: ViewSource;
 
   /**
-   * @param followed - What this process was told.
-   * @param agreed - What holds whether it was told or not.
+   * @param followed - The view that this process received.
+   * @param committed - Committed state, which holds whether the leader has published it to this process or
+   * not.
    */
   constructor(followed: FollowedView, agreed?: AgreedFacts) {
     this._followed = followed;
@@ -26,17 +27,17 @@
     this._copyFollowed();
   }
 
-  /** Gets whether it is a view that neither a leader nor an earlier life of this process has shown. */
+  /** Gets whether neither a leader nor an earlier run of this process has published the view. */
   get isEmpty(): boolean {
     return this._followed.term === RECOVERED_TERM && this._followed.declaration === undefined;
   }
 
-  /** Gets the view of the newest term heard of. */
+  /** Gets the view of the newest term received. */
   get source(): ViewSource {
     return this._source;
   }
 
-  /** Passes on an update that the followed view has taken over. */
+  /** Publishes an update that was applied to the followed view. */
   addUpdate(update: ViewUpdate): void {
     const { term } = this._followed;
     if (term !== this._source.term) this._source = this._createSource();
@@ -47,12 +48,15 @@
     if (update.complete) view.setComplete();
   }
 
-  /** Takes over what was agreed on since; the leader may show it much later. */
+  /** Publishes newly committed state, which may reach the leader's view much later. */
   updateAgreed(): void {
     this._copyFollowed();
   }
 
-  /** What a request did outlasts each term: no watcher is shown less of it than another one was. */
+  /**
+   * Creates the view of a term. Crash records hold in every term: the new view contains all of them, so that
+   * no watcher receives fewer than another one.
+   */
   private _createSource(): ViewSource {
     const view = new FleetView();
     view.setCrashRecords(this._followed.getCrashRecords());
--- a/src/registration/ShownViewLog.ts
+++ b/src/registration/ShownViewLog.ts
@@ -1,33 +1,33 @@
-/** Tells when a control process shows its watchers the view of another term, or none, or another declaration. */
+/**
+ * Logs when a control process publishes the view of another term, another declaration, or no view any more.
+ */
 import type { Logger } from "../metrics";
 import type { ViewSource } from "./FleetView";
 
-/** Changes are told no more often than this, milliseconds; the last one of them always is. */
+/** Minimum time between two log lines, milliseconds; the last change is always logged. */
 const PAUSE_MS = 200;
 
-/** What of a view is told. */
+/** The logged properties of a view. */
 interface ShownState {
   readonly isShown: boolean;
-  /** 0 for a view that no leader has confirmed, and for none. */
+  /** 0 for a view that no leader has confirmed, and while there is no view. */
   readonly term: number;
   readonly declaration: number;
 }
 
-/** The log of one process. */
+/** Logs the published views of one process. */
 export class ShownViewLog {
   private readonly _logger: Logger;
   private _told: ShownState | undefined;
   private _toldAt = Number.NEGATIVE_INFINITY;
 
-  /**
-   * @param logger - Gets a line a change.
-   */
+  /** @param logger - Receives one line for each change. */
   constructor(logger: Logger) {
     this._logger = logger;
   }
 
   /**
-   * Notes what watchers are shown.
+   * Logs the published view if it has changed.
    * @param now - Monotonic milliseconds.
    * @param source - `undefined` while watchers are refused.
    */
--- a/src/registration/ViewHub.ts
+++ b/src/registration/ViewHub.ts
@@ -1,8 +1,8 @@
 /**
- * What this process shows its watchers: its own view while it leads, else the leader's as it
- * follows it.
+ * Publishes a view to the watchers of this process: its own view while it leads, otherwise the leader's view
+ * that it follows.
  *
- * Watchers stay across changes of leader: entries notice nothing of an election.
+ * Watchers stay connected when the leader changes, so that an election does not disturb entries.
  */
 import { type Clock, TurnQueue } from "../clock";
 import type { EntryEndpoint } from "../gen/ploverstage/v1/fleet_pb";
@@ -10,49 +10,50 @@
 import type { ViewSource } from "./FleetView";
 import type { RelayedView } from "./RelayedView";
 
-/** What a hub works with. */
+/** Options of a hub. */
 export interface ViewHubOptions {
   readonly clock: Clock;
-  /** Gives this process's own view while it leads. */
+  /** Gets this process's own view while it leads. */
   readonly getOwn: () => ViewSource | undefined;
   readonly relayed: RelayedView;
-  /** Whether this process has heard of a leader lately enough to speak for it. */
+  /** Checks whether the last contact with a leader is recent enough to publish its view. */
   readonly isInTouch: () => boolean;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
-  /** Called when the entries that watch this process are others. */
+  /** Called when the set of entries that watch this process changes. */
   readonly onEntriesChanged: () => void;
 }
 
-/** Entries that are told something in one turn of the event loop. */
+/** Entries that receive an update in one turn of the event loop. */
 export const ENTRIES_PER_TURN = 4;
 
 /** Serves the watchers of one process. */
 export class ViewHub {
   /** The entries that watch this process. */
   readonly entries = new EntryRoster();
-  /** Entries are told in turn; the other control processes, which tell more of them, at once. */
+  /**
+   * Limits updates to entries per turn. Other control processes receive updates at once, because they forward
+   * them to further entries.
+   */
   readonly turns = new TurnQueue(ENTRIES_PER_TURN);
   private readonly _options: ViewHubOptions;
   private readonly _watchers = new Set<() => void>();
 
-  /**
-   * @param options - Clock and sources.
-   */
+  /** @param options - Clock and view sources. */
   constructor(options: ViewHubOptions) {
     this._options = options;
   }
 
   /**
-   * Gets what a watcher is shown now.
+   * Gets the view that a watcher receives now.
    *
-   * A process without a recovered view, such as one that lost its disk, has nothing to show until it
-   * hears a leader: an entry that stayed with it would refuse everything meanwhile. Where everything was
-   * just started for the first time nobody has anything to show yet: an entry that were refused would only
-   * ask the next process at once, and the founders' votes would wait behind these calls. So it is with an entry
-   * that goes by a view of its own.
-   * @param knownVersion - Of the declaration that it holds already, 0 without one.
-   * @returns `undefined` when this process can't speak for a leader.
+   * A process without a recovered view, such as one that lost its disk, refuses watchers until it receives a
+   * leader's view: an entry that stayed with it would refuse every request meanwhile. At the first start of
+   * the whole system it does not refuse: no process has a view yet, a refused entry would only ask the next
+   * process at once, and the votes of the bootstrap members would wait behind these calls. The same holds for
+   * an entry that already has a view.
+   * @param knownVersion - Version of the declaration that the watcher has, 0 without one.
+   * @returns `undefined` when this process cannot publish a leader's view.
    */
   getSource(knownVersion = 0): ViewSource | undefined {
     const { getOwn, relayed, isInTouch, isFirstStart } = this._options;
@@ -64,9 +65,9 @@
 
   /**
    * Adds a watcher.
-   * @param entry - Its address for callers; `undefined` for a control follower.
-   * @param wake - Called when there may be something to tell.
-   * @returns Ends the watch.
+   * @param entry - The entry's address for callers; `undefined` for a control process.
+   * @param wake - Called when there may be an update.
+   * @returns A function that removes the watcher.
    */
   addWatcher(id: string, entry: EntryEndpoint | undefined, wake: () => void): () => void {
     this._watchers.add(wake);
@@ -80,7 +81,7 @@
     };
   }
 
-  /** Takes an entry that stops off the roster. */
+  /** Removes an entry that is stopping from the roster. */
   removeEntry(id: string): void {
     this.entries.removeEntry(id);
     this._options.onEntriesChanged();
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the leader's view over one long call, and finds another process that shows it when
- * the call breaks.
+ * Follows the leader's view over one streaming call, and switches to another process that publishes it when
+ * the call fails.
  */
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { type Client, Code, ConnectError, createClient } from "@connectrpc/connect";
@@ -16,75 +16,79 @@
 import { LEADER_HEADER, SearchPause, type TransportPool } from "../rpc";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
-/** What a watcher works with. */
+/** Options of a watcher. */
 export interface ViewWatcherOptions {
   readonly watcherId: string;
-  /** This entry, as callers reach it; `undefined` for a control follower. */
+  /** This entry's address for callers; `undefined` for a control process. */
   readonly entry: EntryEndpoint | undefined;
-  /** host:port of control processes to ask while no others are known. */
+  /** Gets the host:port addresses of control processes to ask while no others are known. */
   readonly getSeeds: () => readonly string[];
   /**
-   * Gets which control processes to ask, in this order.
-   * @param addresses - Those that are known; with none to ask, it is called again after a while.
+   * Selects the control processes to ask, in this order.
+   * @param addresses - The known control processes. When no process is selected, the selection is repeated
+   * after 100 ms.
    */
   readonly orderCandidates: (addresses: readonly string[]) => readonly string[];
   readonly transports: TransportPool;
   readonly view: FollowedView;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** Called after each update that was taken over. */
+  /** Called after each update that was applied. */
   readonly onChange: (update: ViewUpdate) => void;
-  /** Called after nothing but the declaration of an update was taken over. */
+  /** Called when only the declaration of an update was applied. */
   readonly onDeclaration: () => void;
-  /** Whether to follow just now; a control process that leads does not. */
+  /** Checks whether to follow the view now; a control process that leads does not follow it. */
   readonly isWanted?: () => boolean;
 }
 
-/** What a control process showed last, as its watcher took it over. */
+/** The source, term and age of the last view that a watcher received. */
 export interface ShownView {
-  /** host:port of that process; "" before the first one. */
+  /** host:port of the control process; "" before the first view. */
   readonly control: string;
-  /** `RECOVERED_TERM` for what no leader has confirmed. */
+  /** `RECOVERED_TERM` for a view that no leader has confirmed. */
   readonly term: number;
-  /** Milliseconds since its last sign of life; infinite before the first one. */
+  /** Milliseconds since the last update or heartbeat; infinite before the first one. */
   readonly silenceMs: number;
 }
 
-/** A leader silent for so long is given up. */
+/** A call over which no update or heartbeat is received for this time is abandoned. */
 const SILENCE_MS = 1_000;
 /**
- * The first answer may wait for a connection to come up. After each round of all that are asked the time is doubled, up to
- * the longest: processes that have just begun answer late, and each call that is given up makes them later.
+ * Timeout of the first response, which may wait for the connection. It is doubled after each round of all
+ * candidates, up to the maximum: processes that have just started answer late, and each abandoned call delays
+ * them further.
  */
 const FIRST_ANSWER_MS = 700;
 const MAX_FIRST_ANSWER_MS = 2_800;
-/** A process that was followed for so long had what was looked for: the next search begins anew. */
+/**
+ * A call that lasted this long counts as a successful search: the next search starts with the shortest pause.
+ */
 const SETTLED_MS = 3_000;
-/** A process that has nothing newer to show for so long is left for the next one, which may know more. */
+/** A process without a newer view for this time is replaced by the next candidate, which may have one. */
 const MAX_PENDING_MS = 5_000;
 const IDLE_MS = 100;
 const STOP_MS = 700;
-/** How long an answer is waited for to what is told of targets and requests. */
+/** Timeout of reports of suspicions and crashes. */
 const TELLING_MS = 500;
-/** A search is told no more often than this. */
+/** A search is logged no more often than this. */
 const SEARCH_TOLD_MS = 1_000;
 
-/** Follows a view. */
+/** Follows the leader's view. */
 export class ViewWatcher {
   private readonly _options: ViewWatcherOptions;
   private readonly _clients = new Map<string, Client<typeof FleetService>>();
   private _next = 0;
-  /** The control processes of the last update that named any. */
+  /** The control processes in the last update that contained any. */
   private _known = "";
   private _current = "";
   private _heardAt = Number.NEGATIVE_INFINITY;
   private _shown = { control: "", term: RECOVERED_TERM };
   private _isConnected = false;
-  /** Since when the process that is followed has had nothing newer to show than what is held. */
+  /** Since when the followed process has had no newer view than the local copy. */
   private _pendingSince: number | undefined;
   private _connectedAt = Number.NEGATIVE_INFINITY;
   private _isStopped = false;
-  /** Processes in a row that did not answer in time. */
+  /** Consecutive calls whose first response timed out. */
   private _lateAnswers = 0;
   private _vainTries = 0;
   private _vainTriesToldAt = Number.NEGATIVE_INFINITY;
@@ -97,32 +101,32 @@
     this._options = options;
   }
 
-  /** Gets how long the leader has been silent, milliseconds. */
+  /** Gets the time since the last update or heartbeat, milliseconds. */
   getSilenceMs(now: number): number {
     return now - this._heardAt;
   }
 
-  /** Gets which control process showed its view last, at which term and how long ago. */
+  /** Gets the source, term and age of the last view received. */
   getLastShown(now: number): ShownView {
     return { ...this._shown, silenceMs: this.getSilenceMs(now) };
   }
 
-  /** Gets whether a control process is followed now. */
+  /** Gets whether the watcher is following a control process. */
   get isConnected(): boolean {
     return this._isConnected;
   }
 
-  /** Gets whether the process that is followed shows a view as new as the one held. */
+  /** Gets whether the followed process publishes a view at least as new as the local copy. */
   get isShown(): boolean {
     return this._isConnected && this._pendingSince === undefined;
   }
 
-  /** Gets the control process that is followed, or asked; "" before the first one. */
+  /** Gets the control process that is followed or asked; "" before the first one. */
   get currentAddress(): string {
     return this._current;
   }
 
-  /** Follows until stopped. */
+  /** Follows the view until the watcher is stopped. */
   async run(): Promise<void> {
     const search = new SearchPause();
     while (!this._isStopped) {
@@ -146,24 +150,24 @@
   }
 
   /**
-   * Tells control of targets that can't be reached or stand still.
-   * @throws ConnectError - When that may be lost.
+   * Reports targets that are unreachable or stalled.
+   * @throws ConnectError - When the report may be lost.
    */
   async reportSuspicions(suspicions: readonly Suspicion[]): Promise<void> {
     await this._getFollowedOrThrow().suspect({ suspicions: [...suspicions] }, { timeoutMs: TELLING_MS });
   }
 
   /**
-   * Tells control of requests under which instances ended.
-   * @throws ConnectError - When that may be lost.
+   * Reports requests during which instances ended.
+   * @throws ConnectError - When the report may be lost.
    */
   async reportCrashes(crashes: MessageInitShape<typeof ReportCrashesRequestSchema>): Promise<void> {
     await this._getFollowedOrThrow().reportCrashes(crashes, { timeoutMs: TELLING_MS });
   }
 
-  /** Tells control that this entry stops; callers are sent elsewhere from then on. */
+  /** Announces that this entry stops, so that callers are sent to other entries, and stops following. */
   async announceStop(): Promise<void> {
-    // Nobody knows of an entry that has found no control process yet.
+    // No control process lists an entry that has not found one yet.
     if (this._current === "") return this.stop();
     const { watcherId, entry } = this._options;
     const call = this._getClient(this._current).watch(
@@ -178,20 +182,23 @@
     this.stop();
   }
 
-  /** Gives the call up and finds a process that shows the view: what it showed last may have been overtaken. */
+  /**
+   * Ends the call and searches for a process that publishes the view: the last update received may be
+   * outdated.
+   */
   restart(): void {
     this._call.abort();
   }
 
-  /** Follows no more. */
+  /** Stops following. */
   stop(): void {
     this._isStopped = true;
     this._call.abort();
   }
 
   /**
-   * Follows one process.
-   * @returns Why it ended; `undefined` when another process is to be followed from now on.
+   * Follows the view of one process.
+   * @returns Why the call ended; `undefined` when the watcher switches to the preferred process.
    */
   private async _follow(): Promise<ConnectError | undefined> {
     const { watcherId, entry, view, clock } = this._options;
@@ -211,7 +218,7 @@
         if (this._options.isWanted?.() === false || this._isPendingLong()) break;
         if (this._moveToPreferred(update)) return undefined;
       }
-      return new ConnectError("the call ended");
+      return new ConnectError("the watch call ended");
     } catch (cause) {
       return ConnectError.from(cause);
     } finally {
@@ -220,7 +227,7 @@
     }
   }
 
-  /** One line a second for a search that goes on. */
+  /** Logs a failed attempt, at most one line a second. */
   private _addVainTry({ message }: ConnectError): void {
     const { clock, logger } = this._options;
     const now = clock.getMonotonicMs();
@@ -236,7 +243,11 @@
     this._vainTries = 0;
   }
 
-  /** An update of an older term comes from a leader that does not know yet that it is none, or from before a restart. */
+  /**
+   * Applies an update. An update of an older term comes from a leader that has not noticed its successor yet,
+   * or from before a restart.
+   * @returns Whether more than the declaration was applied.
+   */
   private _take(update: ViewUpdate): boolean {
     const { view, logger, onChange, onDeclaration } = this._options;
     const before = view.declaration?.version ?? 0;
@@ -270,13 +281,16 @@
     return since !== undefined && this._options.clock.getMonotonicMs() - since >= MAX_PENDING_MS;
   }
 
-  /** Followers are spread anew whenever the control processes are others. */
+  /**
+   * Switches to the preferred candidate when the set of control processes changes, so that watchers are
+   * spread again.
+   */
   private _moveToPreferred({ controlAddresses }: ViewUpdate): boolean {
     const known = controlAddresses.join();
     if (known === "" || known === this._known) return false;
     this._known = known;
     const preferred = this._getCandidates()[0];
-    // A control process that loses the leader meanwhile has nobody to turn to.
+    // A control process without a leader has no candidate to switch to.
     if (preferred === undefined || preferred === this._current) return false;
     this._current = preferred;
     this._next = 0;
@@ -300,7 +314,8 @@
 
   private _getNext(failure: ConnectError): string {
     const hint = failure.metadata.get(LEADER_HEADER) ?? "";
-    // The leader shows its view to the other control processes, and those to entries; one that holds nothing takes any.
+    // The leader publishes its view to the other control processes, which publish it to entries; an entry
+    // without a view accepts any source.
     const { entry, view } = this._options;
     const followsHint = entry === undefined || view.declaration === undefined;
     if (followsHint && hint !== "" && hint !== this._current) return hint;
@@ -316,7 +331,8 @@
   }
 
   private _getFollowedOrThrow(): Client<typeof FleetService> {
-    if (!this._isConnected) throw new ConnectError("no control process is followed", Code.Unavailable);
+    if (!this._isConnected)
+      throw new ConnectError("the watcher follows no control process", Code.Unavailable);
     return this._getClient(this._current);
   }
 
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -1,4 +1,4 @@
-/** Serves entries and other control processes. */
+/** Serves the fleet service to entries and other control processes. */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { type Clock, TurnQueue } from "../clock";
 import type { ConsensusDriver } from "../consensus";
@@ -17,7 +17,7 @@
 import type { ViewHub } from "./ViewHub";
 import { watchView } from "./watchers";
 
-/** What the routes work with. */
+/** Options of the routes. */
 export interface FleetRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<FleetLeadership>;
@@ -25,17 +25,17 @@
   readonly hub: ViewHub;
   readonly calls: CallLedger;
   readonly meter: WorkMeter;
-  /** Gives the leadership while this process leads. */
+  /** Gets the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
-  /** Passes on to the leader what an entry saw of targets. */
+  /** Forwards an entry's suspicions of targets to the leader. */
   readonly relaySuspicions: (suspicions: readonly Suspicion[]) => void;
-  /** Passes on to the leader what an entry saw of requests under which instances ended. */
+  /** Forwards an entry's reports of requests during which instances ended to the leader. */
   readonly relayCrashes: (crashes: ReportCrashesRequest) => Promise<void>;
-  /** Resolves once the leader was told which entries watch this process. */
+  /** Reports the entries that watch this process to the leader; resolves once the leader is notified. */
   readonly relayEntries: () => Promise<void>;
 }
 
-/** Control processes whose reports are taken over in one turn of the event loop. */
+/** Control processes whose reports are applied in one turn of the event loop. */
 const RELAYS_PER_TURN = 1;
 
 /** Adds the fleet service to a router. */
@@ -68,7 +68,7 @@
       for await (const request of requests) yield await takeReport(request);
     },
     putDeclaration(request) {
-      // One that was overtaken, or comes again, changes nothing: it is not agreed on once more.
+      // An outdated or repeated declaration changes nothing and is not proposed again.
       const heldVersion = driver.machine.getDeclaration()?.version ?? 0;
       if (request.version <= heldVersion)
         return calls.follow(
@@ -108,7 +108,11 @@
   });
 }
 
-/** Control processes follow the leader itself, so that no view is relayed twice. */
+/**
+ * Gets the source of a watcher's view. Control processes follow the leader itself, so that no view is relayed
+ * twice.
+ * @throws ConnectError - When this process has no view for the watcher; it names the leader.
+ */
 function getSourceOrThrow({ driver, hub, calls, getLeadership }: FleetRouteOptions, request: WatchRequest) {
   const getSource = request.entry === undefined ? getLeadership : () => hub.getSource(request.knownVersion);
   if (getSource() === undefined) {
--- a/src/registration/watchers.ts
+++ b/src/registration/watchers.ts
@@ -1,4 +1,4 @@
-/** Serves watchers: what they lack as soon as there is something, and a sign of life in between. */
+/** Serves watchers: sends each update as soon as there is one, and heartbeats in between. */
 
 import { create } from "@bufbuild/protobuf";
 import type { Clock } from "../clock";
@@ -7,18 +7,18 @@
 import type { ViewSource, WatchPosition } from "./FleetView";
 import type { ViewHub } from "./ViewHub";
 
-/** How often a watcher hears from the process that it watches at the least. */
+/** Maximum interval between two messages to a watcher. */
 export const WATCH_HEARTBEAT_MS = 300;
 
-/** What a watch runs with. */
+/** Context of one watch call. */
 export interface WatchContext {
   readonly clock: Clock;
   readonly meter: WorkMeter;
-  /** Ends with the call. */
+  /** Aborted when the call ends. */
   readonly signal: AbortSignal;
 }
 
-/** How far one watcher was told. */
+/** Tracks the changes that one watcher has received. */
 class WatcherState {
   private _source: ViewSource | undefined;
   private _position: WatchPosition | undefined;
@@ -33,21 +33,21 @@
     this._isEntry = entry !== undefined;
   }
 
-  /** Checks whether there is anything that the watcher lacks. */
+  /** Checks whether there is an update for the watcher. */
   hasNews(source: ViewSource | undefined): boolean {
     return source !== this._source || this._position?.revision !== source?.view.revision;
   }
 
-  /** Checks whether there is anything that can't wait for the next sign of life. */
+  /** Checks whether there is an update that cannot wait for the next heartbeat. */
   hasUrgentNews(source: ViewSource | undefined): boolean {
     if (!this._isEntry || source !== this._source) return this.hasNews(source);
     return (this._position?.revision ?? -1) < (source?.view.revisionBesideEntries ?? 0);
   }
 
-  /** Makes an update of all that the watcher lacks; it counts as told. */
+  /** Creates an update with all changes that the watcher lacks, and records them as sent. */
   createUpdate(source: ViewSource): ViewUpdate {
     const { term, view } = source;
-    // Another leader's view is told from the beginning, but for the declaration.
+    // The view of another leader is sent in full, except for the declaration.
     const position = source === this._source ? this._position : undefined;
     const update = this._isPending(source)
       ? view.createPendingUpdate(term, position, this._knownVersion)
@@ -59,14 +59,15 @@
     return update;
   }
 
-  /** Makes an update that tells nothing but that this process is there. */
+  /** Creates a heartbeat: an update without changes. */
   createSign(source: ViewSource): ViewUpdate {
     return create(ViewUpdateSchema, { term: source.term, pending: this._isPending(source) });
   }
 
   /**
-   * An entry that is shown an older view than its own would drop it and ask the next process, which has no newer
-   * one either: until there is a leader all entries would do nothing else.
+   * Checks whether the watcher is an entry that has a newer view than this one. A pending update keeps it
+   * connected: an entry would drop an older view and ask the next process, which has no newer one either, so
+   * that all entries would search until there is a leader.
    */
   private _isPending(source: ViewSource): boolean {
     return this._isEntry && source.term < this._knownTerm;
@@ -74,8 +75,8 @@
 }
 
 /**
- * Gives a watcher's updates until the call ends, or there is nothing to show it any more.
- * @param getSource - Gives the view that the watcher is shown now.
+ * Yields a watcher's updates until the call ends or there is no view to publish to it.
+ * @param getSource - Gets the view that the watcher receives now.
  */
 export async function* watchView(
   hub: ViewHub,
@@ -95,7 +96,7 @@
       const isUrgent = state.hasUrgentNews(getSource());
       if (isUrgent && request.entry !== undefined) await hub.turns.enter();
       const source = getSource();
-      // Its caller may have gone while it waited for its turn.
+      // The caller may have disconnected while its update was queued.
       if (source === undefined || signal.aborted) return;
       if (isUrgent || isDue) {
         toldAt = clock.getMonotonicMs();
