--- a/src/registration/ViewHub.ts
+++ b/src/registration/ViewHub.ts
@@ -51,7 +51,7 @@
    * leader's view: an entry that stayed with it would refuse every request meanwhile. At the first start of
    * the whole system it does not refuse: no process has a view yet, a refused entry would only ask the next
    * process at once, and the votes of the bootstrap members would wait behind these calls. The same holds for
-   * an entry that already has a view.
+   * an entry that already has a declaration.
    * @param knownVersion - Version of the declaration that the watcher has, 0 without one.
    * @returns `undefined` when this process cannot publish a leader's view.
    */
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -315,7 +315,7 @@
   private _getNext(failure: ConnectError): string {
     const hint = failure.metadata.get(LEADER_HEADER) ?? "";
     // The leader publishes its view to the other control processes, which publish it to entries; an entry
-    // without a view accepts any source.
+    // without a declaration accepts any source.
     const { entry, view } = this._options;
     const followsHint = entry === undefined || view.declaration === undefined;
     if (followsHint && hint !== "" && hint !== this._current) return hint;
