--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -39,7 +39,7 @@
 import { KnownView } from "./KnownView";
 import { Registrar } from "./Registrar";
 import type { ReplicaTimes } from "./ReplicaController";
-import { ShownViewLog } from "./ShownViewLog";
+import { PublishedViewLog } from "./ShownViewLog";
 
 /** Options of a fleet control process. */
 export interface FleetControlOptions {
@@ -54,10 +54,10 @@
   readonly onFatal: (cause: unknown) => void;
 }
 
-const HAND_OVER_MS = 700;
+const LEADERSHIP_TRANSFER_MS = 700;
 /** Report intervals after which a refused instance has reported to another control process. */
-const REPORT_MARGIN = 1.25;
-const MIN_REPORT_PATIENCE_MS = 300;
+const REPORT_MARGIN_INTERVALS = 1.25;
+const MIN_REPORT_TIMEOUT_MS = 300;
 
 /** Starts a control process, which runs until its scope is closed. */
 export function startFleetControl(
@@ -70,18 +70,18 @@
     const clock = new SystemClock();
     const transports = new TransportPool(secret);
     const meter = new WorkMeter({ clock, logger, metrics: options.metrics });
-    const calls = yield* Effect.acquireRelease(
+    const callLedger = yield* Effect.acquireRelease(
       Effect.sync(() => new CallLedger(logger, options.metrics)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const getSeeds = () => getRpcAddresses(options.settings.current);
-    const replayedAt = clock.getMonotonicMs();
+    const replayStartedAt = clock.getMonotonicMs();
     const { storage, stored } = yield* Effect.tryPromise({
       try: () => prepareDataFolder(options),
       catch: (cause) => cause,
     });
-    meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayedAt);
-    const known = yield* Effect.acquireRelease(
+    meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayStartedAt);
+    const persistedView = yield* Effect.acquireRelease(
       Effect.promise(() => KnownView.open(control.dataFolder, logger)),
       (opened) => Effect.sync(() => opened.stop()),
     );
@@ -101,7 +101,7 @@
     });
     const getTimes = createTimesCache(options.settings);
     const getRoutes = createRouteCache(() => driver.machine.getDeclaration(), options.format, meter);
-    const lag = yield* Effect.acquireRelease(
+    const loopLag = yield* Effect.acquireRelease(
       Effect.sync(
         () =>
           new LoopLag(clock, ({ lagMs, cpuMs }) =>
@@ -116,7 +116,7 @@
     );
     const createLeadership = () =>
       new FleetLeadership({
-        lag,
+        lag: loopLag,
         meter,
         metrics: options.metrics,
         driver,
@@ -129,16 +129,16 @@
         entries: relay.hub.entries,
         onChange: () => {
           relay.hub.notify();
-          relay.updateSoon();
+          relay.scheduleUpdate();
         },
       });
-    const watch = yield* Effect.acquireRelease(
+    const leadershipWatch = yield* Effect.acquireRelease(
       Effect.sync(() => new LeadershipWatch({ driver, createLeadership, logger, metrics: options.metrics })),
       (started) => Effect.sync(() => started.stop()),
     );
-    const getLeadership = () => watch.getLeadership();
+    const getLeadership = () => leadershipWatch.getLeadership();
     const relay = new FleetRelay({
-      recovered: known.recovered,
+      recovered: persistedView.recovered,
       isFirstStart: control.isFirstStart,
       driver,
       getLeadership,
@@ -148,18 +148,20 @@
       transports,
       clock,
       logger,
-      getReportPatienceMs: () => getReportPatienceMs(options.settings.current),
+      getReportPatienceMs: () => getReportTimeoutMs(options.settings.current),
     });
     const guard = new LeaderGuard(driver, getLeadership);
-    const load = new CallLoad(options.metrics);
+    const callLoad = new CallLoad(options.metrics);
     const callOrder = new CallOrder(options.metrics);
     yield* Effect.acquireRelease(
-      Effect.sync(() => new LoadWatch({ clock, lag, load, logger, metrics: options.metrics })),
+      Effect.sync(
+        () => new LoadWatch({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
+      ),
       (started) => Effect.sync(() => started.stop()),
     );
-    const watching = {
-      interceptors: [createCallCounter(load, clock)],
-      onSession: () => load.addSession(),
+    const serverOptions = {
+      interceptors: [createCallCounter(callLoad, clock)],
+      onSession: () => callLoad.addSession(),
       calls: callOrder,
     };
     const addRoutes = (router: ConnectRouter) => {
@@ -169,7 +171,7 @@
         guard,
         clock,
         hub: relay.hub,
-        calls,
+        calls: callLedger,
         meter,
         getLeadership,
         relaySuspicions: (suspicions) => relay.reportSuspicions(suspicions),
@@ -177,31 +179,31 @@
         relayEntries: () => relay.sender.sendNow(),
       });
     };
-    yield* serveRpc(control.listen, secret, "the cluster", addRoutes, watching);
+    yield* serveRpc(control.listen, secret, "the cluster", addRoutes, serverOptions);
     yield* Effect.acquireRelease(
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(LEADERSHIP_TRANSFER_MS)));
     yield* Effect.acquireRelease(
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
     );
-    const suspensions = new SuspensionWatch({
+    const suspensionWatch = new SuspensionWatch({
       clock: getSuspensionClock(),
       logger,
       metrics: options.metrics,
       onWake: () => relay.restart(),
     });
     yield* Effect.acquireRelease(
-      Effect.sync(() => suspensions.start()),
-      () => Effect.sync(() => suspensions.stop()),
+      Effect.sync(() => suspensionWatch.start()),
+      () => Effect.sync(() => suspensionWatch.stop()),
     );
-    const shownLog = new ShownViewLog(logger);
-    known.start(
+    const publishedViewLog = new PublishedViewLog(logger);
+    persistedView.start(
       () => {
         const source = relay.hub.getSource();
-        shownLog.update(clock.getMonotonicMs(), source);
+        publishedViewLog.update(clock.getMonotonicMs(), source);
         return source;
       },
       () => clock.getMonotonicMs(),
@@ -215,7 +217,7 @@
     );
     // All seeds may have been replaced by now; a process that receives messages from a leader has its
     // address.
-    const getOthers = () =>
+    const getOtherAddresses = () =>
       [driver.getLeaderAddress(), ...getSeeds()].filter(
         (address) => address !== "" && address !== control.listen,
       );
@@ -223,7 +225,7 @@
       joinMembership({
         driver,
         member,
-        getAddresses: getOthers,
+        getAddresses: getOtherAddresses,
         followsHints: true,
         transports,
         clock,
@@ -235,17 +237,17 @@
       member: driver.node.id,
       term: stored.hardState.term,
       entries: stored.entries.length,
-      recovered: known.recovered?.declaration?.version ?? 0,
+      recovered: persistedView.recovered?.declaration?.version ?? 0,
       cpu_ms: getProcessorMs(),
     });
     return new Registrar({
       getLeadership,
       hasDeparted: (life) => driver.machine.hasDeparted(life),
-      isInTouch: () => relay.takesReports(),
+      isInTouch: () => relay.acceptsReports(),
       getEntries: () => relay.getEntries(),
       relay: relay.reports,
       sender: relay.sender,
-      calls,
+      calls: callLedger,
       callOrder,
       client: relay.client,
       getSeeds,
@@ -263,15 +265,15 @@
  */
 async function prepareDataFolder({ settings: { current: settings }, logger }: FleetControlOptions) {
   const { dataFolder, publicAddress, seeds, isFirstStart } = settings.control;
-  const isFounder = isFirstStart && seeds.includes(publicAddress);
-  if (isFounder && (await FileStorage.getMemberId(dataFolder)) === undefined) {
-    const founders = [...seeds]
+  const isBootstrapMember = isFirstStart && seeds.includes(publicAddress);
+  if (isBootstrapMember && (await FileStorage.getMemberId(dataFolder)) === undefined) {
+    const bootstrapMembers = [...seeds]
       .sort()
       .map((seed) => createMember(seed, getFirstId(seed), getRpcAddress(settings, seed), ""));
     await FileStorage.create(
       dataFolder,
       getFirstId(publicAddress),
-      createInitialSnapshot(createMembership(founders)),
+      createInitialSnapshot(createMembership(bootstrapMembers)),
     );
     logger.info({ event: "data_folder_founded", founders: seeds });
   }
@@ -295,9 +297,9 @@
  * Gets how long reports are still accepted without contact with a leader, milliseconds. The time is short
  * enough for a refused instance to report to another process before it counts as absent.
  */
-function getReportPatienceMs({ control }: FleetControlSettings): number {
+function getReportTimeoutMs({ control }: FleetControlSettings): number {
   const { reportMs, reportsMissed } = control.replicas;
-  return Math.max(MIN_REPORT_PATIENCE_MS, reportMs * (reportsMissed - REPORT_MARGIN));
+  return Math.max(MIN_REPORT_TIMEOUT_MS, reportMs * (reportsMissed - REPORT_MARGIN_INTERVALS));
 }
 
 function getReplicaTimes({ control }: FleetControlSettings): ReplicaTimes {
@@ -326,10 +328,10 @@
 ): () => RouteTable | undefined {
   let cached: RouteTable | undefined;
   return () => {
-    const held = getDeclaration();
-    if (held !== undefined && held.version !== cached?.declaration.version) {
-      const parse = () => new RouteTable(format.parse(unpackDocument(held.document)));
-      cached = meter.measure("parse", held.document.length, parse);
+    const current = getDeclaration();
+    if (current !== undefined && current.version !== cached?.declaration.version) {
+      const parse = () => new RouteTable(format.parse(unpackDocument(current.document)));
+      cached = meter.measure("parse", current.document.length, parse);
     }
     return cached;
   };
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -57,12 +57,12 @@
 }
 
 /** Interval at which the leadership checks whether planning is due, milliseconds. */
-const STEP_MS = 20;
+const PLANNING_CHECK_MS = 20;
 /**
  * Time after its last report for which an instance of a plain service stays a target, milliseconds: entries
  * detect a failed instance sooner.
  */
-const SILENT_TARGET_MS = 20_000;
+const TARGET_EXPIRY_MS = 20_000;
 
 /** The leadership of one term. */
 export class FleetLeadership {
@@ -73,10 +73,10 @@
   private readonly _options: FleetLeadershipOptions;
   private readonly _registry: InstanceRegistry;
   private readonly _controller: ReplicaController;
-  private readonly _agreed: AgreedFacts;
+  private readonly _committed: AgreedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
-  private readonly _pace: PlanningPace;
+  private readonly _planningInterval: PlanningPace;
   private readonly _hearing: Hearing;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
@@ -86,17 +86,17 @@
    */
   constructor(options: FleetLeadershipOptions) {
     this._options = options;
-    this._agreed = new AgreedFacts(() => options.driver.machine);
+    this._committed = new AgreedFacts(() => options.driver.machine);
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
     this._hearing = new Hearing(now);
-    this._pace = new PlanningPace(now);
+    this._planningInterval = new PlanningPace(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
-      onEnd: (life: Life, ground: LifeEnd) => this._logEnd(life, ground),
+      onEnd: (life: Life, ground: LifeEnd) => this._logIncarnationEnd(life, ground),
     };
-    this._registry = new InstanceRegistry(listener, (instanceId) => this._getAgreedBorn(instanceId));
+    this._registry = new InstanceRegistry(listener, (instanceId) => this._getCommittedStartTime(instanceId));
     this._controller = new ReplicaController({
       ...options,
       registry: this._registry,
@@ -112,7 +112,7 @@
   /** Starts planning and publishing. */
   start(): void {
     this._publish();
-    this._timer = setInterval(() => void this._step(), STEP_MS);
+    this._timer = setInterval(() => void this._runStep(), PLANNING_CHECK_MS);
   }
 
   /** Stops planning and publishing. */
@@ -129,22 +129,22 @@
     const departing: Life[] = [];
     this._options.meter.measure("reports", reports.length, () => {
       for (const report of reports) {
-        if (report.deregistered || report.leaving) departing.push(this._getLeavingLife(report));
+        if (report.deregistered || report.leaving) departing.push(this._getDepartingIncarnation(report));
         if (report.deregistered) continue;
         this._addReport(now, report);
       }
     });
-    const lives = departing.filter((life) => !machine.hasDeparted(life));
-    if (lives.length === 0) return;
+    const incarnations = departing.filter((life) => !machine.hasDeparted(life));
+    if (incarnations.length === 0) return;
     await this._options.driver.propose({
       case: "recordDepartures",
       value: {
         $typeName: "ploverstage.v1.RecordDepartures",
-        lives: lives.map((life) => create(InstanceLifeSchema, life)),
+        lives: incarnations.map((life) => create(InstanceLifeSchema, life)),
         atMs: this._options.clock.getWallMs(),
       },
     });
-    this._options.logger.info({ event: "departures_recorded", instances: lives.map(getLifeKey) });
+    this._options.logger.info({ event: "departures_recorded", instances: incarnations.map(getLifeKey) });
     this._publish();
   }
 
@@ -152,26 +152,26 @@
    * Gets the incarnation that departs. An instance may deregister with its id alone: then it is the
    * incarnation registered under that id.
    */
-  private _getLeavingLife({ instanceId, born }: InstanceReport): Life {
-    const knownBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
-    return { instanceId, born: born === 0 ? knownBorn : born };
+  private _getDepartingIncarnation({ instanceId, born }: InstanceReport): Life {
+    const registeredBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
+    return { instanceId, born: born === 0 ? registeredBorn : born };
   }
 
   /**
    * Gets the start time of the newest committed incarnation of an instance, 0 without one. The first report
    * in a term may come from an older incarnation than the committed one.
    */
-  private _getAgreedBorn(instanceId: string): number {
+  private _getCommittedStartTime(instanceId: string): number {
     const replicas = this._options.driver.machine.getReplicas();
-    const lives = replicas.flatMap(({ members }) =>
+    const incarnations = replicas.flatMap(({ members }) =>
       members.filter((member) => member.instanceId === instanceId),
     );
-    return Math.max(0, ...lives.map(({ born }) => born));
+    return Math.max(0, ...incarnations.map(({ born }) => born));
   }
 
-  private _logEnd({ instanceId, born }: Life, ground: LifeEnd): void {
-    this._options.metrics.increment("instance_lives_ended", 1, { ground });
-    this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground });
+  private _logIncarnationEnd({ instanceId, born }: Life, cause: LifeEnd): void {
+    this._options.metrics.increment("instance_lives_ended", 1, { ground: cause });
+    this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground: cause });
   }
 
   /**
@@ -181,13 +181,13 @@
   async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
-    const unknown = signs
+    const unknownInstanceIds = signs
       .filter((sign) => this._registry.addSign(now - sign.ageMs, sign) === "unknown")
       .map((sign) => sign.instanceId);
     this.addSuspicions(suspicions);
     await this.addReports(reports);
     if (entries !== undefined) this._publish();
-    return unknown;
+    return unknownInstanceIds;
   }
 
   /**
@@ -219,11 +219,11 @@
   /** Records crashes that an entry reported; resolves once they are committed. */
   async addCrashes(records: readonly CrashRecord[]): Promise<void> {
     await this._crashes.addRecords(records);
-    const before = this.view.revision;
+    const previousRevision = this.view.revision;
     // The records are published at once and without the rest of the view, because the caller repeats the
     // request within a fraction of a second.
     this._crashes.publish(this.view);
-    if (this.view.revision !== before) this._options.onChange();
+    if (this.view.revision !== previousRevision) this._options.onChange();
   }
 
   private _logConflict({ address, claimants }: AddressConflict): void {
@@ -247,20 +247,23 @@
    */
   private _addReport(now: number, report: InstanceReport): void {
     if (report.ageMs > this._options.getTimes().presenceMs) return;
-    const before = this._registry.getInstance(report.instanceId)?.report;
-    const outcome = this._registry.addReport(now - report.ageMs, report);
-    if (outcome === "older") this._options.metrics.increment("instance_reports_older", 1);
-    if (outcome === "taken" && before !== undefined) this._logUnexpectedPlace(before, report);
+    const previous = this._registry.getInstance(report.instanceId)?.report;
+    const result = this._registry.addReport(now - report.ageMs, report);
+    if (result === "older") this._options.metrics.increment("instance_reports_older", 1);
+    if (result === "taken" && previous !== undefined) this._logUnexpectedPlace(previous, report);
   }
 
   /**
    * Logs an instance that takes a place in a replica whose instances have been released. The cause is an
    * abandoned order that was executed seconds later.
    */
-  private _logUnexpectedPlace(before: InstanceReport, { instanceId, sequence, place }: InstanceReport): void {
+  private _logUnexpectedPlace(
+    previous: InstanceReport,
+    { instanceId, sequence, place }: InstanceReport,
+  ): void {
     if (place === undefined) return;
     const { replicaId: replica, epoch, state } = place;
-    if (before.place?.replicaId === replica && before.place.epoch === epoch) return;
+    if (previous.place?.replicaId === replica && previous.place.epoch === epoch) return;
     if (this._options.driver.machine.getReplica(replica)?.phase !== ReplicaPhase.RELEASED) return;
     this._options.logger.warn({
       event: "place_unexpected",
@@ -271,11 +274,11 @@
     });
   }
 
-  private async _step(): Promise<void> {
+  private async _runStep(): Promise<void> {
     const startedAt = this._options.clock.getMonotonicMs();
-    void this._releaseRequests(startedAt);
-    if (!this._pace.isDue(startedAt, this._getPlanningInputs())) return;
-    this._pace.addStart();
+    void this._releaseDueRequests(startedAt);
+    if (!this._planningInterval.isDue(startedAt, this._getPlanningInputs())) return;
+    this._planningInterval.addStart();
     this._registry.removeSilent(startedAt, this._options.getTimes().presenceMs);
     this._updateHearing(startedAt);
     const plannedMs = await this._plan();
@@ -284,7 +287,7 @@
     const endedAt = this._options.clock.getMonotonicMs();
     this._options.meter.addWork("plan", this._registry.getInstances().length, plannedMs);
     this._options.meter.addWork("publish", this.view.targetCount, endedAt - publishingAt);
-    this._pace.addEnd(endedAt, plannedMs + endedAt - publishingAt);
+    this._planningInterval.addEnd(endedAt, plannedMs + endedAt - publishingAt);
   }
 
   /** Gets a value that changes whenever there may be something new to decide. */
@@ -294,7 +297,7 @@
     return [driver.node.commitIndex, ...revisions].join();
   }
 
-  private async _releaseRequests(now: number): Promise<void> {
+  private async _releaseDueRequests(now: number): Promise<void> {
     try {
       await this._crashes.releaseDue(now);
     } catch (cause) {
@@ -320,18 +323,18 @@
     const now = this._options.clock.getMonotonicMs();
     const { driver, getTimes } = this._options;
     this._updateHearing(now);
-    const before = this.view.revision;
+    const previousRevision = this.view.revision;
     this.view.setDeclaration(driver.machine.getDeclaration());
     this._crashes.publish(this.view);
     this.view.setTargets(this._createTargets(now));
     // Watchers of a complete view have only targets that this view has published.
-    if (!this.view.isComplete) this.view.removeTargets(this._agreed.getEndedTargetIds());
+    if (!this.view.isComplete) this.view.removeTargets(this._committed.getEndedTargetIds());
     if (this._hearing.getListenedMs(now) > getTimes().presenceMs) this._setComplete();
     this.view.setEntries(
       sortEntries([...this._options.entries.getEntries(now), ...this._relays.getEntries(now)]),
     );
-    this.view.setControlAddresses(this._getWatchable());
-    if (this.view.revision !== before) this._options.onChange();
+    this.view.setControlAddresses(this._getWatchAddresses());
+    if (this.view.revision !== previousRevision) this._options.onChange();
   }
 
   private _updateHearing(now: number): void {
@@ -361,7 +364,7 @@
    * Gets the addresses of the control processes that entries watch: the other voters if there are any,
    * because the leader has the highest load.
    */
-  private _getWatchable(): string[] {
+  private _getWatchAddresses(): string[] {
     const { node } = this._options.driver;
     const voters = getVoters(node.membership);
     const others = voters.filter((member) => member.id !== node.id);
@@ -378,22 +381,22 @@
     // An undeclared service is not a target, because another writer may have reported it.
     const isPlain = (service: string) =>
       engineServices.has(service) && engineServices.get(service) === undefined;
-    const plain = this._registry
+    const plainTargets = this._registry
       .getInstances()
       .filter((instance) => isPlain(instance.report.service))
       .filter((instance) => this._isPlainTarget(now, instance))
       .map((instance) => createPlainTarget(instance));
-    const replicas = this._options.driver.machine
+    const replicaTargets = this._options.driver.machine
       .getReplicas()
       .filter((replica) => !this._hasDepartedMember(replica) && this._controller.isOpen(now, replica))
       .map((replica) => this._createReplicaTarget(replica))
       .filter((target) => target !== undefined);
-    return [...plain, ...replicas];
+    return [...plainTargets, ...replicaTargets];
   }
 
   private _isPlainTarget(now: number, { report, reportedAt }: RegisteredInstance): boolean {
     const hasDeparted = report.leaving || this._options.driver.machine.hasDeparted(report);
-    return !hasDeparted && now - reportedAt <= SILENT_TARGET_MS;
+    return !hasDeparted && now - reportedAt <= TARGET_EXPIRY_MS;
   }
 
   private _createReplicaTarget(replica: Replica): Target | undefined {
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -58,23 +58,23 @@
  * counts as connected for 3 s after a partition begins; the rest of that time is needed to end the call and
  * to find another process.
  */
-const WATCH_PATIENCE_MS = 2_200;
+const WATCH_TIMEOUT_MS = 2_200;
 /**
  * Time for which entries keep watching a process without a leader while no majority elects one. It is
  * shorter, because the process is partitioned and the next process that the entry asks may be partitioned as
  * well.
  */
-const ISOLATED_PATIENCE_MS = 1_500;
+const PARTITIONED_WATCH_TIMEOUT_MS = 1_500;
 /**
  * A process that follows a leader in consensus, but has failed to send it reports for this time, accepts no
  * reports, and its instances switch to other processes. The time exceeds the usual report timeout, because a
  * new leader answers its first calls late.
  */
-const MAX_UNTOLD_MS = 4_000;
+const MAX_REPORT_FAILURE_MS = 4_000;
 /** Timeout of forwarding crashes: the entry that reported them waits half a second for an answer. */
-const CRASHES_MS = 450;
+const CRASH_REPORT_TIMEOUT_MS = 450;
 /** A target that several entries suspect is reported to the leader no more often than this. */
-const SUSPICION_PAUSE_MS = 500;
+const SUSPICION_INTERVAL_MS = 500;
 
 /** The relay of one control process. */
 export class FleetRelay {
@@ -91,13 +91,13 @@
   /**
    * When a leader's view was received last, or, while this process leads, when a majority answered it last.
    */
-  private readonly _shown: LeaderContact;
+  private readonly _viewContact: LeaderContact;
   /** When this process last followed a leader in consensus. */
-  private _followedAt = Number.NEGATIVE_INFINITY;
-  private readonly _suspicions = new SuspicionQueue(SUSPICION_PAUSE_MS);
-  private readonly _agreed: AgreedFacts;
-  private _toldVersion: number;
-  private _isUpdating = false;
+  private _consensusContactAt = Number.NEGATIVE_INFINITY;
+  private readonly _suspicions = new SuspicionQueue(SUSPICION_INTERVAL_MS);
+  private readonly _committed: AgreedFacts;
+  private _loggedVersion: number;
+  private _isUpdateScheduled = false;
 
   /**
    * @param options - Driver, leadership and addresses.
@@ -105,22 +105,22 @@
   constructor(options: FleetRelayOptions) {
     this._options = options;
     const { driver, clock, logger, transports, getLeadership, getSeeds } = options;
-    this._shown = new LeaderContact(clock.getMonotonicMs());
+    this._viewContact = new LeaderContact(clock.getMonotonicMs());
     if (options.recovered !== undefined) this.view.apply(options.recovered);
-    this._agreed = new AgreedFacts(() => driver.machine);
+    this._committed = new AgreedFacts(() => driver.machine);
     // A restarted process applies its whole log again; it does not log a declaration again that it had
     // persisted.
-    this._toldVersion = options.recovered?.declaration?.version ?? 0;
-    const relayed = new RelayedView(this.view, this._agreed);
+    this._loggedVersion = options.recovered?.declaration?.version ?? 0;
+    const relayed = new RelayedView(this.view, this._committed);
     this._relayed = relayed;
     this.hub = new ViewHub({
       clock,
-      getOwn: () => {
-        this._noteLeadership();
+      getOwnSource: () => {
+        this._updateLeadershipContact();
         return getLeadership();
       },
       relayed,
-      isInTouch: () => this._isInTouch(this._getWatchPatienceMs()),
+      hasLeaderContact: () => this._hasLeaderContact(this._getWatchTimeoutMs()),
       isFirstStart: options.isFirstStart,
       onEntriesChanged: () => this.sender.sendSoon(),
     });
@@ -128,21 +128,21 @@
       watcherId: driver.node.id,
       entry: undefined,
       getSeeds,
-      orderCandidates: () => this._getLeader(),
+      orderCandidates: () => this._getLeaderAddresses(),
       transports,
       view: this.view,
       clock,
       logger,
       onChange: (update) => {
-        this._shown.addContact(clock.getMonotonicMs());
+        this._viewContact.addContact(clock.getMonotonicMs());
         relayed.addUpdate(update);
         this.hub.notify();
       },
       onDeclaration: () => {
-        relayed.updateAgreed();
+        relayed.updateCommitted();
         this.hub.notify();
       },
-      isWanted: () => !driver.isLeader(),
+      isEnabled: () => !driver.isLeader(),
     });
     const getAddresses = () => [...new Set([...getSeeds(), ...this.view.getControlAddresses()])];
     this.client = new LeaderClient(FleetService, {
@@ -167,14 +167,14 @@
 
   /** Starts following the leader's view and sending reports to the leader. */
   start(): void {
-    this._options.driver.addStateListener(() => this.updateSoon());
+    this._options.driver.addStateListener(() => this.scheduleUpdate());
     void this._watcher.run();
     this.sender.start();
   }
 
   /** Gets the newest committed declaration that this process has applied. */
   get agreed(): Declaration | undefined {
-    return this._agreed.declaration;
+    return this._committed.declaration;
   }
 
   /** Restarts following the leader's view: the last update received may be outdated. */
@@ -192,10 +192,13 @@
    * Checks whether this process accepts reports: it can forward them to the leader in time, or there is no
    * leader.
    */
-  takesReports(): boolean {
-    const patienceMs = this._options.getReportPatienceMs();
+  acceptsReports(): boolean {
+    const timeoutMs = this._options.getReportPatienceMs();
     const failingMs = this.sender.getFailingMs(this._options.clock.getMonotonicMs());
-    return this._isShown(patienceMs) || (this._isInTouch(patienceMs) && failingMs <= MAX_UNTOLD_MS);
+    return (
+      this._hasLeaderView(timeoutMs) ||
+      (this._hasLeaderContact(timeoutMs) && failingMs <= MAX_REPORT_FAILURE_MS)
+    );
   }
 
   /**
@@ -206,7 +209,7 @@
   getEntries(): readonly EntryEndpoint[] {
     const own = this._options.getLeadership()?.view.entries ?? [];
     if (own.length > 0) return own;
-    const followed = this._isShown(this._getWatchPatienceMs()) ? this.view.getEntries() : [];
+    const followed = this._hasLeaderView(this._getWatchTimeoutMs()) ? this.view.getEntries() : [];
     return followed.length > 0 ? followed : this.hub.entries.getEntries(this._options.clock.getMonotonicMs());
   }
 
@@ -214,14 +217,14 @@
    * Schedules publishing of newly committed state; changes applied in one turn of the event loop are
    * published together.
    */
-  updateSoon(): void {
-    if (this._isUpdating) return;
-    this._isUpdating = true;
+  scheduleUpdate(): void {
+    if (this._isUpdateScheduled) return;
+    this._isUpdateScheduled = true;
     setImmediate(() => {
-      this._isUpdating = false;
-      this._tellAgreed();
+      this._isUpdateScheduled = false;
+      this._logCommittedDeclaration();
       if (this._options.getLeadership() !== undefined) return;
-      this._relayed.updateAgreed();
+      this._relayed.updateCommitted();
       this.hub.notify();
     });
   }
@@ -232,8 +235,8 @@
    */
   reportSuspicions(suspicions: readonly Suspicion[]): void {
     const now = this._options.clock.getMonotonicMs();
-    const news = suspicions.map((suspicion) => this._suspicions.add(now, suspicion));
-    if (news.includes("first")) this.sender.sendSoon();
+    const results = suspicions.map((suspicion) => this._suspicions.add(now, suspicion));
+    if (results.includes("first")) this.sender.sendSoon();
   }
 
   /**
@@ -242,34 +245,37 @@
    */
   async reportCrashes(crashes: ReportCrashesRequest): Promise<void> {
     const relayed = { ...crashes, relayed: true };
-    await this.client.call((leader, timeoutMs) => leader.reportCrashes(relayed, { timeoutMs }), CRASHES_MS);
+    await this.client.call(
+      (leader, timeoutMs) => leader.reportCrashes(relayed, { timeoutMs }),
+      CRASH_REPORT_TIMEOUT_MS,
+    );
   }
 
-  private _getWatchPatienceMs(): number {
-    return this._options.driver.node.leaderId === "" ? ISOLATED_PATIENCE_MS : WATCH_PATIENCE_MS;
+  private _getWatchTimeoutMs(): number {
+    return this._options.driver.node.leaderId === "" ? PARTITIONED_WATCH_TIMEOUT_MS : WATCH_TIMEOUT_MS;
   }
 
   /**
    * Checks whether this process may keep its entries: it follows a leader, or no process has newer
    * information.
    */
-  private _isInTouch(patienceMs: number): boolean {
+  private _hasLeaderContact(timeoutMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
     const contactAt = this._options.driver.getCaughtUpContactAt();
     // A process that follows a leader in consensus may serve entries before it receives the leader's view,
     // because it publishes committed state itself.
-    if (contactAt !== undefined) this._followedAt = contactAt;
-    return this._isShown(patienceMs) || now - this._followedAt <= patienceMs;
+    if (contactAt !== undefined) this._consensusContactAt = contactAt;
+    return this._hasLeaderView(timeoutMs) || now - this._consensusContactAt <= timeoutMs;
   }
 
   /**
    * Checks whether this process has a leader's view within the timeout, or no process has newer information.
    */
-  private _isShown(patienceMs: number): boolean {
+  private _hasLeaderView(timeoutMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
-    if (this._noteLeadership()) return true;
+    if (this._updateLeadershipContact()) return true;
     // During an election a refusal would only make every watcher ask the next process.
-    return this._shown.isInTouch(now, patienceMs) || this._options.driver.node.isElecting(now);
+    return this._viewContact.isInTouch(now, timeoutMs) || this._options.driver.node.isElecting(now);
   }
 
   /**
@@ -277,22 +283,22 @@
    * detects that the majority is missing, so its view is no newer than that answer.
    * @returns Whether this process leads.
    */
-  private _noteLeadership(): boolean {
+  private _updateLeadershipContact(): boolean {
     const { driver, clock, getLeadership } = this._options;
     if (getLeadership() === undefined) return false;
-    this._shown.addContact(driver.node.getQuorumContactAt(clock.getMonotonicMs()));
+    this._viewContact.addContact(driver.node.getQuorumContactAt(clock.getMonotonicMs()));
     return true;
   }
 
-  private _tellAgreed(): void {
-    const version = this._agreed.declaration?.version ?? 0;
-    if (version <= this._toldVersion) return;
-    this._toldVersion = version;
+  private _logCommittedDeclaration(): void {
+    const version = this._committed.declaration?.version ?? 0;
+    if (version <= this._loggedVersion) return;
+    this._loggedVersion = version;
     this._options.logger.info({ event: "declaration_agreed", version });
   }
 
   /** Gets the leader's address, if known. Only the leader sends its view to other control processes. */
-  private _getLeader(): string[] {
+  private _getLeaderAddresses(): string[] {
     const { driver, listen } = this._options;
     const leader = driver.getLeaderAddress();
     return leader === "" || leader === listen ? [] : [leader];
--- a/src/registration/FleetView.ts
+++ b/src/registration/FleetView.ts
@@ -32,19 +32,19 @@
 }
 
 /** Number of removed targets to retain, so that watchers can be notified of the removal. */
-const KEPT_REMOVALS = 1_000;
+const RETAINED_REMOVALS = 1_000;
 
 /** A view with a revision for each change. */
 export class FleetView {
   private readonly _targets = new Map<string, RevisedTarget>();
   /** Ids of the targets that are committed as ended, with the revision of each change. */
-  private readonly _ended = new Map<string, number>();
+  private readonly _endedTargets = new Map<string, number>();
   private readonly _crashRecords = new Map<string, RevisedCrashRecord>();
   private _entries: readonly EntryEndpoint[] = [];
   private _controlAddresses: readonly string[] = [];
   private _declaration: Declaration | undefined;
   private _revision = 0;
-  private _revisionBesideEntries = 0;
+  private _revisionExceptEntries = 0;
   private _entriesRevision = 0;
   private _controlRevision = 0;
   private _isComplete = false;
@@ -79,8 +79,8 @@
   setTargets(targets: readonly Target[]): void {
     const ids = new Set(targets.map((target) => target.id));
     for (const target of targets) {
-      const known = this._targets.get(target.id)?.target;
-      if (known !== undefined && equals(TargetSchema, known, target)) continue;
+      const current = this._targets.get(target.id)?.target;
+      if (current !== undefined && equals(TargetSchema, current, target)) continue;
       this._targets.set(target.id, { target, revision: this._advance() });
     }
     for (const [id, { target }] of this._targets) {
@@ -88,7 +88,7 @@
       this._targets.delete(id);
       this._targets.set(id, { target: undefined, revision: this._advance() });
     }
-    this._forgetRemovals();
+    this._evictRemovals();
   }
 
   /** Publishes the removal of targets that this view never contained. */
@@ -97,14 +97,14 @@
       if (this._targets.has(id)) continue;
       this._targets.set(id, { target: undefined, revision: this._advance() });
     }
-    this._forgetRemovals();
+    this._evictRemovals();
   }
 
   /** Sets the targets that are committed as ended, whether this view contained them or not. */
-  setEnded(ids: readonly string[]): void {
+  setEndedTargets(ids: readonly string[]): void {
     const present = new Set(ids);
-    for (const id of this._ended.keys()) if (!present.has(id)) this._ended.delete(id);
-    for (const id of ids) if (!this._ended.has(id)) this._ended.set(id, this._advance());
+    for (const id of this._endedTargets.keys()) if (!present.has(id)) this._endedTargets.delete(id);
+    for (const id of ids) if (!this._endedTargets.has(id)) this._endedTargets.set(id, this._advance());
   }
 
   /** Marks the view as complete: watchers remove all targets that it does not contain. */
@@ -142,15 +142,15 @@
       if (!digests.has(digest)) this._crashRecords.delete(digest);
     }
     for (const record of records) {
-      const known = this._crashRecords.get(record.digest)?.record;
-      if (known !== undefined && equals(CrashRecordSchema, known, record)) continue;
+      const current = this._crashRecords.get(record.digest)?.record;
+      if (current !== undefined && equals(CrashRecordSchema, current, record)) continue;
       this._crashRecords.set(record.digest, { record, revision: this._advance() });
     }
   }
 
   /** Gets the revision of the newest change that is not a change of entries. */
-  get revisionBesideEntries(): number {
-    return this._revisionBesideEntries;
+  get revisionExceptEntries(): number {
+    return this._revisionExceptEntries;
   }
 
   /**
@@ -167,15 +167,15 @@
   ): ViewUpdate {
     const since = position?.revision ?? -1;
     const isNewlyComplete = this._isComplete && this._completeRevision > since;
-    const changed = [...this._targets].filter(([, item]) => isNewlyComplete || item.revision > since);
-    const version = position?.declarationVersion ?? knownVersion;
+    const changedTargets = [...this._targets].filter(([, item]) => isNewlyComplete || item.revision > since);
+    const currentVersion = position?.declarationVersion ?? knownVersion;
     const hasNewEntries = this._entriesRevision > since;
     return create(ViewUpdateSchema, {
       term,
       complete: isNewlyComplete,
-      targets: changed.flatMap(([, { target }]) => (target === undefined ? [] : [target])),
-      removedTargetIds: changed.flatMap(([id, { target }]) => (target === undefined ? [id] : [])),
-      declaration: this.declarationVersion > version ? this._declaration : undefined,
+      targets: changedTargets.flatMap(([, { target }]) => (target === undefined ? [] : [target])),
+      removedTargetIds: changedTargets.flatMap(([id, { target }]) => (target === undefined ? [id] : [])),
+      declaration: this.declarationVersion > currentVersion ? this._declaration : undefined,
       entries:
         hasNewEntries && !isEntry ? create(EntryListSchema, { entries: [...this._entries] }) : undefined,
       entryCount: hasNewEntries && isEntry ? this._entries.length : 0,
@@ -192,7 +192,9 @@
   createPendingUpdate(term: number, position: WatchPosition | undefined, knownVersion: number): ViewUpdate {
     const since = position?.revision ?? -1;
     const { declaration, crashRecords } = this.createUpdate(term, position, knownVersion, true);
-    const removedTargetIds = [...this._ended].filter(([, revision]) => revision > since).map(([id]) => id);
+    const removedTargetIds = [...this._endedTargets]
+      .filter(([, revision]) => revision > since)
+      .map(([id]) => id);
     return create(ViewUpdateSchema, { term, pending: true, removedTargetIds, declaration, crashRecords });
   }
 
@@ -204,7 +206,7 @@
   /** Gets a new revision for a change that is not a change of entries. */
   private _advance(): number {
     this._revision += 1;
-    this._revisionBesideEntries = this._revision;
+    this._revisionExceptEntries = this._revision;
     return this._revision;
   }
 
@@ -215,10 +217,10 @@
     return changed.map(({ record }) => record);
   }
 
-  private _forgetRemovals(): void {
-    if (this._targets.size <= KEPT_REMOVALS) return;
+  private _evictRemovals(): void {
+    if (this._targets.size <= RETAINED_REMOVALS) return;
     for (const [id, { target }] of this._targets) {
-      if (this._targets.size <= KEPT_REMOVALS) return;
+      if (this._targets.size <= RETAINED_REMOVALS) return;
       if (target === undefined) this._targets.delete(id);
     }
   }
--- a/src/registration/FollowedView.ts
+++ b/src/registration/FollowedView.ts
@@ -77,14 +77,14 @@
   apply(update: ViewUpdate): boolean {
     if (update.declaration !== undefined) this.addDeclaration(update.declaration);
     if (update.pending) {
-      this._applyAgreed(update);
+      this._applyCommitted(update);
       return true;
     }
     if (update.term < this._term) return false;
     this._term = update.term;
     if (update.complete) this._targets.clear();
     for (const target of update.targets) this._targets.set(target.id, target);
-    this._applyAgreed(update);
+    this._applyCommitted(update);
     if (update.entries !== undefined) this._entries = update.entries.entries;
     if (update.entries !== undefined || update.entryCount > 0) {
       this._entryCount = update.entries?.entries.length ?? update.entryCount;
@@ -94,7 +94,7 @@
   }
 
   /** Applies removals and crash records, which hold in every term. */
-  private _applyAgreed({ removedTargetIds, crashRecords }: ViewUpdate): void {
+  private _applyCommitted({ removedTargetIds, crashRecords }: ViewUpdate): void {
     for (const id of removedTargetIds) this._targets.delete(id);
     for (const record of crashRecords) this._crashes.addRecord(record);
   }
--- a/src/registration/KnownView.ts
+++ b/src/registration/KnownView.ts
@@ -17,15 +17,15 @@
 import type { ViewSource } from "./FleetView";
 import { RECOVERED_TERM } from "./FollowedView";
 
-const FILE = "view.bin";
+const FILE_NAME = "view.bin";
 /** Interval at which the process checks whether the view has to be written, milliseconds. */
-const CHECK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 /**
  * Minimum time between two writes of targets and entries, milliseconds: they change several times a second
  * while replicas are repaired, and each write costs two syncs. A declaration is written at once, because
  * every request depends on it and an older one may be wrong after a single change.
  */
-const PAUSE_MS = 500;
+const MIN_WRITE_INTERVAL_MS = 500;
 
 /** Recorded after a failed write; no view has this revision. */
 const NOT_WRITTEN = -1;
@@ -45,22 +45,22 @@
   private readonly _recovered: ViewUpdate | undefined;
   private _written: WrittenPosition | undefined;
   /** The view in the file. */
-  private _kept: ViewUpdate | undefined;
+  private _persisted: ViewUpdate | undefined;
   private _retryAt = Number.NEGATIVE_INFINITY;
   private _timer: NodeJS.Timeout | undefined;
   private _isWriting = false;
-  private _toldVersion = 0;
+  private _loggedVersion = 0;
 
   private constructor(path: string, logger: Logger, recovered: ViewUpdate | undefined) {
     this._path = path;
     this._logger = logger;
     this._recovered = recovered;
-    this._kept = recovered;
+    this._persisted = recovered;
   }
 
   /** Reads the persisted view; a missing or damaged file counts as no view. */
   static async open(folder: string, logger: Logger): Promise<KnownView> {
-    const path = join(folder, FILE);
+    const path = join(folder, FILE_NAME);
     const recovered = await readView(path, logger);
     return new KnownView(path, logger, recovered);
   }
@@ -83,9 +83,12 @@
   start(
     getSource: () => ViewSource | undefined,
     getNow: () => number,
-    getAgreed: () => Declaration | undefined = () => undefined,
+    getCommitted: () => Declaration | undefined = () => undefined,
   ): void {
-    this._timer = setInterval(() => this._keepDue(getNow(), getSource(), getAgreed()), CHECK_MS).unref();
+    this._timer = setInterval(
+      () => this._writeIfDue(getNow(), getSource(), getCommitted()),
+      CHECK_INTERVAL_MS,
+    ).unref();
   }
 
   /** Stops persisting. */
@@ -93,16 +96,16 @@
     clearInterval(this._timer);
   }
 
-  private _keepDue(now: number, source: ViewSource | undefined, agreed: Declaration | undefined): void {
+  private _writeIfDue(now: number, source: ViewSource | undefined, committed: Declaration | undefined): void {
     if (this._isWriting) return;
     if (source !== undefined && this._isDue(now, source)) {
-      void this._keepView(now, source);
+      void this._writeView(now, source);
       return;
     }
-    const kept = this._kept;
-    if (kept === undefined || agreed === undefined || now < this._retryAt) return;
-    if (agreed.version > (kept.declaration?.version ?? 0)) {
-      void this._write(now, create(ViewUpdateSchema, { ...kept, declaration: agreed }));
+    const persisted = this._persisted;
+    if (persisted === undefined || committed === undefined || now < this._retryAt) return;
+    if (committed.version > (persisted.declaration?.version ?? 0)) {
+      void this._write(now, create(ViewUpdateSchema, { ...persisted, declaration: committed }));
     }
   }
 
@@ -112,10 +115,10 @@
     if (written === undefined) return true;
     if (source.view.declarationVersion > written.declarationVersion) return true;
     const isNew = source !== written.source || source.view.revision !== written.revision;
-    return isNew && now - written.writtenAt >= PAUSE_MS;
+    return isNew && now - written.writtenAt >= MIN_WRITE_INTERVAL_MS;
   }
 
-  private async _keepView(now: number, source: ViewSource): Promise<void> {
+  private async _writeView(now: number, source: ViewSource): Promise<void> {
     const { view } = source;
     const { revision, declarationVersion } = view;
     this._written = { source, revision, declarationVersion, writtenAt: now };
@@ -132,12 +135,12 @@
     this._isWriting = true;
     try {
       await writeFileDurably(this._path, toBinary(ViewUpdateSchema, update));
-      this._tellKept(update.declaration?.version ?? 0);
-      this._kept = update;
+      this._logPersistedVersion(update.declaration?.version ?? 0);
+      this._persisted = update;
       return true;
     } catch (cause) {
       this._logger.warn({ event: "view_not_kept", reason: String(cause) });
-      this._retryAt = now + PAUSE_MS;
+      this._retryAt = now + MIN_WRITE_INTERVAL_MS;
       return false;
     } finally {
       this._isWriting = false;
@@ -145,9 +148,9 @@
   }
 
   /** Logs the version of the declaration that watchers receive after a restart. */
-  private _tellKept(version: number): void {
-    if (version === this._toldVersion) return;
-    this._toldVersion = version;
+  private _logPersistedVersion(version: number): void {
+    if (version === this._loggedVersion) return;
+    this._loggedVersion = version;
     this._logger.info({ event: "declaration_kept", version });
   }
 }
--- a/src/registration/LeaderContact.ts
+++ b/src/registration/LeaderContact.ts
@@ -1,12 +1,12 @@
 /** Tracks the last contact of this process with a leader. Pure: times are monotonic milliseconds. */
 
 /** Time that a process has to find its first leader: the other processes may be starting as well. */
-const START_MS = 5_000;
+const INITIAL_TIMEOUT_MS = 5_000;
 
 /** The leader contact of one process. */
 export class LeaderContact {
   private readonly _startedAt: number;
-  private _heardAt: number | undefined;
+  private _lastContactAt: number | undefined;
 
   /**
    * @param startedAt - When this process began to look for a leader.
@@ -20,15 +20,15 @@
    * in any order.
    */
   addContact(at: number): void {
-    this._heardAt = Math.max(at, this._heardAt ?? at);
+    this._lastContactAt = Math.max(at, this._lastContactAt ?? at);
   }
 
   /**
    * Checks whether this process may still publish a leader's view.
    * @param timeoutMs - Maximum time since the last contact.
    */
-  isInTouch(now: number, patienceMs: number): boolean {
-    if (this._heardAt === undefined) return now - this._startedAt <= START_MS;
-    return now - this._heardAt <= patienceMs;
+  isInTouch(now: number, timeoutMs: number): boolean {
+    if (this._lastContactAt === undefined) return now - this._startedAt <= INITIAL_TIMEOUT_MS;
+    return now - this._lastContactAt <= timeoutMs;
   }
 }
--- a/src/registration/RelayCall.ts
+++ b/src/registration/RelayCall.ts
@@ -11,15 +11,15 @@
 
 /** A call to one process; it cannot be used again once a report over it has failed. */
 export class RelayCall {
-  private readonly _ended = new AbortController();
-  private readonly _answers: AsyncIterator<ReportResponse>;
+  private readonly _controller = new AbortController();
+  private readonly _responses: AsyncIterator<ReportResponse>;
   private _next: Report | undefined;
   private _wake: () => void = () => {};
 
   /** @param leader - Client of the process that is assumed to lead. */
   constructor(leader: Client<typeof FleetService>) {
-    const answers = leader.relay(this._takeReports(), { signal: this._ended.signal });
-    this._answers = answers[Symbol.asyncIterator]();
+    const responses = leader.relay(this._streamReports(), { signal: this._controller.signal });
+    this._responses = responses[Symbol.asyncIterator]();
   }
 
   /**
@@ -32,7 +32,7 @@
     this._next = report;
     this._wake();
     try {
-      const { value, done } = await this._answers.next();
+      const { value, done } = await this._responses.next();
       if (done === true) throw new ConnectError("the relay call ended without an answer", Code.Unavailable);
       return value;
     } finally {
@@ -42,12 +42,12 @@
 
   /** Ends the call; a report that was not answered is rejected. */
   end(reason: string): void {
-    this._ended.abort(new ConnectError(reason, Code.DeadlineExceeded));
+    this._controller.abort(new ConnectError(reason, Code.DeadlineExceeded));
     this._wake();
   }
 
-  private async *_takeReports(): AsyncGenerator<Report> {
-    while (!this._ended.signal.aborted) {
+  private async *_streamReports(): AsyncGenerator<Report> {
+    while (!this._controller.signal.aborted) {
       const next = this._next;
       this._next = undefined;
       if (next !== undefined) yield next;
--- a/src/registration/RelayRoster.ts
+++ b/src/registration/RelayRoster.ts
@@ -7,15 +7,15 @@
 import { orderByAffinity } from "./affinity";
 
 /** A relay from which no report was received for this time is assigned no more instances. */
-const ACTIVE_MS = 1_500;
+const ACTIVE_TIMEOUT_MS = 1_500;
 /**
  * Entries of a relay that does not report are retained for this time: meanwhile they switch to another relay,
  * which reports them.
  */
-const KEPT_MS = 5_000;
+const RETENTION_MS = 5_000;
 
 interface Relay {
-  readonly heardAt: number;
+  readonly reportedAt: number;
   readonly entries: readonly EntryEndpoint[];
 }
 
@@ -28,19 +28,19 @@
    * @param entries - The entries that watch the relay; `undefined` if they are unchanged.
    */
   addReport(now: number, address: string, entries: readonly EntryEndpoint[] | undefined): void {
-    const known = this._relays.get(address)?.entries ?? [];
-    this._relays.set(address, { heardAt: now, entries: entries ?? known });
+    const current = this._relays.get(address)?.entries ?? [];
+    this._relays.set(address, { reportedAt: now, entries: entries ?? current });
   }
 
   /** Gets when a relay reported last; `undefined` if it has not reported in this term. */
   getReportedAt(address: string): number | undefined {
-    return this._relays.get(address)?.heardAt;
+    return this._relays.get(address)?.reportedAt;
   }
 
   /** Gets the entries that watch relays. */
   getEntries(now: number): EntryEndpoint[] {
-    for (const [address, { heardAt }] of this._relays) {
-      if (now - heardAt > KEPT_MS) this._relays.delete(address);
+    for (const [address, { reportedAt }] of this._relays) {
+      if (now - reportedAt > RETENTION_MS) this._relays.delete(address);
     }
     return [...this._relays.values()].flatMap(({ entries }) => entries);
   }
@@ -50,10 +50,12 @@
    * @returns `undefined` when no relay is active.
    */
   chooseRelay(now: number, instanceId: string): string | undefined {
-    const active = [...this._relays].filter(([, { heardAt }]) => now - heardAt <= ACTIVE_MS);
+    const activeRelays = [...this._relays].filter(
+      ([, { reportedAt }]) => now - reportedAt <= ACTIVE_TIMEOUT_MS,
+    );
     return orderByAffinity(
       instanceId,
-      active.map(([address]) => address),
+      activeRelays.map(([address]) => address),
     )[0];
   }
 }
--- a/src/registration/RelayedView.ts
+++ b/src/registration/RelayedView.ts
@@ -12,7 +12,7 @@
 /** Publishes a followed view to watchers. */
 export class RelayedView {
   private readonly _followed: FollowedView;
-  private readonly _agreed: AgreedFacts | undefined;
+  private readonly _committed: AgreedFacts | undefined;
   private _source: ViewSource;
 
   /**
@@ -20,11 +20,11 @@
    * @param committed - Committed state, which holds whether the leader has published it to this process or
    * not.
    */
-  constructor(followed: FollowedView, agreed?: AgreedFacts) {
+  constructor(followed: FollowedView, committed?: AgreedFacts) {
     this._followed = followed;
-    this._agreed = agreed;
+    this._committed = committed;
     this._source = this._createSource();
-    this._copyFollowed();
+    this._updateSource();
   }
 
   /** Gets whether neither a leader nor an earlier run of this process has published the view. */
@@ -41,7 +41,7 @@
   addUpdate(update: ViewUpdate): void {
     const { term } = this._followed;
     if (term !== this._source.term) this._source = this._createSource();
-    this._copyFollowed();
+    this._updateSource();
     const { view } = this._source;
     if (update.crashRecords.length > 0) view.setCrashRecords(this._followed.getCrashRecords());
     view.removeTargets(update.removedTargetIds);
@@ -49,8 +49,8 @@
   }
 
   /** Publishes newly committed state, which may reach the leader's view much later. */
-  updateAgreed(): void {
-    this._copyFollowed();
+  updateCommitted(): void {
+    this._updateSource();
   }
 
   /**
@@ -63,12 +63,14 @@
     return { term: this._followed.term, view };
   }
 
-  private _copyFollowed(): void {
+  private _updateSource(): void {
     const { view } = this._source;
-    view.setTargets(this._followed.getTargets().filter((target) => this._agreed?.hasEnded(target) !== true));
+    view.setTargets(
+      this._followed.getTargets().filter((target) => this._committed?.hasEnded(target) !== true),
+    );
     view.setDeclaration(this._followed.declaration);
-    view.setDeclaration(this._agreed?.declaration);
-    view.setEnded(this._agreed?.getEndedTargetIds() ?? []);
+    view.setDeclaration(this._committed?.declaration);
+    view.setEndedTargets(this._committed?.getEndedTargetIds() ?? []);
     view.setEntries(this._followed.getEntries());
     view.setControlAddresses(this._followed.getControlAddresses());
   }
--- a/src/registration/ViewHub.ts
+++ b/src/registration/ViewHub.ts
@@ -14,10 +14,10 @@
 export interface ViewHubOptions {
   readonly clock: Clock;
   /** Gets this process's own view while it leads. */
-  readonly getOwn: () => ViewSource | undefined;
+  readonly getOwnSource: () => ViewSource | undefined;
   readonly relayed: RelayedView;
   /** Checks whether the last contact with a leader is recent enough to publish its view. */
-  readonly isInTouch: () => boolean;
+  readonly hasLeaderContact: () => boolean;
   /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   /** Called when the set of entries that watch this process changes. */
@@ -56,11 +56,11 @@
    * @returns `undefined` when this process cannot publish a leader's view.
    */
   getSource(knownVersion = 0): ViewSource | undefined {
-    const { getOwn, relayed, isInTouch, isFirstStart } = this._options;
-    const own = getOwn();
+    const { getOwnSource, relayed, hasLeaderContact, isFirstStart } = this._options;
+    const own = getOwnSource();
     if (own !== undefined) return own;
-    const isOfUse = isFirstStart || knownVersion > 0 || !relayed.isEmpty;
-    return isInTouch() && isOfUse ? relayed.source : undefined;
+    const isUsable = isFirstStart || knownVersion > 0 || !relayed.isEmpty;
+    return hasLeaderContact() && isUsable ? relayed.source : undefined;
   }
 
   /**
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -38,7 +38,7 @@
   /** Called when only the declaration of an update was applied. */
   readonly onDeclaration: () => void;
   /** Checks whether to follow the view now; a control process that leads does not follow it. */
-  readonly isWanted?: () => boolean;
+  readonly isEnabled?: () => boolean;
 }
 
 /** The source, term and age of the last view that a watcher received. */
@@ -52,47 +52,47 @@
 }
 
 /** A call over which no update or heartbeat is received for this time is abandoned. */
-const SILENCE_MS = 1_000;
+const HEARTBEAT_TIMEOUT_MS = 1_000;
 /**
  * Timeout of the first response, which may wait for the connection. It is doubled after each round of all
  * candidates, up to the maximum: processes that have just started answer late, and each abandoned call delays
  * them further.
  */
-const FIRST_ANSWER_MS = 700;
-const MAX_FIRST_ANSWER_MS = 2_800;
+const FIRST_RESPONSE_TIMEOUT_MS = 700;
+const MAX_FIRST_RESPONSE_TIMEOUT_MS = 2_800;
 /**
  * A call that lasted this long counts as a successful search: the next search starts with the shortest pause.
  */
-const SETTLED_MS = 3_000;
+const STABLE_CALL_MS = 3_000;
 /** A process without a newer view for this time is replaced by the next candidate, which may have one. */
 const MAX_PENDING_MS = 5_000;
-const IDLE_MS = 100;
-const STOP_MS = 700;
+const IDLE_INTERVAL_MS = 100;
+const STOP_TIMEOUT_MS = 700;
 /** Timeout of reports of suspicions and crashes. */
-const TELLING_MS = 500;
+const REPORT_TIMEOUT_MS = 500;
 /** A search is logged no more often than this. */
-const SEARCH_TOLD_MS = 1_000;
+const SEARCH_LOG_INTERVAL_MS = 1_000;
 
 /** Follows the leader's view. */
 export class ViewWatcher {
   private readonly _options: ViewWatcherOptions;
   private readonly _clients = new Map<string, Client<typeof FleetService>>();
-  private _next = 0;
+  private _candidateIndex = 0;
   /** The control processes in the last update that contained any. */
-  private _known = "";
-  private _current = "";
-  private _heardAt = Number.NEGATIVE_INFINITY;
-  private _shown = { control: "", term: RECOVERED_TERM };
+  private _controlAddresses = "";
+  private _currentAddress = "";
+  private _receivedAt = Number.NEGATIVE_INFINITY;
+  private _lastView = { control: "", term: RECOVERED_TERM };
   private _isConnected = false;
   /** Since when the followed process has had no newer view than the local copy. */
   private _pendingSince: number | undefined;
   private _connectedAt = Number.NEGATIVE_INFINITY;
   private _isStopped = false;
   /** Consecutive calls whose first response timed out. */
-  private _lateAnswers = 0;
-  private _vainTries = 0;
-  private _vainTriesToldAt = Number.NEGATIVE_INFINITY;
-  private _call = new AbortController();
+  private _lateResponses = 0;
+  private _failedAttempts = 0;
+  private _failureLoggedAt = Number.NEGATIVE_INFINITY;
+  private _callController = new AbortController();
 
   /**
    * @param options - Seeds, view and listeners.
@@ -102,13 +102,13 @@
   }
 
   /** Gets the time since the last update or heartbeat, milliseconds. */
-  getSilenceMs(now: number): number {
-    return now - this._heardAt;
+  getUpdateAgeMs(now: number): number {
+    return now - this._receivedAt;
   }
 
   /** Gets the source, term and age of the last view received. */
   getLastShown(now: number): ShownView {
-    return { ...this._shown, silenceMs: this.getSilenceMs(now) };
+    return { ...this._lastView, silenceMs: this.getUpdateAgeMs(now) };
   }
 
   /** Gets whether the watcher is following a control process. */
@@ -123,28 +123,34 @@
 
   /** Gets the control process that is followed or asked; "" before the first one. */
   get currentAddress(): string {
-    return this._current;
+    return this._currentAddress;
   }
 
   /** Follows the view until the watcher is stopped. */
   async run(): Promise<void> {
     const search = new SearchPause();
     while (!this._isStopped) {
-      if (this._current === "") this._current = this._getCandidates()[0] ?? "";
-      if (this._current === "" || this._options.isWanted?.() === false) {
-        await pause(IDLE_MS);
+      if (this._currentAddress === "") this._currentAddress = this._getCandidates()[0] ?? "";
+      if (this._currentAddress === "" || this._options.isEnabled?.() === false) {
+        await pause(IDLE_INTERVAL_MS);
         continue;
       }
       const failure = await this._follow();
       if (failure === undefined) continue;
       if (this._isConnected) {
-        this._options.logger.warn({ event: "control_lost", control: this._current, reason: failure.message });
-        if (this._options.clock.getMonotonicMs() - this._connectedAt >= SETTLED_MS) search.reset();
-        this._next = this._isPendingLong() ? this._getCandidates().indexOf(this._current) : -1;
-      } else this._addVainTry(failure);
+        this._options.logger.warn({
+          event: "control_lost",
+          control: this._currentAddress,
+          reason: failure.message,
+        });
+        if (this._options.clock.getMonotonicMs() - this._connectedAt >= STABLE_CALL_MS) search.reset();
+        this._candidateIndex = this._isPendingTooLong()
+          ? this._getCandidates().indexOf(this._currentAddress)
+          : -1;
+      } else this._addFailedAttempt(failure);
       this._isConnected = false;
       this._pendingSince = undefined;
-      this._current = this._getNext(failure);
+      this._currentAddress = this._getNextAddress(failure);
       await pause(search.addFailure(this._getCandidates().length));
     }
   }
@@ -154,7 +160,7 @@
    * @throws ConnectError - When the report may be lost.
    */
   async reportSuspicions(suspicions: readonly Suspicion[]): Promise<void> {
-    await this._getFollowedOrThrow().suspect({ suspicions: [...suspicions] }, { timeoutMs: TELLING_MS });
+    await this._getClientOrThrow().suspect({ suspicions: [...suspicions] }, { timeoutMs: REPORT_TIMEOUT_MS });
   }
 
   /**
@@ -162,17 +168,17 @@
    * @throws ConnectError - When the report may be lost.
    */
   async reportCrashes(crashes: MessageInitShape<typeof ReportCrashesRequestSchema>): Promise<void> {
-    await this._getFollowedOrThrow().reportCrashes(crashes, { timeoutMs: TELLING_MS });
+    await this._getClientOrThrow().reportCrashes(crashes, { timeoutMs: REPORT_TIMEOUT_MS });
   }
 
   /** Announces that this entry stops, so that callers are sent to other entries, and stops following. */
   async announceStop(): Promise<void> {
     // No control process lists an entry that has not found one yet.
-    if (this._current === "") return this.stop();
+    if (this._currentAddress === "") return this.stop();
     const { watcherId, entry } = this._options;
-    const call = this._getClient(this._current).watch(
+    const call = this._getClient(this._currentAddress).watch(
       { watcherId, entry, stopping: true },
-      { timeoutMs: STOP_MS },
+      { timeoutMs: STOP_TIMEOUT_MS },
     );
     try {
       for await (const _ of call) break;
@@ -187,13 +193,13 @@
    * outdated.
    */
   restart(): void {
-    this._call.abort();
+    this._callController.abort();
   }
 
   /** Stops following. */
   stop(): void {
     this._isStopped = true;
-    this._call.abort();
+    this._callController.abort();
   }
 
   /**
@@ -202,45 +208,45 @@
    */
   private async _follow(): Promise<ConnectError | undefined> {
     const { watcherId, entry, view, clock } = this._options;
-    this._call = new AbortController();
-    const { signal } = this._call;
-    let timer = this._startFirstTimer();
+    this._callController = new AbortController();
+    const { signal } = this._callController;
+    let timer = this._startFirstResponseTimer();
     try {
       const knownVersion = view.declaration?.version ?? 0;
       const request = { watcherId, entry, knownVersion, knownTerm: view.term };
-      const call = this._getClient(this._current).watch(request, { signal });
+      const call = this._getClient(this._currentAddress).watch(request, { signal });
       for await (const update of call) {
         clearTimeout(timer);
-        timer = this._startTimer(SILENCE_MS);
-        if (!this._take(update)) break;
-        this._heardAt = clock.getMonotonicMs();
-        this._shown = { control: this._current, term: view.term };
-        if (this._options.isWanted?.() === false || this._isPendingLong()) break;
-        if (this._moveToPreferred(update)) return undefined;
+        timer = this._startTimer(HEARTBEAT_TIMEOUT_MS);
+        if (!this._applyUpdate(update)) break;
+        this._receivedAt = clock.getMonotonicMs();
+        this._lastView = { control: this._currentAddress, term: view.term };
+        if (this._options.isEnabled?.() === false || this._isPendingTooLong()) break;
+        if (this._switchToPreferred(update)) return undefined;
       }
       return new ConnectError("the watch call ended");
     } catch (cause) {
       return ConnectError.from(cause);
     } finally {
       clearTimeout(timer);
-      this._call.abort();
+      this._callController.abort();
     }
   }
 
   /** Logs a failed attempt, at most one line a second. */
-  private _addVainTry({ message }: ConnectError): void {
+  private _addFailedAttempt({ message }: ConnectError): void {
     const { clock, logger } = this._options;
     const now = clock.getMonotonicMs();
-    this._vainTries += 1;
-    if (now - this._vainTriesToldAt < SEARCH_TOLD_MS) return;
+    this._failedAttempts += 1;
+    if (now - this._failureLoggedAt < SEARCH_LOG_INTERVAL_MS) return;
     logger.info({
       event: "control_not_found",
-      control: this._current,
+      control: this._currentAddress,
       reason: message,
-      tries: this._vainTries,
+      tries: this._failedAttempts,
     });
-    this._vainTriesToldAt = now;
-    this._vainTries = 0;
+    this._failureLoggedAt = now;
+    this._failedAttempts = 0;
   }
 
   /**
@@ -248,35 +254,35 @@
    * or from before a restart.
    * @returns Whether more than the declaration was applied.
    */
-  private _take(update: ViewUpdate): boolean {
+  private _applyUpdate(update: ViewUpdate): boolean {
     const { view, logger, onChange, onDeclaration } = this._options;
-    const before = view.declaration?.version ?? 0;
+    const previousVersion = view.declaration?.version ?? 0;
     const isNewest = view.apply(update);
     if (isNewest && !this._isConnected) {
-      logger.info({ event: "control_found", control: this._current, term: update.term });
+      logger.info({ event: "control_found", control: this._currentAddress, term: update.term });
     }
     const version = view.declaration?.version ?? 0;
-    if (version !== before) {
-      logger.info({ event: "declaration_taken", version, term: update.term, control: this._current });
+    if (version !== previousVersion) {
+      logger.info({ event: "declaration_taken", version, term: update.term, control: this._currentAddress });
     }
     if (!isNewest) {
-      if (version !== before) onDeclaration();
+      if (version !== previousVersion) onDeclaration();
       return false;
     }
-    this._noteAnswer(update);
+    this._addResponse(update);
     onChange(update);
     return true;
   }
 
-  private _noteAnswer({ pending }: ViewUpdate): void {
+  private _addResponse({ pending }: ViewUpdate): void {
     const now = this._options.clock.getMonotonicMs();
     if (!this._isConnected) this._connectedAt = now;
     this._isConnected = true;
-    this._lateAnswers = 0;
+    this._lateResponses = 0;
     this._pendingSince = pending ? (this._pendingSince ?? now) : undefined;
   }
 
-  private _isPendingLong(): boolean {
+  private _isPendingTooLong(): boolean {
     const since = this._pendingSince;
     return since !== undefined && this._options.clock.getMonotonicMs() - since >= MAX_PENDING_MS;
   }
@@ -285,60 +291,60 @@
    * Switches to the preferred candidate when the set of control processes changes, so that watchers are
    * spread again.
    */
-  private _moveToPreferred({ controlAddresses }: ViewUpdate): boolean {
-    const known = controlAddresses.join();
-    if (known === "" || known === this._known) return false;
-    this._known = known;
+  private _switchToPreferred({ controlAddresses }: ViewUpdate): boolean {
+    const addresses = controlAddresses.join();
+    if (addresses === "" || addresses === this._controlAddresses) return false;
+    this._controlAddresses = addresses;
     const preferred = this._getCandidates()[0];
     // A control process without a leader has no candidate to switch to.
-    if (preferred === undefined || preferred === this._current) return false;
-    this._current = preferred;
-    this._next = 0;
+    if (preferred === undefined || preferred === this._currentAddress) return false;
+    this._currentAddress = preferred;
+    this._candidateIndex = 0;
     return true;
   }
 
   private _startTimer(milliseconds: number): NodeJS.Timeout {
-    return setTimeout(() => this._call.abort(), milliseconds);
+    return setTimeout(() => this._callController.abort(), milliseconds);
   }
 
-  private _startFirstTimer(): NodeJS.Timeout {
-    const rounds = Math.floor(this._lateAnswers / Math.max(1, this._getCandidates().length));
+  private _startFirstResponseTimer(): NodeJS.Timeout {
+    const rounds = Math.floor(this._lateResponses / Math.max(1, this._getCandidates().length));
     return setTimeout(
       () => {
-        this._lateAnswers += 1;
-        this._call.abort();
+        this._lateResponses += 1;
+        this._callController.abort();
       },
-      Math.min(MAX_FIRST_ANSWER_MS, FIRST_ANSWER_MS * 2 ** rounds),
+      Math.min(MAX_FIRST_RESPONSE_TIMEOUT_MS, FIRST_RESPONSE_TIMEOUT_MS * 2 ** rounds),
     );
   }
 
-  private _getNext(failure: ConnectError): string {
+  private _getNextAddress(failure: ConnectError): string {
     const hint = failure.metadata.get(LEADER_HEADER) ?? "";
     // The leader publishes its view to the other control processes, which publish it to entries; an entry
     // without a declaration accepts any source.
     const { entry, view } = this._options;
     const followsHint = entry === undefined || view.declaration === undefined;
-    if (followsHint && hint !== "" && hint !== this._current) return hint;
+    if (followsHint && hint !== "" && hint !== this._currentAddress) return hint;
     const candidates = this._getCandidates();
-    this._next += 1;
-    return candidates[this._next % candidates.length] ?? "";
+    this._candidateIndex += 1;
+    return candidates[this._candidateIndex % candidates.length] ?? "";
   }
 
   private _getCandidates(): string[] {
     const { getSeeds, view, orderCandidates } = this._options;
-    const known = orderCandidates(view.getControlAddresses());
-    return [...new Set([...known, ...orderCandidates(getSeeds())])];
+    const preferred = orderCandidates(view.getControlAddresses());
+    return [...new Set([...preferred, ...orderCandidates(getSeeds())])];
   }
 
-  private _getFollowedOrThrow(): Client<typeof FleetService> {
+  private _getClientOrThrow(): Client<typeof FleetService> {
     if (!this._isConnected)
       throw new ConnectError("the watcher follows no control process", Code.Unavailable);
-    return this._getClient(this._current);
+    return this._getClient(this._currentAddress);
   }
 
   private _getClient(address: string): Client<typeof FleetService> {
-    const known = this._clients.get(address);
-    if (known !== undefined) return known;
+    const cached = this._clients.get(address);
+    if (cached !== undefined) return cached;
     const client = createClient(FleetService, this._options.transports.getTransport(address));
     this._clients.set(address, client);
     return client;
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -42,7 +42,7 @@
 export function addFleetRoutes(router: ConnectRouter, options: FleetRouteOptions): void {
   const { driver, guard, clock, hub, calls, meter, getLeadership } = options;
   const relayTurns = new TurnQueue(RELAYS_PER_TURN);
-  const takeReport = (request: ReportRequest) => {
+  const addReport = (request: ReportRequest) => {
     const answer = guard.propose(async (leadership) => {
       await relayTurns.enter();
       const unknownInstanceIds = await leadership.addRelayed(request);
@@ -63,14 +63,14 @@
         signal: context.signal,
       });
     },
-    report: (request) => takeReport(request),
+    report: (request) => addReport(request),
     async *relay(requests) {
-      for await (const request of requests) yield await takeReport(request);
+      for await (const request of requests) yield await addReport(request);
     },
     putDeclaration(request) {
       // An outdated or repeated declaration changes nothing and is not proposed again.
-      const heldVersion = driver.machine.getDeclaration()?.version ?? 0;
-      if (request.version <= heldVersion)
+      const currentVersion = driver.machine.getDeclaration()?.version ?? 0;
+      if (request.version <= currentVersion)
         return calls.follow(
           "declaration",
           guard.run(() => ({})),
--- a/src/registration/watchers.ts
+++ b/src/registration/watchers.ts
@@ -34,14 +34,14 @@
   }
 
   /** Checks whether there is an update for the watcher. */
-  hasNews(source: ViewSource | undefined): boolean {
+  hasUpdate(source: ViewSource | undefined): boolean {
     return source !== this._source || this._position?.revision !== source?.view.revision;
   }
 
   /** Checks whether there is an update that cannot wait for the next heartbeat. */
-  hasUrgentNews(source: ViewSource | undefined): boolean {
-    if (!this._isEntry || source !== this._source) return this.hasNews(source);
-    return (this._position?.revision ?? -1) < (source?.view.revisionBesideEntries ?? 0);
+  hasUrgentUpdate(source: ViewSource | undefined): boolean {
+    if (!this._isEntry || source !== this._source) return this.hasUpdate(source);
+    return (this._position?.revision ?? -1) < (source?.view.revisionExceptEntries ?? 0);
   }
 
   /** Creates an update with all changes that the watcher lacks, and records them as sent. */
@@ -60,7 +60,7 @@
   }
 
   /** Creates a heartbeat: an update without changes. */
-  createSign(source: ViewSource): ViewUpdate {
+  createHeartbeat(source: ViewSource): ViewUpdate {
     return create(ViewUpdateSchema, { term: source.term, pending: this._isPending(source) });
   }
 
@@ -84,45 +84,45 @@
   request: WatchRequest,
   { clock, meter, signal }: WatchContext,
 ): AsyncGenerator<ViewUpdate> {
-  const pause = new Pause();
-  const wake = () => pause.end();
-  const stop = hub.addWatcher(request.watcherId, request.entry, wake);
+  const idleWait = new InterruptibleWait();
+  const wake = () => idleWait.end();
+  const removeWatcher = hub.addWatcher(request.watcherId, request.entry, wake);
   signal.addEventListener("abort", wake);
   const state = new WatcherState(request);
-  let toldAt = Number.NEGATIVE_INFINITY;
+  let sentAt = Number.NEGATIVE_INFINITY;
   try {
     while (!signal.aborted) {
-      const isDue = clock.getMonotonicMs() - toldAt >= WATCH_HEARTBEAT_MS;
-      const isUrgent = state.hasUrgentNews(getSource());
+      const isDue = clock.getMonotonicMs() - sentAt >= WATCH_HEARTBEAT_MS;
+      const isUrgent = state.hasUrgentUpdate(getSource());
       if (isUrgent && request.entry !== undefined) await hub.turns.enter();
       const source = getSource();
       // The caller may have disconnected while its update was queued.
       if (source === undefined || signal.aborted) return;
       if (isUrgent || isDue) {
-        toldAt = clock.getMonotonicMs();
+        sentAt = clock.getMonotonicMs();
         const createUpdate = () => state.createUpdate(source);
-        yield state.hasNews(source)
+        yield state.hasUpdate(source)
           ? meter.measure("update", source.view.targetCount, createUpdate)
-          : state.createSign(source);
+          : state.createHeartbeat(source);
       }
-      await pause.wait(WATCH_HEARTBEAT_MS, () => state.hasUrgentNews(getSource()));
+      await idleWait.wait(WATCH_HEARTBEAT_MS, () => state.hasUrgentUpdate(getSource()));
     }
   } finally {
-    stop();
+    removeWatcher();
     signal.removeEventListener("abort", wake);
   }
 }
 
 /** A wait that can be ended early. */
-class Pause {
+class InterruptibleWait {
   private _end: () => void = () => {};
 
   end(): void {
     this._end();
   }
 
-  async wait(milliseconds: number, isOver: () => boolean): Promise<void> {
-    if (isOver()) return;
+  async wait(milliseconds: number, isDone: () => boolean): Promise<void> {
+    if (isDone()) return;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, milliseconds);
       this._end = () => {
--- a/test/registration/FleetRelay.test.ts
+++ b/test/registration/FleetRelay.test.ts
@@ -166,14 +166,14 @@
     leaderId = "other";
     now = 20_000;
     agreedContactAt = now;
-    expect(relay.takesReports()).toBe(true);
+    expect(relay.acceptsReports()).toBe(true);
     const failing = vi.spyOn(relay.sender, "getFailingMs").mockReturnValue(3_000);
-    expect(relay.takesReports()).toBe(true);
+    expect(relay.acceptsReports()).toBe(true);
     failing.mockReturnValue(4_500);
-    expect(relay.takesReports()).toBe(false);
+    expect(relay.acceptsReports()).toBe(false);
     agreedContactAt = undefined;
     failing.mockReturnValue(0);
     now += 1_000;
-    expect(relay.takesReports()).toBe(false);
+    expect(relay.acceptsReports()).toBe(false);
   });
 });
--- a/test/registration/KnownView.test.ts
+++ b/test/registration/KnownView.test.ts
@@ -190,7 +190,7 @@
     const entry = new FollowedView();
     entry.apply(createView(6, ["new"]).createUpdate(5, undefined, 0));
     agreedVersion = 7;
-    relayed.updateAgreed();
+    relayed.updateCommitted();
     expect(entry.apply(relayed.source.view.createUpdate(RECOVERED_TERM, undefined, 0))).toBe(false);
     expect(entry.declaration?.version).toBe(7);
     expect(entry.term).toBe(5);
@@ -200,7 +200,7 @@
   it("stays empty where there is none, whatever is agreed on", () => {
     const relayed = new RelayedView(new FollowedView(), agreed);
     agreedVersion = 7;
-    relayed.updateAgreed();
+    relayed.updateCommitted();
     expect(relayed.isEmpty).toBe(true);
     expect(createRelay().relayed.isEmpty).toBe(false);
   });
@@ -210,9 +210,9 @@
     const createHub = (relayed: RelayedView, isFirstStart = false) =>
       new ViewHub({
         clock: { getMonotonicMs: () => 0, getWallMs: () => 0 },
-        getOwn: () => undefined,
+        getOwnSource: () => undefined,
         relayed,
-        isInTouch: () => true,
+        hasLeaderContact: () => true,
         isFirstStart,
         onEntriesChanged: () => {},
       });
--- a/test/registration/ShownViewLog.test.ts
+++ b/test/registration/ShownViewLog.test.ts
@@ -2,12 +2,12 @@
 import { describe, expect, it } from "vitest";
 import { DeclarationSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { FleetView } from "../../src/registration/FleetView";
-import { ShownViewLog } from "../../src/registration/ShownViewLog";
+import { PublishedViewLog } from "../../src/registration/ShownViewLog";
 
 describe("ShownViewLog", () => {
   it("tells each change of what watchers are shown, five a second at most, the last one always", () => {
     const lines: object[] = [];
-    const log = new ShownViewLog({ info: (line: object) => lines.push(line) } as never);
+    const log = new PublishedViewLog({ info: (line: object) => lines.push(line) } as never);
     const view = new FleetView();
     log.update(0, { term: 0, view });
     log.update(1_000, { term: 0, view });
--- a/test/registration/heldEntries.test.ts
+++ b/test/registration/heldEntries.test.ts
@@ -60,9 +60,9 @@
     } as never);
     this.hub = new ViewHub({
       clock: new SystemClock(),
-      getOwn: () => undefined,
+      getOwnSource: () => undefined,
       relayed: this._relayed,
-      isInTouch: () => true,
+      hasLeaderContact: () => true,
       isFirstStart: false,
       onEntriesChanged: () => {},
     });
@@ -71,7 +71,7 @@
   agree(version: number, ended: readonly string[]): void {
     this.agreedVersion = version;
     for (const id of ended) this.ended.add(id);
-    this._relayed.updateAgreed();
+    this._relayed.updateCommitted();
     this.hub.notify();
   }
 
--- a/test/registration/relays.test.ts
+++ b/test/registration/relays.test.ts
@@ -114,9 +114,9 @@
     const clock = { getMonotonicMs: () => 0, getWallMs: () => 0 };
     const hub = new ViewHub({
       clock,
-      getOwn: () => own,
+      getOwnSource: () => own,
       relayed,
-      isInTouch: () => isInTouch,
+      hasLeaderContact: () => isInTouch,
       isFirstStart: false,
       onEntriesChanged: () => {},
     });
@@ -147,9 +147,9 @@
     const clock = { getMonotonicMs: () => 0, getWallMs: () => 0 };
     const hub = new ViewHub({
       clock,
-      getOwn: () => undefined,
+      getOwnSource: () => undefined,
       relayed,
-      isInTouch: () => true,
+      hasLeaderContact: () => true,
       isFirstStart: true,
       onEntriesChanged: () => {},
     });
--- a/test/registration/view.test.ts
+++ b/test/registration/view.test.ts
@@ -122,9 +122,9 @@
     }
     const position = view.getPosition();
     expect(view.createUpdate(1, position, 0, true).entryCount).toBe(0);
-    const { revisionBesideEntries } = view;
+    const { revisionExceptEntries } = view;
     view.setEntries(entries.slice(1));
-    expect(view.revisionBesideEntries).toBe(revisionBesideEntries);
+    expect(view.revisionExceptEntries).toBe(revisionExceptEntries);
     expect(view.revision).toBeGreaterThan(position.revision);
   });
 });
