--- a/test/registration/FleetLeadership.test.ts
+++ b/test/registration/FleetLeadership.test.ts
@@ -1,13 +1,12 @@
 /**
- * Users of a large fleet saw service that had come back after a loss of power end again for ten
- * seconds. Instances ran and reported all the while, but the calls by which control processes passed
- * their reports on timed out at a leader that had just begun to lead. Three seconds into its term it
- * took all that it had not heard of for absent, gave up every replica that had such a member, and
- * told entries that the view was complete without them.
+ * Guards against a new leader that retires replicas whose instances still run. After a power loss the calls by which
+ * control processes forward instance reports may time out at a leader that has just started. A leader that counts
+ * every instance without a report as absent three seconds into its term retires each replica with such an instance
+ * and publishes the view as complete without it, so that service that has resumed is interrupted for ten seconds.
  *
- * Evidence: in the logs of one such day 18 replicas were retired 3.2 s into a term, each with a member
- * logged as `unknown`, after `reports_not_relayed` at all processes until 0.7 s before; with 222
- * instances that never stopped, 8 and 31 of 32 replicas (measured by `powerLoss`, two runs).
+ * In the logs of one such case 18 replicas are retired 3.2 s into a term, each with a member logged as `unknown`,
+ * and all processes log `reports_not_relayed` until 0.7 s before. With 222 instances that never stop, two runs of
+ * `powerLoss` lost 8 and 31 of 32 replicas.
  */
 import { create } from "@bufbuild/protobuf";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
@@ -26,7 +25,10 @@
 const DOMAINS = ["f", "g"];
 const MEMBERS = ["leader", "f", "g"];
 
-/** Two replicas, one in each fabric domain; the instances of a domain report to the member of its name. */
+/**
+ * Two replicas, one in each fabric domain. The instances of a domain report to the control process of the
+ * same name.
+ */
 const REPLICAS: readonly Replica[] = DOMAINS.map((fabricDomain, i) => ({
   ...createReplica(i + 1, createInstances(2, { fabricDomain })).replica,
   group: "m",
@@ -37,8 +39,8 @@
   let now: number;
   let sequence: number;
   let departures: string[];
-  /** Members that answer the agreement. */
-  let alive: Set<string>;
+  /** Other members that answer in consensus. */
+  let answeringMembers: Set<string>;
   let retired: string[];
   let leadership: FleetLeadership;
 
@@ -46,7 +48,7 @@
     vi.useFakeTimers();
     now = 100_000;
     sequence = 0;
-    alive = new Set(["f", "g"]);
+    answeringMembers = new Set(["f", "g"]);
     retired = [];
     departures = [];
     const clock = { getMonotonicMs: () => now, getWallMs: () => now };
@@ -107,7 +109,7 @@
         term: 2,
         commitIndex: 1,
         membership: { members },
-        getProgress: (id: string) => ({ answeredAt: alive.has(id) ? now : 0 }),
+        getProgress: (id: string) => ({ answeredAt: answeringMembers.has(id) ? now : 0 }),
       },
       machine,
       propose: ({ case: kind, value }: Command["body"]) => {
@@ -117,8 +119,8 @@
     } as unknown as ConsensusDriver;
   }
 
-  /** A control process passes on what the instances of its fabric domain report. */
-  async function relay(domain: string): Promise<void> {
+  /** Forwards the reports of all instances in a fabric domain from the control process of that name. */
+  async function forwardReports(domain: string): Promise<void> {
     sequence += 1;
     const replica = REPLICAS.find(({ fabricDomain }) => fabricDomain === domain)!;
     const reports = replica.members.map(({ instanceId, address }, rank) =>
@@ -140,29 +142,29 @@
     await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: domain, reports }));
   }
 
-  async function pass(milliseconds: number, relaying: readonly string[]): Promise<void> {
+  async function advance(milliseconds: number, domains: readonly string[]): Promise<void> {
     for (const endAt = now + milliseconds; now < endAt; now += REPORT_MS) {
-      for (const domain of relaying) await relay(domain);
+      for (const domain of domains) await forwardReports(domain);
       await vi.advanceTimersByTimeAsync(REPORT_MS);
     }
   }
 
-  it("gives up no replica whose reports are held up on their way to it", async () => {
-    await pass(PRESENCE_MS + 1_200, ["f"]);
+  it("retires no replica whose reports are delayed on the way to the leader", async () => {
+    await advance(PRESENCE_MS + 1_200, ["f"]);
     expect(retired).toEqual([]);
     expect(leadership.view.isComplete).toBe(false);
-    await pass(PRESENCE_MS * 2, DOMAINS);
+    await advance(PRESENCE_MS * 2, DOMAINS);
     expect(retired).toEqual([]);
     expect(leadership.view.isComplete).toBe(true);
     expect(leadership.view.targetCount).toBe(DOMAINS.length);
   });
 
   /**
-   * A process keeps what an instance told it for ten seconds, though the instance reports to another one
-   * now. Within a second of a change of leader replicas were given up for reports 5.6 to 8.6 s
-   * old, of instances that had no place yet (logs of two days with killed leaders).
+   * A control process retains an instance's report for ten seconds, although the instance reports to another
+   * process meanwhile. A leader that uses such reports, 5.6 to 8.6 s old and sent by instances before they had a
+   * place, retires replicas within a second of a change of leader.
    */
-  it("gives up no replica for what its instances said before they took their places", async () => {
+  it("retires no replica due to reports that its instances sent before they took their places", async () => {
     const reports = REPLICAS.flatMap(({ fabricDomain, members }) =>
       members.map(({ instanceId, address }) =>
         create(InstanceReportSchema, {
@@ -178,18 +180,18 @@
     await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: "f", reports }));
     await vi.advanceTimersByTimeAsync(REPORT_MS);
     expect(retired).toEqual([]);
-    await pass(PRESENCE_MS * 2, DOMAINS);
+    await advance(PRESENCE_MS * 2, DOMAINS);
     expect(retired).toEqual([]);
   });
 
-  it("gives up a replica in time whose instances are gone together with their control process", async () => {
-    alive.delete("g");
-    await pass(PRESENCE_MS + 1_200, ["f"]);
+  it("retires a replica in time when its instances fail together with their control process", async () => {
+    answeringMembers.delete("g");
+    await advance(PRESENCE_MS + 1_200, ["f"]);
     expect(new Set(retired)).toEqual(new Set(["g-2"]));
     expect(leadership.view.isComplete).toBe(true);
   });
 
-  it("tells of instances that departed once, however many they were", async () => {
+  it("publishes each departed instance once, regardless of the number of departures", async () => {
     departures = Array.from({ length: 3_000 }, (_, i) => `old-${i}`);
     leadership.publish();
     const { revision } = leadership.view;
@@ -197,16 +199,16 @@
     expect(leadership.view.revision).toBe(revision);
     const first = leadership.view.createUpdate(2, undefined, 0);
     expect(first.removedTargetIds).toContain("old-2999");
-    await pass(PRESENCE_MS + 1_200, DOMAINS);
+    await advance(PRESENCE_MS + 1_200, DOMAINS);
     expect(leadership.view.isComplete).toBe(true);
     const complete = leadership.view.revision;
     departures.push("newest");
-    await pass(PRESENCE_MS, DOMAINS);
+    await advance(PRESENCE_MS, DOMAINS);
     expect(leadership.view.revision).toBe(complete);
   });
 
-  it("waits no longer for a control process than its instances stay with it", async () => {
-    await pass(PRESENCE_MS * 4, ["f"]);
+  it("waits for a control process no longer than its instances keep reporting to it", async () => {
+    await advance(PRESENCE_MS * 4, ["f"]);
     expect(new Set(retired)).toEqual(new Set(["g-2"]));
   });
 });
--- a/test/registration/FleetRelay.test.ts
+++ b/test/registration/FleetRelay.test.ts
@@ -1,14 +1,12 @@
 /**
- * A control process that is cut off must let its entries go while they can still keep what entries in touch promise.
+ * Guards against a partitioned control process that keeps its entries for too long. A connected entry must receive
+ * an acknowledged change within 3 s after a partition begins. If the partitioned process publishes its view for all
+ * of these 3 s, or counts them from the end of its leadership instead of the last answer of a majority, the entry
+ * has no time left to switch to another process.
  *
- * What was seen: the leader was cut off while changes went on at the others; an entry refused a route of a version that had
- * been acknowledged 2.3 s before, with 404, 3 s after the cut had begun.
- * What happened: the entry stayed for 3.5 s with a control process that had lost the leader, and found another one 0.4 s
- * later, which told it of sixteen versions at once.
- * Cause: a process that heard no leader any more spoke for it for 3 s, as long as all that entries in touch have, and one that
- * had led counted them from the end of its leadership and not from the last answer of a majority.
- * Evidence: in the entry's log the last version before the cut, the end of the call 3.5 s after it, and the versions that
- * it was told of once it had found another process; two plays of two broke the promise.
+ * Without the shorter times an entry stays with a partitioned leader for 3.5 s and finds another control process
+ * 0.4 s later, which sends it sixteen versions at once. In two runs of two an entry refused with 404, 3 s after the
+ * partition began, a route of a version that had been acknowledged 2.3 s before.
  */
 import { create } from "@bufbuild/protobuf";
 import { beforeEach, describe, expect, it, vi } from "vitest";
@@ -23,40 +21,43 @@
 import { TransportPool } from "../../src/rpc";
 import { StateMachine } from "../../src/state";
 
-/** What entries in touch have to be told of an acknowledged change after a cut, milliseconds. */
+/**
+ * Time after a partition begins within which connected entries must receive an acknowledged change,
+ * milliseconds.
+ */
 const CONTACT_MS = 3_000;
-/** A watcher's call looks at least so often whether there is anybody to speak for. */
+/** Maximum interval at which a watch call checks whether the process may still publish a view. */
 const WATCH_HEARTBEAT_MS = 300;
-/** An entry that searches may meet one more process that is cut off before it is told everything. */
+/** An entry that searches may call one more partitioned process before it receives all changes. */
 const SEARCH_MS = 700;
-/** What a process may go on speaking for a leader that it doesn't hear. */
-const ISOLATED_MS = CONTACT_MS - WATCH_HEARTBEAT_MS - SEARCH_MS;
-/** A leader without answers leads on for so long. */
+/** Maximum time for which a process may publish the view of a leader from which it receives nothing. */
+const PARTITIONED_MS = CONTACT_MS - WATCH_HEARTBEAT_MS - SEARCH_MS;
+/** Time after which a leader without answers steps down. */
 const STEP_DOWN_MS = 1_000;
-/** Longer than an election between members that answer. */
+/** Longer than an election among members that answer. */
 const ELECTION_MS = 1_400;
 
-/** What it showed before it was started: an entry that may be gone. */
+/** The view that the process published before it started; its entry may have been removed. */
 const recovered = create(ViewUpdateSchema, {
   entries: create(EntryListSchema, { entries: [create(EntryEndpointSchema, { address: "127.0.0.1:3" })] }),
 });
 
-describe("a control process that no longer hears a leader", () => {
+describe("FleetRelay without contact with a leader", () => {
   let now: number;
-  let leads: boolean;
+  let isLeading: boolean;
   let isElecting: boolean;
   let leaderId: string;
   let quorumContactAt: number;
-  let agreedContactAt: number | undefined;
+  let consensusContactAt: number | undefined;
   let relay: FleetRelay;
 
   beforeEach(() => {
     now = 10_000;
-    leads = true;
+    isLeading = true;
     isElecting = false;
     leaderId = "this";
     quorumContactAt = now;
-    agreedContactAt = undefined;
+    consensusContactAt = undefined;
     const node = {
       id: "this",
       term: 3,
@@ -70,12 +71,12 @@
     relay = new FleetRelay({
       driver: {
         node,
-        isLeader: () => leads,
+        isLeader: () => isLeading,
         getLeaderAddress: () => "",
-        getCaughtUpContactAt: () => agreedContactAt,
+        getCaughtUpContactAt: () => consensusContactAt,
         machine: new StateMachine(),
       } as never,
-      getLeadership: () => (leads ? (leadership as never) : undefined),
+      getLeadership: () => (isLeading ? (leadership as never) : undefined),
       getSeeds: () => [],
       listen: "127.0.0.1:1",
       publicAddress: "127.0.0.1:2",
@@ -88,90 +89,90 @@
     });
   });
 
-  function isSpokenFor(at: number): boolean {
+  function publishesView(at: number): boolean {
     now = at;
     return relay.hub.getSource() !== undefined;
   }
 
-  it("lets entries go in time, counted from the last answer of a majority, if it led", () => {
-    const cutAt = now;
-    // It leads on until it misses the majority, and entries are shown its view meanwhile.
-    for (let at = cutAt; at < cutAt + STEP_DOWN_MS; at += WATCH_HEARTBEAT_MS) {
-      expect(isSpokenFor(at)).toBe(true);
+  it("releases its entries in time, counted from the last answer of a majority when it led before", () => {
+    const partitionedAt = now;
+    // It leads until it detects that the majority is missing, and publishes its view meanwhile.
+    for (let at = partitionedAt; at < partitionedAt + STEP_DOWN_MS; at += WATCH_HEARTBEAT_MS) {
+      expect(publishesView(at)).toBe(true);
     }
-    leads = false;
+    isLeading = false;
     leaderId = "";
-    expect(isSpokenFor(cutAt + STEP_DOWN_MS)).toBe(true);
-    expect(isSpokenFor(cutAt + ISOLATED_MS)).toBe(false);
+    expect(publishesView(partitionedAt + STEP_DOWN_MS)).toBe(true);
+    expect(publishesView(partitionedAt + PARTITIONED_MS)).toBe(false);
   });
 
-  it("keeps them while a majority elects, and until the new leader's view has come", () => {
-    const diedAt = now;
-    expect(isSpokenFor(diedAt)).toBe(true);
-    leads = false;
+  it("keeps its entries during an election and until the new leader's view arrives", () => {
+    const failedAt = now;
+    expect(publishesView(failedAt)).toBe(true);
+    isLeading = false;
     leaderId = "";
     isElecting = true;
-    for (let at = diedAt; at <= diedAt + ELECTION_MS; at += WATCH_HEARTBEAT_MS) {
-      expect(isSpokenFor(at)).toBe(true);
+    for (let at = failedAt; at <= failedAt + ELECTION_MS; at += WATCH_HEARTBEAT_MS) {
+      expect(publishesView(at)).toBe(true);
     }
     isElecting = false;
     leaderId = "other";
-    expect(isSpokenFor(diedAt + ELECTION_MS + WATCH_HEARTBEAT_MS)).toBe(true);
+    expect(publishesView(failedAt + ELECTION_MS + WATCH_HEARTBEAT_MS)).toBe(true);
   });
 
-  it("lets them go in time as well where it hears of a leader, but is shown nothing", () => {
-    const heardAt = now;
-    expect(isSpokenFor(heardAt)).toBe(true);
-    leads = false;
+  it("releases its entries in time when there is a leader from which it receives no view", () => {
+    const contactAt = now;
+    expect(publishesView(contactAt)).toBe(true);
+    isLeading = false;
     leaderId = "other";
-    expect(isSpokenFor(heardAt + CONTACT_MS - WATCH_HEARTBEAT_MS)).toBe(false);
+    expect(publishesView(contactAt + CONTACT_MS - WATCH_HEARTBEAT_MS)).toBe(false);
   });
 
-  it("keeps them for as long as it follows a leader in the agreement, though it is shown nothing", () => {
-    const heardAt = now;
-    leads = false;
+  it("keeps its entries while it follows a leader in consensus without receiving a view", () => {
+    const contactAt = now;
+    isLeading = false;
     leaderId = "other";
-    for (let at = heardAt; at <= heardAt + 3 * CONTACT_MS; at += WATCH_HEARTBEAT_MS) {
-      agreedContactAt = at;
-      expect(isSpokenFor(at)).toBe(true);
+    for (let at = contactAt; at <= contactAt + 3 * CONTACT_MS; at += WATCH_HEARTBEAT_MS) {
+      consensusContactAt = at;
+      expect(publishesView(at)).toBe(true);
     }
-    expect(isSpokenFor(heardAt + 3 * CONTACT_MS + CONTACT_MS - WATCH_HEARTBEAT_MS)).toBe(false);
+    expect(publishesView(contactAt + 3 * CONTACT_MS + CONTACT_MS - WATCH_HEARTBEAT_MS)).toBe(false);
   });
 
-  it("names no entry that no leader has shown it, though it follows one in the agreement", () => {
-    leads = false;
+  it("lists no recovered entry while it follows a leader in consensus without receiving a view", () => {
+    isLeading = false;
     leaderId = "other";
     expect(relay.getEntries()).toHaveLength(1);
     for (const after of [6_000, 20_000]) {
       now = 10_000 + after;
-      agreedContactAt = now;
+      consensusContactAt = now;
       expect(relay.hub.getSource(1)).toBeDefined();
       expect(relay.getEntries()).toEqual([]);
     }
   });
 
-  it("tells the leader at once of targets that it was not told of, and of the others with what else it is told", () => {
+  it("reports newly suspected targets to the leader at once, and the others with the next report", () => {
     const sendSoon = vi.spyOn(relay.sender, "sendSoon").mockImplementation(() => {});
-    const see = (...ids: string[]) =>
+    const suspect = (...ids: string[]) =>
       relay.reportSuspicions(ids.map((targetId) => create(SuspicionSchema, { targetId })));
-    see("a", "b");
-    for (let entry = 0; entry < 64; entry++) see("b", "a");
+    suspect("a", "b");
+    for (let entry = 0; entry < 64; entry++) suspect("b", "a");
     expect(sendSoon).toHaveBeenCalledTimes(1);
-    see("a", "c");
+    suspect("a", "c");
     expect(sendSoon).toHaveBeenCalledTimes(2);
   });
 
-  it("takes reports for a leader that it follows, unless it could tell it of none for long", () => {
-    leads = false;
+  it("accepts reports for a leader that it follows, unless forwarding them has failed for too long", () => {
+    isLeading = false;
     leaderId = "other";
     now = 20_000;
-    agreedContactAt = now;
+    consensusContactAt = now;
     expect(relay.acceptsReports()).toBe(true);
     const failing = vi.spyOn(relay.sender, "getFailingMs").mockReturnValue(3_000);
     expect(relay.acceptsReports()).toBe(true);
     failing.mockReturnValue(4_500);
     expect(relay.acceptsReports()).toBe(false);
-    agreedContactAt = undefined;
+    consensusContactAt = undefined;
     failing.mockReturnValue(0);
     now += 1_000;
     expect(relay.acceptsReports()).toBe(false);
--- a/test/registration/KnownView.test.ts
+++ b/test/registration/KnownView.test.ts
@@ -25,53 +25,53 @@
   return view;
 }
 
-describe("KnownView", () => {
+describe("PersistedView", () => {
   let folder: string;
   let events: string[];
-  let keptVersions: number[];
+  let persistedVersions: number[];
   let now = 0;
   let logger: Logger;
   const getNow = () => now;
 
   beforeEach(() => {
     folder = mkdtempSync(join(tmpdir(), "view-"));
-    // A write of an earlier test may end in this one: each has lists of its own.
-    const nowEvents: string[] = [];
-    const nowKept: number[] = [];
-    events = nowEvents;
-    keptVersions = nowKept;
+    // A write of an earlier test may end during this one, so each test has its own lists.
+    const testEvents: string[] = [];
+    const testVersions: number[] = [];
+    events = testEvents;
+    persistedVersions = testVersions;
     logger = {
-      info: ({ version }: { version: number }) => nowKept.push(version),
-      warn: ({ event }: { event: string }) => nowEvents.push(event),
+      info: ({ version }: { version: number }) => testVersions.push(version),
+      warn: ({ event }: { event: string }) => testEvents.push(event),
     } as never;
     now = 0;
   });
   afterEach(() => rmSync(folder, { recursive: true, force: true }));
 
   async function waitForVersion(version: number): Promise<void> {
-    await waitUntil("it is kept", async () => {
+    await waitUntil("the view is persisted", async () => {
       const { recovered } = await KnownView.open(folder, logger);
       return recovered?.declaration?.version === version;
     });
   }
 
-  it("gives after a restart what was shown last, confirmed by nobody", async () => {
-    const known = await KnownView.open(folder, logger);
-    expect(known.recovered).toBeUndefined();
+  it("recovers the last published view after a restart, as not confirmed", async () => {
+    const persistedView = await KnownView.open(folder, logger);
+    expect(persistedView.recovered).toBeUndefined();
     const view = createView(7, ["a", "b"]);
-    known.start(() => ({ term: 3, view }), getNow);
+    persistedView.start(() => ({ term: 3, view }), getNow);
     await waitForVersion(7);
-    known.stop();
+    persistedView.stop();
     const { recovered } = await KnownView.open(folder, logger);
     expect(recovered).toMatchObject({ term: RECOVERED_TERM, complete: false, removedTargetIds: [] });
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a", "b"]);
     expect(recovered?.entries?.entries).toEqual([ENTRY]);
   });
 
-  it("keeps a new declaration at once, and never a view that it recovered itself", async () => {
-    const known = await KnownView.open(folder, logger);
+  it("writes a new declaration at once, and never writes a recovered view", async () => {
+    const persistedView = await KnownView.open(folder, logger);
     let source = { term: 3, view: createView(7, ["a"]) };
-    known.start(() => source, getNow);
+    persistedView.start(() => source, getNow);
     await waitForVersion(7);
     source = { term: 3, view: createView(8, ["a"]) };
     await waitForVersion(8);
@@ -79,64 +79,64 @@
     now = 10_000;
     await new Promise((resolve) => setTimeout(resolve, 200));
     await waitForVersion(8);
-    known.stop();
+    persistedView.stop();
     expect(events).toEqual([]);
-    expect(keptVersions).toEqual([7, 8]);
+    expect(persistedVersions).toEqual([7, 8]);
   });
 
-  it("keeps a declaration that is agreed on beside what was shown, though nobody has shown it yet", async () => {
-    const known = await KnownView.open(folder, logger);
-    known.start(() => ({ term: 3, view: createView(7, ["a"]) }), getNow);
+  it("adds a newly committed declaration to the persisted view before a leader publishes it", async () => {
+    const persistedView = await KnownView.open(folder, logger);
+    persistedView.start(() => ({ term: 3, view: createView(7, ["a"]) }), getNow);
     await waitForVersion(7);
-    known.stop();
+    persistedView.stop();
 
-    const later = await KnownView.open(folder, logger);
-    const getAgreed = () => create(DeclarationSchema, { version: 9 });
-    later.start(() => undefined, getNow, getAgreed);
+    const restartedView = await KnownView.open(folder, logger);
+    const getCommitted = () => create(DeclarationSchema, { version: 9 });
+    restartedView.start(() => undefined, getNow, getCommitted);
     await waitForVersion(9);
-    later.stop();
+    restartedView.stop();
     const { recovered } = await KnownView.open(folder, logger);
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a"]);
   });
 
-  it("keeps no declaration alone: an entry would find no target there", async () => {
-    const known = await KnownView.open(folder, logger);
-    known.start(
+  it("writes no declaration without a view, because an entry would get no targets from it", async () => {
+    const persistedView = await KnownView.open(folder, logger);
+    persistedView.start(
       () => undefined,
       getNow,
       () => create(DeclarationSchema, { version: 9 }),
     );
     await new Promise((resolve) => setTimeout(resolve, 200));
-    known.stop();
+    persistedView.stop();
     expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
   });
 
-  it("takes a damaged file for none, and goes on when it can't be written", async () => {
+  it("ignores a damaged file, and retries after a failed write", async () => {
     writeFileSync(join(folder, "view.bin"), "no view");
     expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
     expect(events).toEqual(["view_not_recovered"]);
     rmSync(folder, { recursive: true });
-    const known = await KnownView.open(folder, logger);
+    const persistedView = await KnownView.open(folder, logger);
     const source = { term: 1, view: createView(1, []) };
-    known.start(() => source, getNow);
-    await waitUntil("it is told", () => events.includes("view_not_kept"));
+    persistedView.start(() => source, getNow);
+    await waitUntil("the failed write is logged", () => events.includes("view_not_kept"));
     mkdirSync(folder);
     await new Promise((resolve) => setTimeout(resolve, 200));
     expect(events.filter((event) => event === "view_not_kept")).toHaveLength(1);
     now = 1_000;
     await waitForVersion(1);
-    known.stop();
+    persistedView.stop();
   });
 });
 
-describe("a recovered view", () => {
+describe("RelayedView of a recovered view", () => {
   const recovered = createView(4, ["old", "kept"]).createUpdate(RECOVERED_TERM, undefined, 0);
   recovered.complete = false;
 
-  let agreedVersion = 0;
-  const agreed = new AgreedFacts(() => ({
+  let committedVersion = 0;
+  const committed = new AgreedFacts(() => ({
     getDeclaration: () =>
-      agreedVersion === 0 ? undefined : create(DeclarationSchema, { version: agreedVersion }),
+      committedVersion === 0 ? undefined : create(DeclarationSchema, { version: committedVersion }),
     getReplica: () => undefined,
     getKnownReplicas: () => [],
     getDepartures: () => [],
@@ -144,16 +144,16 @@
   }));
 
   beforeEach(() => {
-    agreedVersion = 0;
+    committedVersion = 0;
   });
 
   function createRelay() {
     const followed = new FollowedView();
     followed.apply(recovered);
-    return { followed, relayed: new RelayedView(followed, agreed) };
+    return { followed, relayed: new RelayedView(followed, committed) };
   }
 
-  it("is shown until a leader is heard, and ends with that leader's complete view", () => {
+  it("is published until a leader's complete view replaces it", () => {
     const { followed, relayed } = createRelay();
     expect(relayed.source.term).toBe(RECOVERED_TERM);
     const entry = new FollowedView();
@@ -162,21 +162,21 @@
 
     const leader = new FleetView();
     leader.setTargets([create(TargetSchema, { id: "kept" })]);
-    const first = leader.createUpdate(5, undefined, 4);
-    followed.apply(first);
-    relayed.addUpdate(first);
+    const firstUpdate = leader.createUpdate(5, undefined, 4);
+    followed.apply(firstUpdate);
+    relayed.addUpdate(firstUpdate);
     entry.apply(relayed.source.view.createUpdate(5, undefined, 4));
     expect(entry.getTargets().map((target) => target.id)).toEqual(["old", "kept"]);
 
     leader.setComplete();
-    const whole = leader.createUpdate(5, undefined, 4);
-    followed.apply(whole);
-    relayed.addUpdate(whole);
+    const completeUpdate = leader.createUpdate(5, undefined, 4);
+    followed.apply(completeUpdate);
+    relayed.addUpdate(completeUpdate);
     entry.apply(relayed.source.view.createUpdate(5, undefined, 4));
     expect(entry.getTargets().map((target) => target.id)).toEqual(["kept"]);
   });
 
-  it("changes nothing at an entry that heard a leader, and no declaration goes back", () => {
+  it("changes neither the targets nor the declaration of an entry that has a leader's view", () => {
     const { relayed } = createRelay();
     const entry = new FollowedView();
     entry.apply(createView(6, ["new"]).createUpdate(5, undefined, 0));
@@ -185,11 +185,11 @@
     expect(entry.declaration?.version).toBe(6);
   });
 
-  it("is shown with a declaration that was agreed on since, and an entry that heard a leader takes that over alone", () => {
+  it("contains a newly committed declaration, which is all that an entry with a leader's view applies", () => {
     const { relayed } = createRelay();
     const entry = new FollowedView();
     entry.apply(createView(6, ["new"]).createUpdate(5, undefined, 0));
-    agreedVersion = 7;
+    committedVersion = 7;
     relayed.updateCommitted();
     expect(entry.apply(relayed.source.view.createUpdate(RECOVERED_TERM, undefined, 0))).toBe(false);
     expect(entry.declaration?.version).toBe(7);
@@ -197,15 +197,15 @@
     expect(entry.getTargets().map((target) => target.id)).toEqual(["new"]);
   });
 
-  it("stays empty where there is none, whatever is agreed on", () => {
-    const relayed = new RelayedView(new FollowedView(), agreed);
-    agreedVersion = 7;
+  it("stays empty without a recovered view, even after a declaration is committed", () => {
+    const relayed = new RelayedView(new FollowedView(), committed);
+    committedVersion = 7;
     relayed.updateCommitted();
     expect(relayed.isEmpty).toBe(true);
     expect(createRelay().relayed.isEmpty).toBe(false);
   });
 
-  it("is shown only where there is one: an entry must not stay with a process that lost its disk", () => {
+  it("is published only if it is not empty: an entry must not stay with a process that lost its disk", () => {
     const empty = new FollowedView();
     const createHub = (relayed: RelayedView, isFirstStart = false) =>
       new ViewHub({
@@ -218,7 +218,8 @@
       });
     expect(createHub(new RelayedView(empty)).getSource()).toBeUndefined();
     expect(createHub(createRelay().relayed).getSource()?.term).toBe(RECOVERED_TERM);
-    // At the very first start nobody has one: whoever is refused only asks the next process.
+    // At the first start of the whole system no process has a view, and a refused entry would only ask the
+    // next process.
     expect(createHub(new RelayedView(empty), true).getSource()?.term).toBe(RECOVERED_TERM);
   });
 });
--- a/test/registration/ShownViewLog.test.ts
+++ b/test/registration/ShownViewLog.test.ts
@@ -5,7 +5,7 @@
 import { PublishedViewLog } from "../../src/registration/ShownViewLog";
 
 describe("ShownViewLog", () => {
-  it("tells each change of what watchers are shown, five a second at most, the last one always", () => {
+  it("logs changes of the published view at most five times a second, and always the last one", () => {
     const lines: object[] = [];
     const log = new PublishedViewLog({ info: (line: object) => lines.push(line) } as never);
     const view = new FleetView();
--- a/test/registration/ViewWatcher.test.ts
+++ b/test/registration/ViewWatcher.test.ts
@@ -8,7 +8,7 @@
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
 
-/** A leader that has just begun answers later than a watcher waits at first. */
+/** A leader that has just started answers later than the first response timeout. */
 const ANSWER_MS = 1_000;
 
 describe("ViewWatcher", () => {
@@ -36,7 +36,7 @@
     });
   }
 
-  it("is stopped in order before it has asked any process", async () => {
+  it("stops cleanly before it has called any process", async () => {
     const [listen] = await getFreeAddresses(1);
     watcher = createWatcher(listen!, new FollowedView());
     await watcher.announceStop();
@@ -44,7 +44,7 @@
     expect(watcher.isConnected).toBe(false);
   });
 
-  it("waits longer for the only process that leads, instead of asking it again and again", async () => {
+  it("doubles the timeout for the only candidate instead of calling it repeatedly", async () => {
     const [listen] = await getFreeAddresses(1);
     let asked = 0;
     server = await RpcServer.start({
--- a/test/registration/heldEntries.test.ts
+++ b/test/registration/heldEntries.test.ts
@@ -18,10 +18,10 @@
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
 
-/** Control processes of the smallest deployments. */
+/** Control processes of the smallest deployment. */
 const CONTROLS = 3;
-/** An election on small machines takes as long. */
-const LEADERLESS_MS = 1_500;
+/** Duration of an election on small machines, milliseconds. */
+const ELECTION_MS = 1_500;
 
 function createDeclaration(version: number): Declaration {
   return create(DeclarationSchema, { version, document: new Uint8Array([version]) });
@@ -36,26 +36,27 @@
   });
 }
 
-/** A control process that shows what it kept on disk until a leader shows it its view. */
+/** A control process that publishes its recovered view until it receives a leader's view. */
 class RecoveredControl {
   readonly followed = new FollowedView();
   readonly hub: ViewHub;
   calls = 0;
-  agreedVersion = 0;
+  committedVersion = 0;
   readonly ended = new Set<string>();
   private readonly _relayed: RelayedView;
 
   constructor(recovered: ViewUpdate) {
     this.followed.apply(recovered);
-    const agreed = {
-      getDeclaration: () => (this.agreedVersion === 0 ? undefined : createDeclaration(this.agreedVersion)),
+    const committed = {
+      getDeclaration: () =>
+        this.committedVersion === 0 ? undefined : createDeclaration(this.committedVersion),
       hasEnded: ({ id }: { id: string }) => this.ended.has(id),
     };
     this._relayed = new RelayedView(this.followed, {
       get declaration() {
-        return agreed.getDeclaration();
+        return committed.getDeclaration();
       },
-      hasEnded: agreed.hasEnded,
+      hasEnded: committed.hasEnded,
       getEndedTargetIds: () => [...this.ended],
     } as never);
     this.hub = new ViewHub({
@@ -68,14 +69,14 @@
     });
   }
 
-  agree(version: number, ended: readonly string[]): void {
-    this.agreedVersion = version;
+  commit(version: number, ended: readonly string[]): void {
+    this.committedVersion = version;
     for (const id of ended) this.ended.add(id);
     this._relayed.updateCommitted();
     this.hub.notify();
   }
 
-  showLeader(update: ViewUpdate): void {
+  applyUpdate(update: ViewUpdate): void {
     this.followed.apply(update);
     this._relayed.addUpdate(update);
     this.hub.notify();
@@ -100,7 +101,7 @@
   }
 }
 
-describe("an entry that goes by a leader's view", () => {
+describe("an entry with a leader's view", () => {
   let controls: RecoveredControl[];
   let servers: RpcServer[];
   let watcher: ViewWatcher;
@@ -134,38 +135,38 @@
 
   const getCalls = () => controls.reduce((sum, { calls }) => sum + calls, 0);
 
-  it("asks no control process after the other while none of them has been shown a newer one", async () => {
-    await waitUntil("it is held", () => watcher.isConnected);
+  it("stays with one control process while no process has a newer view", async () => {
+    await waitUntil("the entry is connected", () => watcher.isConnected);
     const calls = getCalls();
-    await new Promise((resolve) => setTimeout(resolve, LEADERLESS_MS));
+    await new Promise((resolve) => setTimeout(resolve, ELECTION_MS));
     expect(getCalls()).toBe(calls);
     expect(view.term).toBe(3);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept", "left"]);
   });
 
-  it("is told there what is agreed on, and the next leader's view once it has come", async () => {
-    await waitUntil("it is held", () => watcher.isConnected);
+  it("receives committed changes from that process, and then the next leader's view", async () => {
+    await waitUntil("the entry is connected", () => watcher.isConnected);
     const calls = getCalls();
-    for (const control of controls) control.agree(8, ["left"]);
-    await waitUntil("it has the declaration", () => view.declaration?.version === 8);
+    for (const control of controls) control.commit(8, ["left"]);
+    await waitUntil("the declaration arrives", () => view.declaration?.version === 8);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept"]);
-    for (const control of controls) control.showLeader(createUpdate(4, 8, ["kept", "new"]));
-    await waitUntil("it has the view", () => view.term === 4);
+    for (const control of controls) control.applyUpdate(createUpdate(4, 8, ["kept", "new"]));
+    await waitUntil("the view arrives", () => view.term === 4);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept", "new"]);
     expect(watcher.isShown).toBe(true);
     expect(getCalls()).toBe(calls);
   });
 
-  it("loses a target that is agreed to be over, whether its control process ever held it or not, and no other", async () => {
-    await waitUntil("it is held", () => watcher.isConnected);
+  it("removes only targets committed as ended, including those that its control process never had", async () => {
+    await waitUntil("the entry is connected", () => watcher.isConnected);
     view.apply(createUpdate(3, 7, ["kept", "left", "elsewhere"]));
     for (const control of controls) {
-      // In an older term it was closed for a moment.
-      control.showLeader(createUpdate(2, 7, ["kept", "left"]));
-      control.showLeader(create(ViewUpdateSchema, { term: 2, removedTargetIds: ["kept"] }));
-      control.agree(8, ["elsewhere"]);
+      // The target was closed for a moment in an older term.
+      control.applyUpdate(createUpdate(2, 7, ["kept", "left"]));
+      control.applyUpdate(create(ViewUpdateSchema, { term: 2, removedTargetIds: ["kept"] }));
+      control.commit(8, ["elsewhere"]);
     }
-    await waitUntil("it has the declaration", () => view.declaration?.version === 8);
+    await waitUntil("the declaration arrives", () => view.declaration?.version === 8);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept", "left"]);
   });
 });
--- a/test/registration/relays.test.ts
+++ b/test/registration/relays.test.ts
@@ -29,7 +29,7 @@
 }
 
 describe("orderByAffinity", () => {
-  it("spreads keys evenly and moves only those of an address that goes", () => {
+  it("spreads keys evenly and moves only the keys of a removed address", () => {
     const keys = Array.from({ length: 500 }, (_, i) => `key-${i}`);
     const before = keys.map((key) => orderByAffinity(key, ADDRESSES)[0]);
     for (const address of ADDRESSES) {
@@ -42,7 +42,7 @@
 });
 
 describe("EntryRoster", () => {
-  it("keeps an entry whose call ended for a moment, and one that called again", () => {
+  it("keeps an entry for 300 ms after its call ended, and while a later call of it is open", () => {
     const roster = new EntryRoster();
     const [first, second] = [createEntry("a:1"), createEntry("a:1")];
     roster.addEntry("x", first);
@@ -58,7 +58,7 @@
 });
 
 describe("RelayRoster", () => {
-  it("spreads instances over active relays and keeps the entries of a silent one for a while", () => {
+  it("spreads instances over active relays and keeps the entries of an inactive one for 5 s", () => {
     const roster = new RelayRoster();
     expect(roster.chooseRelay(0, "i")).toBeUndefined();
     roster.addReport(0, "a:1", [createEntry("x:1")]);
@@ -73,7 +73,7 @@
 });
 
 describe("LeaderContact", () => {
-  it("gives a process that just started time to find a leader, and one that lost it its patience", () => {
+  it("allows 5 s after the start to find a leader, and the given timeout after the last contact", () => {
     const contact = new LeaderContact(1_000);
     expect(contact.isInTouch(6_000, 100)).toBe(true);
     expect(contact.isInTouch(6_001, 100)).toBe(false);
@@ -84,7 +84,7 @@
 });
 
 describe("RelayedView", () => {
-  it("tells a watcher of another relay only what this term's leader said", () => {
+  it("publishes a term's view as complete only after the leader of that term has", () => {
     const followed = new FollowedView();
     const relayed = new RelayedView(followed);
     const addUpdate = (update: ReturnType<typeof createUpdate>) => {
@@ -106,17 +106,17 @@
 });
 
 describe("watchView", () => {
-  it("stays with a watcher across leaders, and ends when there is nobody to speak for", async () => {
+  it("keeps a watcher connected when the leader changes, and ends without contact with a leader", async () => {
     const followed = new FollowedView();
     const relayed = new RelayedView(followed);
     let own: ViewSource | undefined;
-    let isInTouch = true;
+    let hasLeaderContact = true;
     const clock = { getMonotonicMs: () => 0, getWallMs: () => 0 };
     const hub = new ViewHub({
       clock,
       getOwnSource: () => own,
       relayed,
-      hasLeaderContact: () => isInTouch,
+      hasLeaderContact: () => hasLeaderContact,
       isFirstStart: false,
       onEntriesChanged: () => {},
     });
@@ -136,12 +136,12 @@
     hub.notify();
     expect((await updates.next()).value).toMatchObject({ term: 2, targets: [{ id: "a" }], complete: false });
     own = undefined;
-    isInTouch = false;
+    hasLeaderContact = false;
     hub.notify();
     expect((await updates.next()).done).toBe(true);
   });
 
-  it("lets timers and messages through between the many entries that it tells at once", async () => {
+  it("limits the entries updated per turn, so that timers and messages are handled in between", async () => {
     const followed = new FollowedView();
     const relayed = new RelayedView(followed);
     const clock = { getMonotonicMs: () => 0, getWallMs: () => 0 };
@@ -168,7 +168,7 @@
       if (!controller.signal.aborted) setImmediate(countTurn);
     };
     setImmediate(countTurn);
-    const told = Array.from({ length: 10 * ENTRIES_PER_TURN }, async (_, i) => {
+    const firstUpdates = Array.from({ length: 10 * ENTRIES_PER_TURN }, async (_, i) => {
       const request = { watcherId: `w${i}`, entry: createEntry(`x:${i}`), knownVersion: 0, knownTerm: 0 };
       const updates = watchView(hub, () => hub.getSource(), request as never, {
         clock,
@@ -177,7 +177,7 @@
       });
       await updates.next();
     });
-    await Promise.all(told);
+    await Promise.all(firstUpdates);
     controller.abort();
     expect(mostInTurn).toBe(ENTRIES_PER_TURN);
   });
--- a/test/registration/searches.test.ts
+++ b/test/registration/searches.test.ts
@@ -14,48 +14,51 @@
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
 
-/** Answers one call for the view. */
+/** Answers one watch call. */
 type Answer = (signal: AbortSignal) => AsyncGenerator<ViewUpdate>;
 
-/** A search of two seconds is as long as most elections. */
+/** Duration of a search that is as long as most elections. */
 const SEARCH_MS = 2_000;
-/** Calls of such a search of three processes that refuse: twelve rounds with pauses of 50 to 200 ms. */
+/**
+ * Maximum number of calls in such a search among three processes that refuse: twelve rounds with pauses of 50
+ * to 200 ms.
+ */
 const SEARCH_CALLS = 40;
-/** Longer than the first answer is waited for at first. */
+/** Longer than the first response timeout of the first round. */
 const LATE_MS = 900;
-const PENDING_SIGN_MS = 300;
+const HEARTBEAT_MS = 300;
 
 function wait(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-async function* showOnce(): AsyncGenerator<ViewUpdate> {
+async function* publishOnce(): AsyncGenerator<ViewUpdate> {
   yield create(ViewUpdateSchema, { term: 1 });
 }
 
-async function* showLate(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
+async function* answerLate(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
   await wait(LATE_MS);
   while (!signal.aborted) {
     yield create(ViewUpdateSchema, { term: 1 });
-    await wait(PENDING_SIGN_MS);
+    await wait(HEARTBEAT_MS);
   }
 }
 
-async function* showNothingNewer(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
+async function* answerPending(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
   while (!signal.aborted) {
     yield create(ViewUpdateSchema, { term: 0, pending: true });
-    await wait(PENDING_SIGN_MS);
+    await wait(HEARTBEAT_MS);
   }
 }
 
-async function* showNewer(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
+async function* publishNewerView(signal: AbortSignal): AsyncGenerator<ViewUpdate> {
   while (!signal.aborted) {
     yield create(ViewUpdateSchema, { term: 4, complete: true });
-    await wait(PENDING_SIGN_MS);
+    await wait(HEARTBEAT_MS);
   }
 }
 
-describe("an entry that looks for a control process", () => {
+describe("an entry that searches for a control process", () => {
   let servers: RpcServer[] = [];
   let watcher: ViewWatcher;
   let calls: number[];
@@ -105,47 +108,47 @@
 
   const getCalls = () => calls.reduce((sum, count) => sum + count, 0);
 
-  it("asks processes that end each call at once no more often than those that refuse", async () => {
-    search(await start([showOnce, showOnce, showOnce]));
+  it("calls processes that end each call at once no more often than processes that refuse", async () => {
+    search(await start([publishOnce, publishOnce, publishOnce]));
     await wait(SEARCH_MS);
     expect(getCalls()).toBeLessThanOrEqual(SEARCH_CALLS);
   });
 
-  it("waits longer for late processes after each round of them, and stays with one", async () => {
-    search(await start([showLate, showLate, showLate]));
-    await waitUntil("it follows one", () => watcher.isConnected);
-    const vain = getCalls();
+  it("doubles the timeout for late processes after each round, and stays with the first that answers", async () => {
+    search(await start([answerLate, answerLate, answerLate]));
+    await waitUntil("the entry follows a process", () => watcher.isConnected);
+    const searchCalls = getCalls();
     await wait(SEARCH_MS);
-    expect(vain).toBeLessThanOrEqual(5);
-    expect(getCalls()).toBe(vain);
+    expect(searchCalls).toBeLessThanOrEqual(5);
+    expect(getCalls()).toBe(searchCalls);
   });
 
-  it("leaves a process that has nothing newer to show for long, and is told by the next one", async () => {
+  it("leaves a process that has no newer view for too long, and receives the next one's view", async () => {
     const view = new FollowedView();
     view.apply(create(ViewUpdateSchema, { term: 3, complete: true }));
-    search(await start([showNothingNewer, showNewer]), view);
-    await waitUntil("it is held", () => watcher.isConnected);
+    search(await start([answerPending, publishNewerView]), view);
+    await waitUntil("the entry is connected", () => watcher.isConnected);
     expect(watcher.isShown).toBe(false);
-    await waitUntil("it is told", () => view.term === 4);
+    await waitUntil("the newer view arrives", () => view.term === 4);
     expect(watcher.isShown).toBe(true);
     expect(calls).toEqual([1, 1]);
   });
 
-  it("turns to the leader that a refusal names only while it holds nothing", async () => {
+  it("switches to the leader named by a refusal only while it has no declaration", async () => {
     const [leader] = (await getFreeAddresses(1)) as [string];
-    // biome-ignore lint/correctness/useYield: it refuses.
+    // biome-ignore lint/correctness/useYield: it throws before the first update.
     const refuse: Answer = async function* () {
       throw createLeaderRefusal(leader);
     };
-    let asked = 0;
+    let leaderCalls = 0;
     const atLeader = await RpcServer.start({
       listen: leader,
       interceptors: [],
       routes: (router) => {
         router.service(FleetService, {
           watch: (_, { signal }) => {
-            asked += 1;
-            return showNewer(signal);
+            leaderCalls += 1;
+            return publishNewerView(signal);
           },
         });
       },
@@ -155,22 +158,22 @@
     const view = new FollowedView();
     view.apply(create(ViewUpdateSchema, { term: 3, declaration: create(DeclarationSchema, { version: 1 }) }));
     search(seeds, view);
-    await waitUntil("both were asked", () => calls.every((count) => count > 1));
-    expect(asked).toBe(0);
+    await waitUntil("both processes were called", () => calls.every((count) => count > 1));
+    expect(leaderCalls).toBe(0);
     watcher.stop();
     search(seeds);
-    await waitUntil("it follows the leader", () => watcher.isConnected);
-    expect(asked).toBe(1);
+    await waitUntil("the entry follows the leader", () => watcher.isConnected);
+    expect(leaderCalls).toBe(1);
   });
 
-  it("stays where it is when it is told of control processes while it has none to choose from", async () => {
-    const showMembers: Answer = async function* (signal) {
+  it("stays with its process when the list of control processes changes while it has no candidates", async () => {
+    const publishMembers: Answer = async function* (signal) {
       for (let i = 0; !signal.aborted; i++) {
         yield create(ViewUpdateSchema, { term: 1, controlAddresses: i === 0 ? ["127.0.0.1:1"] : [] });
-        await wait(PENDING_SIGN_MS);
+        await wait(HEARTBEAT_MS);
       }
     };
-    const addresses = await start([showMembers]);
+    const addresses = await start([publishMembers]);
     const lost: object[] = [];
     let isLeaderKnown = true;
     watcher = new ViewWatcher({
@@ -186,10 +189,10 @@
       onDeclaration: () => {},
     });
     void watcher.run();
-    await waitUntil("it is called", () => getCalls() === 1);
+    await waitUntil("the process is called", () => getCalls() === 1);
     isLeaderKnown = false;
-    await waitUntil("it follows", () => watcher.isConnected);
-    await wait(2 * PENDING_SIGN_MS);
+    await waitUntil("the watcher is connected", () => watcher.isConnected);
+    await wait(2 * HEARTBEAT_MS);
     expect(lost).toEqual([]);
     expect(getCalls()).toBe(1);
   });
--- a/test/registration/view.test.ts
+++ b/test/registration/view.test.ts
@@ -14,7 +14,7 @@
   return create(DeclarationSchema, { version, document: new Uint8Array([version]) });
 }
 
-/** Follows a view as a watcher's call does. */
+/** Follows a view as a watch call does. */
 class Follower {
   readonly followed = new FollowedView();
   private _position: WatchPosition | undefined;
@@ -39,7 +39,7 @@
 }
 
 describe("FleetView and FollowedView", () => {
-  it("bring a watcher to the leader's targets, whatever it missed", () => {
+  it("give a watcher all of the leader's targets, whichever updates it missed", () => {
     const anyStep = fc.oneof(
       fc.record({
         kind: fc.constant("set" as const),
@@ -67,7 +67,7 @@
     fc.assert(property, { seed: 20_261_202, numRuns: 500 });
   });
 
-  it("keep what an earlier leader told until the new one knows everything", () => {
+  it("keep the targets of an earlier leader until the new leader's view is complete", () => {
     const follower = new Follower();
     const first = new FleetView();
     first.setComplete();
@@ -84,7 +84,7 @@
     expect(getIds(follower.followed)).toEqual(["a"]);
   });
 
-  it("take nothing from a leader of an older term, and no older declaration", () => {
+  it("ignore a view of an older term and an older declaration", () => {
     const follower = new Follower();
     const newer = new FleetView();
     newer.setDeclaration(createDeclaration(5));
@@ -97,7 +97,7 @@
     expect(follower.followed.declaration?.version).toBe(5);
   });
 
-  it("never replace a declaration by one that is not above it", () => {
+  it("replace a declaration only by one of a higher version", () => {
     const view = new FleetView();
     view.setDeclaration(createDeclaration(7));
     view.setDeclaration(createDeclaration(6));
@@ -107,7 +107,7 @@
     expect(follower.followed.declaration?.document).toEqual(new Uint8Array([7]));
   });
 
-  it("tell entries how many they are, and control followers who they are", () => {
+  it("publish the number of entries to entries, and the list of entries to control processes", () => {
     const view = new FleetView();
     const entries = ["a:1", "b:1"].map((address) => create(EntryEndpointSchema, { address }));
     view.setEntries(entries);
