--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -55,7 +55,7 @@
 }
 
 const LEADERSHIP_TRANSFER_MS = 700;
-/** Report intervals after which a refused instance has reported to another control process. */
+/** Report intervals that a refused instance needs to report to another control process. */
 const REPORT_MARGIN_INTERVALS = 1.25;
 const MIN_REPORT_TIMEOUT_MS = 300;
 
@@ -215,8 +215,8 @@
       control.listen,
       settings.process.failureDomain,
     );
-    // All seeds may have been replaced by now; a process that receives messages from a leader has its
-    // address.
+    // All seeds may have been replaced by now; a process that receives messages from a leader has the
+    // leader's address.
     const getOtherAddresses = () =>
       [driver.getLeaderAddress(), ...getSeeds()].filter(
         (address) => address !== "" && address !== control.listen,
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -159,7 +159,7 @@
 
   /**
    * Gets the start time of the newest committed incarnation of an instance, 0 without one. The first report
-   * in a term may come from an older incarnation than the committed one.
+   * in a term may come from an older incarnation; the committed state shows that a newer one has started.
    */
   private _getCommittedStartTime(instanceId: string): number {
     const replicas = this._options.driver.machine.getReplicas();
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -256,8 +256,8 @@
   }
 
   /**
-   * Checks whether this process may keep its entries: it follows a leader, or no process has newer
-   * information.
+   * Checks whether this process may keep its entries: it has contact with a leader within the timeout, or no
+   * process has newer information (at the start and during an election).
    */
   private _hasLeaderContact(timeoutMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
@@ -269,7 +269,8 @@
   }
 
   /**
-   * Checks whether this process has a leader's view within the timeout, or no process has newer information.
+   * Checks whether this process leads, has received a leader's view within the timeout, or no process has
+   * newer information (at the start and during an election).
    */
   private _hasLeaderView(timeoutMs: number): boolean {
     const now = this._options.clock.getMonotonicMs();
--- a/src/registration/watchers.ts
+++ b/src/registration/watchers.ts
@@ -7,7 +7,7 @@
 import type { ViewSource, WatchPosition } from "./FleetView";
 import type { ViewHub } from "./ViewHub";
 
-/** Maximum interval between two messages to a watcher. */
+/** Maximum interval between two messages to a watcher, milliseconds. */
 export const WATCH_HEARTBEAT_MS = 300;
 
 /** Context of one watch call. */
