--- a/test/registration/ShownViewLog.test.ts
+++ b/test/registration/ShownViewLog.test.ts
@@ -4,7 +4,7 @@
 import { FleetView } from "../../src/registration/FleetView";
 import { PublishedViewLog } from "../../src/registration/ShownViewLog";
 
-describe("ShownViewLog", () => {
+describe("PublishedViewLog", () => {
   it("logs changes of the published view at most five times a second, and always the last one", () => {
     const lines: object[] = [];
     const log = new PublishedViewLog({ info: (line: object) => lines.push(line) } as never);
