--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -184,7 +184,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(LEADERSHIP_TRANSFER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(LEADERSHIP_TRANSFER_MS)));
     yield* Effect.acquireRelease(
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
