--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -1,9 +1,9 @@
 /**
- * A control process whose instances register themselves: a member of the agreed state
- * and, while it leads, the planner of replicas.
+ * A control process for instances that register themselves. It is a member of the replicated state and, while
+ * it leads, plans the replicas.
  *
- * Members find each other from seeds alone: at the first start of the whole system the
- * seeds are the founding members, everyone else joins.
+ * Members discover each other from the seeds alone: at the first start of the whole system the seeds are the
+ * bootstrap members, and every other process joins.
  */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
@@ -39,27 +39,27 @@
 import { KnownView } from "./KnownView";
 import { Registrar } from "./Registrar";
 import type { ReplicaTimes } from "./ReplicaController";
-import { ShownViewLog } from "./ShownViewLog";
+import { PublishedViewLog } from "./ShownViewLog";
 
-/** What a fleet control process is started with. */
+/** Options of a fleet control process. */
 export interface FleetControlOptions {
-  /** Addresses and folders count as read at the start; all else may change. */
+  /** Addresses and folders are read once at the start; every other setting may change. */
   readonly settings: LiveSettings<FleetControlSettings>;
   readonly secret: string | undefined;
   readonly format: DeclarationFormat;
   readonly orders: InstanceOrders;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called once when the process can't go on. */
+  /** Called once when the process cannot continue. */
   readonly onFatal: (cause: unknown) => void;
 }
 
-const HAND_OVER_MS = 700;
-/** Reports that pass until an instance that was refused is heard elsewhere. */
-const REPORT_MARGIN = 1.25;
-const MIN_REPORT_PATIENCE_MS = 300;
+const LEADERSHIP_TRANSFER_MS = 700;
+/** Report intervals that a refused instance needs to report to another control process. */
+const REPORT_MARGIN_INTERVALS = 1.25;
+const MIN_REPORT_TIMEOUT_MS = 300;
 
-/** Starts a control process; it runs until its scope is closed. */
+/** Starts a control process, which runs until its scope is closed. */
 export function startFleetControl(
   options: FleetControlOptions,
 ): Effect.Effect<Registrar, unknown, Scope.Scope> {
@@ -70,18 +70,18 @@
     const clock = new SystemClock();
     const transports = new TransportPool(secret);
     const meter = new WorkMeter({ clock, logger, metrics: options.metrics });
-    const calls = yield* Effect.acquireRelease(
+    const callLedger = yield* Effect.acquireRelease(
       Effect.sync(() => new CallLedger(logger, options.metrics)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const getSeeds = () => getRpcAddresses(options.settings.current);
-    const replayedAt = clock.getMonotonicMs();
+    const replayStartedAt = clock.getMonotonicMs();
     const { storage, stored } = yield* Effect.tryPromise({
       try: () => prepareDataFolder(options),
       catch: (cause) => cause,
     });
-    meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayedAt);
-    const known = yield* Effect.acquireRelease(
+    meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayStartedAt);
+    const persistedView = yield* Effect.acquireRelease(
       Effect.promise(() => KnownView.open(control.dataFolder, logger)),
       (opened) => Effect.sync(() => opened.stop()),
     );
@@ -89,7 +89,7 @@
       Effect.sync(() => new PeerTransport(transports)),
       (opened) => Effect.sync(() => opened.close()),
     );
-    // A member's name is its address, so that an answer can be sent before the members are known.
+    // A member's name is its address, so the process can answer before it has received the member list.
     const driver = createMemberDriver({
       storage,
       stored,
@@ -101,7 +101,7 @@
     });
     const getTimes = createTimesCache(options.settings);
     const getRoutes = createRouteCache(() => driver.machine.getDeclaration(), options.format, meter);
-    const lag = yield* Effect.acquireRelease(
+    const loopLag = yield* Effect.acquireRelease(
       Effect.sync(
         () =>
           new LoopLag(clock, ({ lagMs, cpuMs }) =>
@@ -116,7 +116,7 @@
     );
     const createLeadership = () =>
       new FleetLeadership({
-        lag,
+        lag: loopLag,
         meter,
         metrics: options.metrics,
         driver,
@@ -129,16 +129,16 @@
         entries: relay.hub.entries,
         onChange: () => {
           relay.hub.notify();
-          relay.updateSoon();
+          relay.scheduleUpdate();
         },
       });
-    const watch = yield* Effect.acquireRelease(
+    const leadershipWatch = yield* Effect.acquireRelease(
       Effect.sync(() => new LeadershipWatch({ driver, createLeadership, logger, metrics: options.metrics })),
       (started) => Effect.sync(() => started.stop()),
     );
-    const getLeadership = () => watch.getLeadership();
+    const getLeadership = () => leadershipWatch.getLeadership();
     const relay = new FleetRelay({
-      recovered: known.recovered,
+      recovered: persistedView.recovered,
       isFirstStart: control.isFirstStart,
       driver,
       getLeadership,
@@ -148,18 +148,20 @@
       transports,
       clock,
       logger,
-      getReportPatienceMs: () => getReportPatienceMs(options.settings.current),
+      getReportPatienceMs: () => getReportTimeoutMs(options.settings.current),
     });
     const guard = new LeaderGuard(driver, getLeadership);
-    const load = new CallLoad(options.metrics);
+    const callLoad = new CallLoad(options.metrics);
     const callOrder = new CallOrder(options.metrics);
     yield* Effect.acquireRelease(
-      Effect.sync(() => new LoadWatch({ clock, lag, load, logger, metrics: options.metrics })),
+      Effect.sync(
+        () => new LoadWatch({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
+      ),
       (started) => Effect.sync(() => started.stop()),
     );
-    const watching = {
-      interceptors: [createCallCounter(load, clock)],
-      onSession: () => load.addSession(),
+    const serverOptions = {
+      interceptors: [createCallCounter(callLoad, clock)],
+      onSession: () => callLoad.addSession(),
       calls: callOrder,
     };
     const addRoutes = (router: ConnectRouter) => {
@@ -169,7 +171,7 @@
         guard,
         clock,
         hub: relay.hub,
-        calls,
+        calls: callLedger,
         meter,
         getLeadership,
         relaySuspicions: (suspicions) => relay.reportSuspicions(suspicions),
@@ -177,31 +179,31 @@
         relayEntries: () => relay.sender.sendNow(),
       });
     };
-    yield* serveRpc(control.listen, secret, "the cluster", addRoutes, watching);
+    yield* serveRpc(control.listen, secret, "the cluster", addRoutes, serverOptions);
     yield* Effect.acquireRelease(
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(LEADERSHIP_TRANSFER_MS)));
     yield* Effect.acquireRelease(
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
     );
-    const suspensions = new SuspensionWatch({
+    const suspensionWatch = new SuspensionWatch({
       clock: getSuspensionClock(),
       logger,
       metrics: options.metrics,
       onWake: () => relay.restart(),
     });
     yield* Effect.acquireRelease(
-      Effect.sync(() => suspensions.start()),
-      () => Effect.sync(() => suspensions.stop()),
+      Effect.sync(() => suspensionWatch.start()),
+      () => Effect.sync(() => suspensionWatch.stop()),
     );
-    const shownLog = new ShownViewLog(logger);
-    known.start(
+    const publishedViewLog = new PublishedViewLog(logger);
+    persistedView.start(
       () => {
         const source = relay.hub.getSource();
-        shownLog.update(clock.getMonotonicMs(), source);
+        publishedViewLog.update(clock.getMonotonicMs(), source);
         return source;
       },
       () => clock.getMonotonicMs(),
@@ -213,8 +215,9 @@
       control.listen,
       settings.process.failureDomain,
     );
-    // The seeds may all be gone by now; whoever hears a leader knows where it is.
-    const getOthers = () =>
+    // All seeds may have been replaced by now; a process that receives messages from a leader has the
+    // leader's address.
+    const getOtherAddresses = () =>
       [driver.getLeaderAddress(), ...getSeeds()].filter(
         (address) => address !== "" && address !== control.listen,
       );
@@ -222,7 +225,7 @@
       joinMembership({
         driver,
         member,
-        getAddresses: getOthers,
+        getAddresses: getOtherAddresses,
         followsHints: true,
         transports,
         clock,
@@ -234,17 +237,17 @@
       member: driver.node.id,
       term: stored.hardState.term,
       entries: stored.entries.length,
-      recovered: known.recovered?.declaration?.version ?? 0,
+      recovered: persistedView.recovered?.declaration?.version ?? 0,
       cpu_ms: getProcessorMs(),
     });
     return new Registrar({
       getLeadership,
       hasDeparted: (life) => driver.machine.hasDeparted(life),
-      isInTouch: () => relay.takesReports(),
+      isInTouch: () => relay.acceptsReports(),
       getEntries: () => relay.getEntries(),
       relay: relay.reports,
       sender: relay.sender,
-      calls,
+      calls: callLedger,
       callOrder,
       client: relay.client,
       getSeeds,
@@ -257,18 +260,20 @@
   });
 }
 
-/** Founding members make their folder with the founders agreed; all others join. */
+/**
+ * Creates the data folder of a bootstrap member with the bootstrap membership; any other process joins later.
+ */
 async function prepareDataFolder({ settings: { current: settings }, logger }: FleetControlOptions) {
   const { dataFolder, publicAddress, seeds, isFirstStart } = settings.control;
-  const isFounder = isFirstStart && seeds.includes(publicAddress);
-  if (isFounder && (await FileStorage.getMemberId(dataFolder)) === undefined) {
-    const founders = [...seeds]
+  const isBootstrapMember = isFirstStart && seeds.includes(publicAddress);
+  if (isBootstrapMember && (await FileStorage.getMemberId(dataFolder)) === undefined) {
+    const bootstrapMembers = [...seeds]
       .sort()
       .map((seed) => createMember(seed, getFirstId(seed), getRpcAddress(settings, seed), ""));
     await FileStorage.create(
       dataFolder,
       getFirstId(publicAddress),
-      createInitialSnapshot(createMembership(founders)),
+      createInitialSnapshot(createMembership(bootstrapMembers)),
     );
     logger.info({ event: "data_folder_founded", founders: seeds });
   }
@@ -279,7 +284,7 @@
   return memberId.slice(0, memberId.lastIndexOf("."));
 }
 
-/** All members serve each other at the same port of their machines. */
+/** Gets the RPC address of a member: all members listen on the same port. */
 function getRpcAddress(settings: FleetControlSettings, publicAddress: string): string {
   return `${splitAddress(publicAddress).host}:${splitAddress(settings.control.listen).port}`;
 }
@@ -289,12 +294,12 @@
 }
 
 /**
- * A process that has lost the leader refuses reports early enough for an instance to be heard
- * by another one before it counts as absent.
+ * Gets how long reports are still accepted without contact with a leader, milliseconds. The time is short
+ * enough for a refused instance to report to another process before it counts as absent.
  */
-function getReportPatienceMs({ control }: FleetControlSettings): number {
+function getReportTimeoutMs({ control }: FleetControlSettings): number {
   const { reportMs, reportsMissed } = control.replicas;
-  return Math.max(MIN_REPORT_PATIENCE_MS, reportMs * (reportsMissed - REPORT_MARGIN));
+  return Math.max(MIN_REPORT_TIMEOUT_MS, reportMs * (reportsMissed - REPORT_MARGIN_INTERVALS));
 }
 
 function getReplicaTimes({ control }: FleetControlSettings): ReplicaTimes {
@@ -302,7 +307,7 @@
   return { ...times, presenceMs: reportMs * reportsMissed, loadWindowMs: loadWindowS * 1_000 };
 }
 
-/** Times are worked out once for each reading of the settings: planning asks for them very often. */
+/** Caches the times until the settings change, because planning reads them very often. */
 function createTimesCache(settings: LiveSettings<FleetControlSettings>): () => ReplicaTimes {
   let source: FleetControlSettings | undefined;
   let times: ReplicaTimes | undefined;
@@ -315,7 +320,7 @@
   };
 }
 
-/** A declaration is parsed once a version. */
+/** Caches the routes, so that each version of the declaration is parsed once. */
 function createRouteCache(
   getDeclaration: () => { readonly version: number; readonly document: Uint8Array } | undefined,
   format: DeclarationFormat,
@@ -323,10 +328,10 @@
 ): () => RouteTable | undefined {
   let cached: RouteTable | undefined;
   return () => {
-    const held = getDeclaration();
-    if (held !== undefined && held.version !== cached?.declaration.version) {
-      const parse = () => new RouteTable(format.parse(unpackDocument(held.document)));
-      cached = meter.measure("parse", held.document.length, parse);
+    const current = getDeclaration();
+    if (current !== undefined && current.version !== cached?.declaration.version) {
+      const parse = () => new RouteTable(format.parse(unpackDocument(current.document)));
+      cached = meter.measure("parse", current.document.length, parse);
     }
     return cached;
   };
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -1,4 +1,4 @@
-/** Everything that a control process with registered instances holds only while it leads. */
+/** The part of a control process with registered instances that exists only while the process leads. */
 
 import { create } from "@bufbuild/protobuf";
 import type { Clock, LoopLag } from "../clock";
@@ -36,7 +36,7 @@
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
-/** What a leadership works with. */
+/** Options of a leadership. */
 export interface FleetLeadershipOptions {
   readonly driver: ConsensusDriver;
   readonly orders: InstanceOrders;
@@ -44,36 +44,39 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly meter: WorkMeter;
-  /** How late this process runs. */
+  /** Measures the event loop lag of this process. */
   readonly lag: LoopLag;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
   readonly getRoutes: () => RouteTable | undefined;
   /** The entries that watch this process. */
   readonly entries: EntryRoster;
-  /** Called when watchers may be told something, and when the term ends. */
+  /** Called when the view may have changed, and when the term ends. */
   readonly onChange: () => void;
 }
 
-/** How often it is asked whether planning is due. */
-const STEP_MS = 20;
-/** A plain service's instance stays a target that long after its last report: entries find out sooner. */
-const SILENT_TARGET_MS = 20_000;
+/** Interval at which the leadership checks whether planning is due, milliseconds. */
+const PLANNING_CHECK_MS = 20;
+/**
+ * Time after its last report for which an instance of a plain service stays a target, milliseconds: entries
+ * detect a failed instance sooner.
+ */
+const TARGET_EXPIRY_MS = 20_000;
 
-/** One term of leadership at work. */
+/** The leadership of one term. */
 export class FleetLeadership {
-  /** The term that it belongs to. */
+  /** The term of this leadership. */
   readonly term: number;
-  /** What watchers are told. */
+  /** The view that this leader publishes. */
   readonly view = new FleetView();
   private readonly _options: FleetLeadershipOptions;
   private readonly _registry: InstanceRegistry;
   private readonly _controller: ReplicaController;
-  private readonly _agreed: AgreedFacts;
+  private readonly _committed: AgreedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
-  private readonly _pace: PlanningPace;
+  private readonly _planningInterval: PlanningPace;
   private readonly _hearing: Hearing;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
@@ -83,17 +86,17 @@
    */
   constructor(options: FleetLeadershipOptions) {
     this._options = options;
-    this._agreed = new AgreedFacts(() => options.driver.machine);
+    this._committed = new AgreedFacts(() => options.driver.machine);
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
     this._hearing = new Hearing(now);
-    this._pace = new PlanningPace(now);
+    this._planningInterval = new PlanningPace(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
-      onEnd: (life: Life, ground: LifeEnd) => this._logEnd(life, ground),
+      onEnd: (life: Life, ground: LifeEnd) => this._logIncarnationEnd(life, ground),
     };
-    this._registry = new InstanceRegistry(listener, (instanceId) => this._getAgreedBorn(instanceId));
+    this._registry = new InstanceRegistry(listener, (instanceId) => this._getCommittedStartTime(instanceId));
     this._controller = new ReplicaController({
       ...options,
       registry: this._registry,
@@ -101,7 +104,7 @@
     });
   }
 
-  /** Gets whether the term is over. */
+  /** Gets whether the term has ended. */
   get isEnded(): boolean {
     return this._isEnded;
   }
@@ -109,92 +112,98 @@
   /** Starts planning and publishing. */
   start(): void {
     this._publish();
-    this._timer = setInterval(() => void this._step(), STEP_MS);
+    this._timer = setInterval(() => void this._runStep(), PLANNING_CHECK_MS);
   }
 
-  /** Ends planning and publishing. */
+  /** Stops planning and publishing. */
   end(): void {
     this._isEnded = true;
     clearInterval(this._timer);
     this._options.onChange();
   }
 
-  /** Takes reports of instances over; resolves once departures among them are agreed. */
+  /** Applies reports of instances; resolves once the departures among them are committed. */
   async addReports(reports: readonly InstanceReport[]): Promise<void> {
     const now = this._options.clock.getMonotonicMs();
     const { machine } = this._options.driver;
     const departing: Life[] = [];
     this._options.meter.measure("reports", reports.length, () => {
       for (const report of reports) {
-        if (report.deregistered || report.leaving) departing.push(this._getLeavingLife(report));
+        if (report.deregistered || report.leaving) departing.push(this._getDepartingIncarnation(report));
         if (report.deregistered) continue;
         this._addReport(now, report);
       }
     });
-    const lives = departing.filter((life) => !machine.hasDeparted(life));
-    if (lives.length === 0) return;
+    const incarnations = departing.filter((life) => !machine.hasDeparted(life));
+    if (incarnations.length === 0) return;
     await this._options.driver.propose({
       case: "recordDepartures",
       value: {
         $typeName: "ploverstage.v1.RecordDepartures",
-        lives: lives.map((life) => create(InstanceLifeSchema, life)),
+        lives: incarnations.map((life) => create(InstanceLifeSchema, life)),
         atMs: this._options.clock.getWallMs(),
       },
     });
-    this._options.logger.info({ event: "departures_recorded", instances: lives.map(getLifeKey) });
+    this._options.logger.info({ event: "departures_recorded", instances: incarnations.map(getLifeKey) });
     this._publish();
   }
 
-  /** Who deregisters may give nothing but its id: it is the life that is known under it. */
-  private _getLeavingLife({ instanceId, born }: InstanceReport): Life {
-    const knownBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
-    return { instanceId, born: born === 0 ? knownBorn : born };
+  /**
+   * Gets the incarnation that departs. An instance may deregister with its id alone: then it is the
+   * incarnation registered under that id.
+   */
+  private _getDepartingIncarnation({ instanceId, born }: InstanceReport): Life {
+    const registeredBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
+    return { instanceId, born: born === 0 ? registeredBorn : born };
   }
 
-  /** An older life may be heard first in a term: what was agreed tells that a newer one has begun. */
-  private _getAgreedBorn(instanceId: string): number {
+  /**
+   * Gets the start time of the newest committed incarnation of an instance, 0 without one. The first report
+   * in a term may come from an older incarnation; the committed state shows that a newer one has started.
+   */
+  private _getCommittedStartTime(instanceId: string): number {
     const replicas = this._options.driver.machine.getReplicas();
-    const lives = replicas.flatMap(({ members }) =>
+    const incarnations = replicas.flatMap(({ members }) =>
       members.filter((member) => member.instanceId === instanceId),
     );
-    return Math.max(0, ...lives.map(({ born }) => born));
+    return Math.max(0, ...incarnations.map(({ born }) => born));
   }
 
-  private _logEnd({ instanceId, born }: Life, ground: LifeEnd): void {
-    this._options.metrics.increment("instance_lives_ended", 1, { ground });
-    this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground });
+  private _logIncarnationEnd({ instanceId, born }: Life, cause: LifeEnd): void {
+    this._options.metrics.increment("instance_lives_ended", 1, { ground: cause });
+    this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground: cause });
   }
 
   /**
-   * Takes over what another control process heard; resolves once departures in it are agreed.
-   * @returns Instances that this leader has to be told of in full.
+   * Applies what another control process received; resolves once the departures among it are committed.
+   * @returns Ids of the instances whose full reports this leader needs.
    */
   async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
-    const unknown = signs
+    const unknownInstanceIds = signs
       .filter((sign) => this._registry.addSign(now - sign.ageMs, sign) === "unknown")
       .map((sign) => sign.instanceId);
     this.addSuspicions(suspicions);
     await this.addReports(reports);
     if (entries !== undefined) this._publish();
-    return unknown;
+    return unknownInstanceIds;
   }
 
   /**
-   * Chooses the process that an instance is to send its next reports to.
-   * @returns `undefined` when there is no other one.
+   * Chooses the control process to which an instance sends its next reports.
+   * @returns `undefined` when no other control process is active.
    */
   chooseRelay(instanceId: string): string | undefined {
     return this._relays.chooseRelay(this._options.clock.getMonotonicMs(), instanceId);
   }
 
-  /** Publishes what was just agreed on. */
+  /** Publishes newly committed state. */
   publish(): void {
     this._publish();
   }
 
-  /** Notes what entries saw of targets. */
+  /** Applies suspicions of targets that entries reported. */
   addSuspicions(suspicions: readonly Suspicion[]): void {
     for (const { targetId, instanceId, unreachable } of suspicions) {
       if (!this._controller.checkReplica(targetId)) continue;
@@ -207,13 +216,14 @@
     }
   }
 
-  /** Takes over what an entry saw of requests under which instances ended; resolves once it is agreed on. */
+  /** Records crashes that an entry reported; resolves once they are committed. */
   async addCrashes(records: readonly CrashRecord[]): Promise<void> {
     await this._crashes.addRecords(records);
-    const before = this.view.revision;
-    // At once, and without the rest of the view: the request comes again within a fraction of a second.
+    const previousRevision = this.view.revision;
+    // The records are published at once and without the rest of the view, because the caller repeats the
+    // request within a fraction of a second.
     this._crashes.publish(this.view);
-    if (this.view.revision !== before) this._options.onChange();
+    if (this.view.revision !== previousRevision) this._options.onChange();
   }
 
   private _logConflict({ address, claimants }: AddressConflict): void {
@@ -230,26 +240,30 @@
   }
 
   /**
-   * What was heard before the usual silence says less than the agreed state: the instance may have taken
-   * a place since and report it to another process. It counts as unheard, so that its replica stands
-   * until it has been silent for long enough.
+   * Adds a report unless it is older than the time after which an instance counts as absent. The committed
+   * state is more reliable than such a report: since then the instance may have taken a place and reported it
+   * to another process. The instance then counts as not reported yet, so that its replica is kept until its
+   * heartbeats are missing for long enough.
    */
   private _addReport(now: number, report: InstanceReport): void {
     if (report.ageMs > this._options.getTimes().presenceMs) return;
-    const before = this._registry.getInstance(report.instanceId)?.report;
-    const outcome = this._registry.addReport(now - report.ageMs, report);
-    if (outcome === "older") this._options.metrics.increment("instance_reports_older", 1);
-    if (outcome === "taken" && before !== undefined) this._logUnexpectedPlace(before, report);
+    const previous = this._registry.getInstance(report.instanceId)?.report;
+    const result = this._registry.addReport(now - report.ageMs, report);
+    if (result === "older") this._options.metrics.increment("instance_reports_older", 1);
+    if (result === "taken" && previous !== undefined) this._logUnexpectedPlace(previous, report);
   }
 
   /**
-   * An order that was given up on may be carried out seconds later: it shows in an instance that takes
-   * a place in a replica whose instances have been released.
+   * Logs an instance that takes a place in a replica whose instances have been released. The cause is an
+   * abandoned order that was executed seconds later.
    */
-  private _logUnexpectedPlace(before: InstanceReport, { instanceId, sequence, place }: InstanceReport): void {
+  private _logUnexpectedPlace(
+    previous: InstanceReport,
+    { instanceId, sequence, place }: InstanceReport,
+  ): void {
     if (place === undefined) return;
     const { replicaId: replica, epoch, state } = place;
-    if (before.place?.replicaId === replica && before.place.epoch === epoch) return;
+    if (previous.place?.replicaId === replica && previous.place.epoch === epoch) return;
     if (this._options.driver.machine.getReplica(replica)?.phase !== ReplicaPhase.RELEASED) return;
     this._options.logger.warn({
       event: "place_unexpected",
@@ -260,11 +274,11 @@
     });
   }
 
-  private async _step(): Promise<void> {
+  private async _runStep(): Promise<void> {
     const startedAt = this._options.clock.getMonotonicMs();
-    void this._releaseRequests(startedAt);
-    if (!this._pace.isDue(startedAt, this._getPlanningInputs())) return;
-    this._pace.addStart();
+    void this._releaseDueRequests(startedAt);
+    if (!this._planningInterval.isDue(startedAt, this._getPlanningInputs())) return;
+    this._planningInterval.addStart();
     this._registry.removeSilent(startedAt, this._options.getTimes().presenceMs);
     this._updateHearing(startedAt);
     const plannedMs = await this._plan();
@@ -273,26 +287,29 @@
     const endedAt = this._options.clock.getMonotonicMs();
     this._options.meter.addWork("plan", this._registry.getInstances().length, plannedMs);
     this._options.meter.addWork("publish", this.view.targetCount, endedAt - publishingAt);
-    this._pace.addEnd(endedAt, plannedMs + endedAt - publishingAt);
+    this._planningInterval.addEnd(endedAt, plannedMs + endedAt - publishingAt);
   }
 
-  /** What changes whenever there may be something new to decide. */
+  /** Gets a value that changes whenever there may be something new to decide. */
   private _getPlanningInputs(): string {
     const { driver, entries } = this._options;
     const revisions = [this._registry.revision, this._controller.revision, entries.revision];
     return [driver.node.commitIndex, ...revisions].join();
   }
 
-  private async _releaseRequests(now: number): Promise<void> {
+  private async _releaseDueRequests(now: number): Promise<void> {
     try {
       await this._crashes.releaseDue(now);
     } catch (cause) {
-      // They are looked for again a moment later, here or by the next leader.
+      // Due requests are released at a later step, by this leader or by the next one.
       this._options.logger.warn({ event: "requests_not_released", reason: String(cause) });
     }
   }
 
-  /** Gives how long planning computed, milliseconds. */
+  /**
+   * Runs the planning.
+   * @returns The computing time, milliseconds; 0 when planning failed.
+   */
   private async _plan(): Promise<number> {
     try {
       return await this._controller.step();
@@ -306,18 +323,18 @@
     const now = this._options.clock.getMonotonicMs();
     const { driver, getTimes } = this._options;
     this._updateHearing(now);
-    const before = this.view.revision;
+    const previousRevision = this.view.revision;
     this.view.setDeclaration(driver.machine.getDeclaration());
     this._crashes.publish(this.view);
     this.view.setTargets(this._createTargets(now));
-    // Once the view is complete, watchers hold nothing but what it told them.
-    if (!this.view.isComplete) this.view.removeTargets(this._agreed.getEndedTargetIds());
+    // Watchers of a complete view have only targets that this view has published.
+    if (!this.view.isComplete) this.view.removeTargets(this._committed.getEndedTargetIds());
     if (this._hearing.getListenedMs(now) > getTimes().presenceMs) this._setComplete();
     this.view.setEntries(
       sortEntries([...this._options.entries.getEntries(now), ...this._relays.getEntries(now)]),
     );
-    this.view.setControlAddresses(this._getWatchable());
-    if (this.view.revision !== before) this._options.onChange();
+    this.view.setControlAddresses(this._getWatchAddresses());
+    if (this.view.revision !== previousRevision) this._options.onChange();
   }
 
   private _updateHearing(now: number): void {
@@ -325,7 +342,7 @@
     const others = driver.node.membership.members.filter((member) => member.id !== driver.node.id);
     const contacts = others.map(({ id, name }) => ({
       answeredAt: driver.node.getProgress(id)?.answeredAt ?? Number.NEGATIVE_INFINITY,
-      // Members are named by the address at which instances reach them.
+      // A member's name is the address at which instances reach it.
       reportedAt: this._relays.getReportedAt(name),
     }));
     this._hearing.update(now, contacts, getTimes().presenceMs);
@@ -343,8 +360,11 @@
     });
   }
 
-  /** The leader has enough to do: entries watch the others, where there are any. */
-  private _getWatchable(): string[] {
+  /**
+   * Gets the addresses of the control processes that entries watch: the other voters if there are any,
+   * because the leader has the highest load.
+   */
+  private _getWatchAddresses(): string[] {
     const { node } = this._options.driver;
     const voters = getVoters(node.membership);
     const others = voters.filter((member) => member.id !== node.id);
@@ -358,25 +378,25 @@
         service.engine,
       ]),
     );
-    // A service that nobody declares is no target: the report of it may come from another writer.
+    // An undeclared service is not a target, because another writer may have reported it.
     const isPlain = (service: string) =>
       engineServices.has(service) && engineServices.get(service) === undefined;
-    const plain = this._registry
+    const plainTargets = this._registry
       .getInstances()
       .filter((instance) => isPlain(instance.report.service))
       .filter((instance) => this._isPlainTarget(now, instance))
       .map((instance) => createPlainTarget(instance));
-    const replicas = this._options.driver.machine
+    const replicaTargets = this._options.driver.machine
       .getReplicas()
       .filter((replica) => !this._hasDepartedMember(replica) && this._controller.isOpen(now, replica))
       .map((replica) => this._createReplicaTarget(replica))
       .filter((target) => target !== undefined);
-    return [...plain, ...replicas];
+    return [...plainTargets, ...replicaTargets];
   }
 
   private _isPlainTarget(now: number, { report, reportedAt }: RegisteredInstance): boolean {
     const hasDeparted = report.leaving || this._options.driver.machine.hasDeparted(report);
-    return !hasDeparted && now - reportedAt <= SILENT_TARGET_MS;
+    return !hasDeparted && now - reportedAt <= TARGET_EXPIRY_MS;
   }
 
   private _createReplicaTarget(replica: Replica): Target | undefined {
@@ -401,7 +421,7 @@
 
 function createPlainTarget({ report }: RegisteredInstance): Target {
   return create(TargetSchema, {
-    // Each life is a target of its own: what entries saw of an earlier one says nothing of it.
+    // Each incarnation is a separate target: what entries observed of an earlier one does not apply to it.
     id: getLifeKey(report),
     service: report.service,
     model: "",
