--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -36,10 +36,10 @@
 import { FleetRelay } from "./FleetRelay";
 import { addFleetRoutes } from "./fleetRoutes";
 import type { InstanceOrders } from "./InstanceOrders";
-import { KnownView } from "./KnownView";
+import { PersistedView } from "./PersistedView";
+import { PublishedViewLog } from "./PublishedViewLog";
 import { Registrar } from "./Registrar";
 import type { ReplicaTimes } from "./ReplicaController";
-import { PublishedViewLog } from "./ShownViewLog";
 
 /** Options of a fleet control process. */
 export interface FleetControlOptions {
@@ -82,7 +82,7 @@
     });
     meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayStartedAt);
     const persistedView = yield* Effect.acquireRelease(
-      Effect.promise(() => KnownView.open(control.dataFolder, logger)),
+      Effect.promise(() => PersistedView.open(control.dataFolder, logger)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const transport = yield* Effect.acquireRelease(
@@ -148,7 +148,7 @@
       transports,
       clock,
       logger,
-      getReportPatienceMs: () => getReportTimeoutMs(options.settings.current),
+      getReportTimeoutMs: () => getReportTimeoutMs(options.settings.current),
     });
     const guard = new LeaderGuard(driver, getLeadership);
     const callLoad = new CallLoad(options.metrics);
@@ -207,7 +207,7 @@
         return source;
       },
       () => clock.getMonotonicMs(),
-      () => relay.agreed,
+      () => relay.committedDeclaration,
     );
     const member = createMember(
       control.publicAddress,
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -178,7 +178,13 @@
    * Applies what another control process received; resolves once the departures among it are committed.
    * @returns Ids of the instances whose full reports this leader needs.
    */
-  async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
+  async addRelayedReports({
+    relayAddress,
+    reports,
+    signs,
+    entries,
+    suspicions,
+  }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
     const unknownInstanceIds = signs
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -50,7 +50,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** Gets how long reports are still accepted without contact with a leader, milliseconds. */
-  readonly getReportPatienceMs: () => number;
+  readonly getReportTimeoutMs: () => number;
 }
 
 /**
@@ -173,7 +173,7 @@
   }
 
   /** Gets the newest committed declaration that this process has applied. */
-  get agreed(): Declaration | undefined {
+  get committedDeclaration(): Declaration | undefined {
     return this._committed.declaration;
   }
 
@@ -193,7 +193,7 @@
    * leader.
    */
   acceptsReports(): boolean {
-    const timeoutMs = this._options.getReportPatienceMs();
+    const timeoutMs = this._options.getReportTimeoutMs();
     const failingMs = this.sender.getFailingMs(this._options.clock.getMonotonicMs());
     return (
       this._hasLeaderView(timeoutMs) ||
@@ -276,7 +276,7 @@
     const now = this._options.clock.getMonotonicMs();
     if (this._updateLeadershipContact()) return true;
     // During an election a refusal would only make every watcher ask the next process.
-    return this._viewContact.isInTouch(now, timeoutMs) || this._options.driver.node.isElecting(now);
+    return this._viewContact.isRecent(now, timeoutMs) || this._options.driver.node.isElecting(now);
   }
 
   /**
--- a/src/registration/LeaderContact.ts
+++ b/src/registration/LeaderContact.ts
@@ -27,7 +27,7 @@
    * Checks whether this process may still publish a leader's view.
    * @param timeoutMs - Maximum time since the last contact.
    */
-  isInTouch(now: number, timeoutMs: number): boolean {
+  isRecent(now: number, timeoutMs: number): boolean {
     if (this._lastContactAt === undefined) return now - this._startedAt <= INITIAL_TIMEOUT_MS;
     return now - this._lastContactAt <= timeoutMs;
   }
--- a/src/registration/RelayCall.ts
+++ b/src/registration/RelayCall.ts
@@ -27,7 +27,7 @@
    * @param timeoutMs - Maximum wait for the answer.
    * @throws ConnectError - When the process does not lead, or did not answer in time.
    */
-  async tell(report: Report, timeoutMs: number): Promise<ReportResponse> {
+  async send(report: Report, timeoutMs: number): Promise<ReportResponse> {
     const timer = setTimeout(() => this.end("the operation timed out"), timeoutMs);
     this._next = report;
     this._wake();
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -179,7 +179,7 @@
         signs: [...batch.signs],
         suspicions,
       });
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     const { revision } = entries;
@@ -211,7 +211,7 @@
     const call = this._call ?? new RelayCall(leader);
     this._call = call;
     try {
-      return await call.tell(request, this._patienceMs);
+      return await call.send(request, this._patienceMs);
     } catch (cause) {
       // Another leader may be told by now.
       if (this._call === call) this._endCall("it has failed");
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -42,13 +42,13 @@
 }
 
 /** The source, term and age of the last view that a watcher received. */
-export interface ShownView {
+export interface ReceivedView {
   /** host:port of the control process; "" before the first view. */
   readonly control: string;
   /** `RECOVERED_TERM` for a view that no leader has confirmed. */
   readonly term: number;
   /** Milliseconds since the last update or heartbeat; infinite before the first one. */
-  readonly silenceMs: number;
+  readonly heartbeatAgeMs: number;
 }
 
 /** A call over which no update or heartbeat is received for this time is abandoned. */
@@ -107,8 +107,8 @@
   }
 
   /** Gets the source, term and age of the last view received. */
-  getLastShown(now: number): ShownView {
-    return { ...this._lastView, silenceMs: this.getUpdateAgeMs(now) };
+  getReceivedView(now: number): ReceivedView {
+    return { ...this._lastView, heartbeatAgeMs: this.getUpdateAgeMs(now) };
   }
 
   /** Gets whether the watcher is following a control process. */
@@ -117,7 +117,7 @@
   }
 
   /** Gets whether the followed process publishes a view at least as new as the local copy. */
-  get isShown(): boolean {
+  get isCurrent(): boolean {
     return this._isConnected && this._pendingSince === undefined;
   }
 
--- a/test/registration/FleetLeadership.test.ts
+++ b/test/registration/FleetLeadership.test.ts
@@ -139,7 +139,7 @@
         },
       }),
     );
-    await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: domain, reports }));
+    await leadership.addRelayedReports(create(ReportRequestSchema, { relayAddress: domain, reports }));
   }
 
   async function advance(milliseconds: number, domains: readonly string[]): Promise<void> {
@@ -177,7 +177,7 @@
         }),
       ),
     );
-    await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: "f", reports }));
+    await leadership.addRelayedReports(create(ReportRequestSchema, { relayAddress: "f", reports }));
     await vi.advanceTimersByTimeAsync(REPORT_MS);
     expect(retired).toEqual([]);
     await advance(PRESENCE_MS * 2, DOMAINS);
--- a/test/registration/FleetRelay.test.ts
+++ b/test/registration/FleetRelay.test.ts
@@ -85,7 +85,7 @@
       isFirstStart: true,
       clock: { getMonotonicMs: () => now, getWallMs: () => now },
       logger: { info: () => {}, warn: () => {} } as never,
-      getReportPatienceMs: () => 300,
+      getReportTimeoutMs: () => 300,
     });
   });
 
--- a/test/registration/KnownView.test.ts
+++ b/test/registration/PersistedView.test.ts
@@ -9,7 +9,7 @@
 import { AgreedFacts } from "../../src/registration/AgreedFacts";
 import { FleetView } from "../../src/registration/FleetView";
 import { FollowedView, RECOVERED_TERM } from "../../src/registration/FollowedView";
-import { KnownView } from "../../src/registration/KnownView";
+import { PersistedView } from "../../src/registration/PersistedView";
 import { RelayedView } from "../../src/registration/RelayedView";
 import { ViewHub } from "../../src/registration/ViewHub";
 import { waitUntil } from "../support/waitUntil";
@@ -50,26 +50,26 @@
 
   async function waitForVersion(version: number): Promise<void> {
     await waitUntil("the view is persisted", async () => {
-      const { recovered } = await KnownView.open(folder, logger);
+      const { recovered } = await PersistedView.open(folder, logger);
       return recovered?.declaration?.version === version;
     });
   }
 
   it("recovers the last published view after a restart, as not confirmed", async () => {
-    const persistedView = await KnownView.open(folder, logger);
+    const persistedView = await PersistedView.open(folder, logger);
     expect(persistedView.recovered).toBeUndefined();
     const view = createView(7, ["a", "b"]);
     persistedView.start(() => ({ term: 3, view }), getNow);
     await waitForVersion(7);
     persistedView.stop();
-    const { recovered } = await KnownView.open(folder, logger);
+    const { recovered } = await PersistedView.open(folder, logger);
     expect(recovered).toMatchObject({ term: RECOVERED_TERM, complete: false, removedTargetIds: [] });
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a", "b"]);
     expect(recovered?.entries?.entries).toEqual([ENTRY]);
   });
 
   it("writes a new declaration at once, and never writes a recovered view", async () => {
-    const persistedView = await KnownView.open(folder, logger);
+    const persistedView = await PersistedView.open(folder, logger);
     let source = { term: 3, view: createView(7, ["a"]) };
     persistedView.start(() => source, getNow);
     await waitForVersion(7);
@@ -85,22 +85,22 @@
   });
 
   it("adds a newly committed declaration to the persisted view before a leader publishes it", async () => {
-    const persistedView = await KnownView.open(folder, logger);
+    const persistedView = await PersistedView.open(folder, logger);
     persistedView.start(() => ({ term: 3, view: createView(7, ["a"]) }), getNow);
     await waitForVersion(7);
     persistedView.stop();
 
-    const restartedView = await KnownView.open(folder, logger);
+    const restartedView = await PersistedView.open(folder, logger);
     const getCommitted = () => create(DeclarationSchema, { version: 9 });
     restartedView.start(() => undefined, getNow, getCommitted);
     await waitForVersion(9);
     restartedView.stop();
-    const { recovered } = await KnownView.open(folder, logger);
+    const { recovered } = await PersistedView.open(folder, logger);
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a"]);
   });
 
   it("writes no declaration without a view, because an entry would get no targets from it", async () => {
-    const persistedView = await KnownView.open(folder, logger);
+    const persistedView = await PersistedView.open(folder, logger);
     persistedView.start(
       () => undefined,
       getNow,
@@ -108,15 +108,15 @@
     );
     await new Promise((resolve) => setTimeout(resolve, 200));
     persistedView.stop();
-    expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
+    expect((await PersistedView.open(folder, logger)).recovered).toBeUndefined();
   });
 
   it("ignores a damaged file, and retries after a failed write", async () => {
     writeFileSync(join(folder, "view.bin"), "no view");
-    expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
+    expect((await PersistedView.open(folder, logger)).recovered).toBeUndefined();
     expect(events).toEqual(["view_not_recovered"]);
     rmSync(folder, { recursive: true });
-    const persistedView = await KnownView.open(folder, logger);
+    const persistedView = await PersistedView.open(folder, logger);
     const source = { term: 1, view: createView(1, []) };
     persistedView.start(() => source, getNow);
     await waitUntil("the failed write is logged", () => events.includes("view_not_kept"));
--- a/test/registration/ShownViewLog.test.ts
+++ b/test/registration/PublishedViewLog.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { DeclarationSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { FleetView } from "../../src/registration/FleetView";
-import { PublishedViewLog } from "../../src/registration/ShownViewLog";
+import { PublishedViewLog } from "../../src/registration/PublishedViewLog";
 
 describe("PublishedViewLog", () => {
   it("logs changes of the published view at most five times a second, and always the last one", () => {
--- a/test/registration/heldEntries.test.ts
+++ b/test/registration/pendingUpdates.test.ts
@@ -13,7 +13,7 @@
 import { RelayedView } from "../../src/registration/RelayedView";
 import { ViewHub } from "../../src/registration/ViewHub";
 import { ViewWatcher } from "../../src/registration/ViewWatcher";
-import { watchView } from "../../src/registration/watchers";
+import { watchView } from "../../src/registration/watchView";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
@@ -153,7 +153,7 @@
     for (const control of controls) control.applyUpdate(createUpdate(4, 8, ["kept", "new"]));
     await waitUntil("the view arrives", () => view.term === 4);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept", "new"]);
-    expect(watcher.isShown).toBe(true);
+    expect(watcher.isCurrent).toBe(true);
     expect(getCalls()).toBe(calls);
   });
 
--- a/test/registration/searches.test.ts
+++ b/test/registration/searches.test.ts
@@ -128,9 +128,9 @@
     view.apply(create(ViewUpdateSchema, { term: 3, complete: true }));
     search(await start([answerPending, publishNewerView]), view);
     await waitUntil("the entry is connected", () => watcher.isConnected);
-    expect(watcher.isShown).toBe(false);
+    expect(watcher.isCurrent).toBe(false);
     await waitUntil("the newer view arrives", () => view.term === 4);
-    expect(watcher.isShown).toBe(true);
+    expect(watcher.isCurrent).toBe(true);
     expect(calls).toEqual([1, 1]);
   });
 
