--- a/src/registration/AgreedFacts.ts
+++ b/src/registration/AgreedFacts.ts
@@ -1,59 +1,66 @@
 /**
- * What the agreed state says of a view, whichever leader showed it.
+ * The facts of a view that follow from the committed state, independent of the leader that published the
+ * view.
  *
- * Every member applies what is agreed, so that a control process need not be shown it by the leader: a declaration
- * that is agreed on holds, and an instance that left or a replica that retired takes no work any more.
+ * Every consensus member applies the committed state, so a control process need not wait for the leader to
+ * publish these facts: a committed declaration is in force, and a departed instance or a retired replica
+ * receives no more requests.
  */
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { type Declaration, type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import { getLifeKey, parseLifeKey } from "../ids";
 import type { StateMachine } from "../state";
 
-/** What is needed of the agreed state. */
-export type AgreedState = Pick<
+/** The part of the committed state that is needed here. */
+export type CommittedState = Pick<
   StateMachine,
   "getDeclaration" | "getReplica" | "getKnownReplicas" | "getDepartures" | "hasDeparted"
 >;
 
 /**
- * Departures that are named, the newest ones: whoever holds an older target drops it with the complete view, seconds
- * later. With more of them than a view keeps removals each change would tell all watchers of all of them again.
+ * Maximum number of departures to publish, the newest ones. An entry that still has an older target drops it
+ * with the complete view, seconds later. Were there more departures than removals that a view retains, each
+ * change would send all of them to all watchers again.
  */
-const TOLD_DEPARTURES = 300;
+const MAX_PUBLISHED_DEPARTURES = 300;
 
-/** The agreed state as far as it is applied here. */
+/** The committed state as applied by this process. */
 export class AgreedFacts {
-  private readonly _getState: () => AgreedState;
+  private readonly _getState: () => CommittedState;
 
-  /**
-   * @param getState - Gives the state as applied now; a snapshot replaces it.
-   */
-  constructor(getState: () => AgreedState) {
+  /** @param getState - Gets the currently applied state; a snapshot replaces the object. */
+  constructor(getState: () => CommittedState) {
     this._getState = getState;
   }
 
-  /** Gets the newest declaration that is agreed on. */
+  /** Gets the newest committed declaration. */
   get declaration(): Declaration | undefined {
     return this._getState().getDeclaration();
   }
 
-  /** Checks whether a target is to take no work any more; one that is not known here may take it. */
+  /**
+   * Checks whether a target may receive no more requests. Returns `false` for a target that is not in the
+   * applied state.
+   */
   hasEnded(target: Target): boolean {
     const state = this._getState();
     if (target.model === "") return state.hasDeparted(parseLifeKey(target.instanceId, target.id));
     const replica = state.getReplica(target.id);
-    return replica !== undefined && isOver(state, replica);
+    return replica !== undefined && hasReplicaEnded(state, replica);
   }
 
-  /** Gets the targets that are to take no work any more, whoever holds them. */
+  /** Gets the ids of all targets that may receive no more requests. */
   getEndedTargetIds(): string[] {
     const state = this._getState();
-    const ended = state.getKnownReplicas().filter((replica) => isOver(state, replica));
-    return [...ended.map(({ id }) => id), ...state.getDepartures().slice(-TOLD_DEPARTURES).map(getLifeKey)];
+    const ended = state.getKnownReplicas().filter((replica) => hasReplicaEnded(state, replica));
+    return [
+      ...ended.map(({ id }) => id),
+      ...state.getDepartures().slice(-MAX_PUBLISHED_DEPARTURES).map(getLifeKey),
+    ];
   }
 }
 
-function isOver(state: AgreedState, { phase, members }: Replica): boolean {
+function hasReplicaEnded(state: CommittedState, { phase, members }: Replica): boolean {
   if (phase === ReplicaPhase.RETIRING || phase === ReplicaPhase.RELEASED) return true;
   return members.some((member) => state.hasDeparted(member));
 }
--- a/src/registration/CallLedger.ts
+++ b/src/registration/CallLedger.ts
@@ -1,17 +1,17 @@
 /**
  * Counts the calls that a control process serves and refuses.
  *
- * A process that can serve nobody may spend all its time on saying so: one line a second tells
- * how many calls it refused.
+ * A process that refuses all calls could spend all its time on log lines. It therefore logs the number of
+ * refused calls in one line a second.
  */
 import type { InvalidReport } from "../errors";
 import type { Logger, Metrics } from "../metrics";
 
-/** Who calls: entries and followers watch, relays and instances report, operators declare. */
+/** The kinds of calls: entries and followers watch, relays and instances report, operators declare. */
 export type Call = "watch" | "relay" | "instance" | "declaration";
 
-/** Refusals are told no more often than this. */
-const TELL_MS = 1_000;
+/** Minimum time between two log lines about refused calls. */
+const LOG_INTERVAL_MS = 1_000;
 
 /** The calls of one process. */
 export class CallLedger {
@@ -23,35 +23,32 @@
   private _invalid = new Map<string, number>();
   private _invalidExample = "";
 
-  /**
-   * @param logger - Told of refusals.
-   */
   constructor(logger: Logger, metrics: Metrics) {
     this._logger = logger;
     this._metrics = metrics;
-    this._timer = setInterval(() => this._tell(), TELL_MS).unref();
+    this._timer = setInterval(() => this._log(), LOG_INTERVAL_MS).unref();
   }
 
-  /** Notes a call that was served. */
+  /** Counts a served call. */
   addServed(call: Call): void {
     this._served += 1;
     this._metrics.increment("control_calls", 1, { call, outcome: "served" });
   }
 
-  /** Notes a call that was refused. */
+  /** Counts a refused call. */
   addRefused(call: Call): void {
     this._refused.set(call, (this._refused.get(call) ?? 0) + 1);
     this._metrics.increment("control_calls", 1, { call, outcome: "refused" });
   }
 
-  /** Notes a report that was refused for what it says; one line a second tells of all of them. */
+  /** Counts a report that was rejected because of its content; one log line a second covers all of them. */
   addInvalidReport({ field, message }: InvalidReport): void {
     this._invalid.set(field, (this._invalid.get(field) ?? 0) + 1);
     this._invalidExample = message;
     this._metrics.increment("instance_reports_invalid", 1, { field });
   }
 
-  /** Notes what a call came to. */
+  /** Counts a call by its outcome: served when the promise resolves, refused when it rejects. */
   async follow<R>(call: Call, outcome: Promise<R>): Promise<R> {
     try {
       const result = await outcome;
@@ -63,12 +60,12 @@
     }
   }
 
-  /** Tells no more. */
+  /** Stops the log lines. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  private _tell(): void {
+  private _log(): void {
     if (this._refused.size > 0) {
       this._logger.info({
         event: "calls_refused",
--- a/src/registration/CrashRegistry.ts
+++ b/src/registration/CrashRegistry.ts
@@ -1,9 +1,9 @@
 /**
- * What the leader does about requests under which instances ended: has it agreed on, shows it to all
- * watchers, and lets a request run again after a time.
+ * The leader's handling of requests under which instances crashed: it has their crash records committed,
+ * publishes them to all watchers, and releases a request for another run after a time.
  *
- * It is agreed on, and not soft state, because it has to outlast entries that restart, changes of leader and a loss
- * of power everywhere: none of them makes the request harmless.
+ * The records are committed and not soft state, because they have to survive restarts of entries, changes of
+ * leader and a power loss of all machines: none of these makes the request harmless.
  */
 import type { Clock } from "../clock";
 import type { ConsensusDriver } from "../consensus";
@@ -13,45 +13,42 @@
 import type { Logger } from "../metrics";
 import type { FleetView } from "./FleetView";
 
-/** How often requests that may run again are looked for, milliseconds; they were kept away for minutes. */
-const RELEASE_CHECK_MS = 1_000;
+/** Interval between searches for requests to release, in milliseconds; requests are held back for minutes. */
+const RELEASE_CHECK_INTERVAL_MS = 1_000;
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** What a registry works with. */
+/** Dependencies of a registry. */
 export interface CrashRegistryOptions {
   readonly driver: ConsensusDriver;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** The accounts of crashes in one term of leadership. */
+/** The crash records in one leadership term. */
 export class CrashRegistry {
   private readonly _options: CrashRegistryOptions;
   private _publishedIndex = -1;
   private _checkedAt = NEVER;
 
-  /**
-   * @param options - Driver, clock and log.
-   */
   constructor(options: CrashRegistryOptions) {
     this._options = options;
   }
 
   /**
-   * Has what entries saw agreed on; resolves once it is. An account that can't be used is left out, and no
-   * other with it.
+   * Has the crash records of entries committed; resolves once they are. An invalid record is skipped and does
+   * not affect the others.
    */
   async addRecords(records: readonly CrashRecord[]): Promise<void> {
     const { machine } = this._options.driver;
     const isNew = (record: CrashRecord) =>
-      this._isUsable(record) && !isCrashRecordKnown(record, machine.getCrashRecord(record.digest));
-    const told = records.filter(isNew);
-    if (told.length > 0) await this._propose(told);
+      this._isValid(record) && !isCrashRecordKnown(record, machine.getCrashRecord(record.digest));
+    const newRecords = records.filter(isNew);
+    if (newRecords.length > 0) await this._propose(newRecords);
   }
 
-  /** Has requests let run again that were kept away for long enough. */
+  /** Releases requests that were held back for long enough. */
   async releaseDue(now: number): Promise<void> {
-    if (now - this._checkedAt < RELEASE_CHECK_MS) return;
+    if (now - this._checkedAt < RELEASE_CHECK_INTERVAL_MS) return;
     this._checkedAt = now;
     const { driver, clock, logger } = this._options;
     const { machine } = driver;
@@ -62,7 +59,7 @@
     logger.info({ event: "requests_released", digests: due.map(({ digest }) => digest) });
   }
 
-  /** Shows what was agreed on since. */
+  /** Publishes the records if they have changed since the last call. */
   publish(view: FleetView): void {
     const { machine } = this._options.driver;
     if (machine.crashIndex === this._publishedIndex) return;
@@ -81,7 +78,7 @@
     });
   }
 
-  private _isUsable(record: CrashRecord): boolean {
+  private _isValid(record: CrashRecord): boolean {
     try {
       checkCrashRecord(record);
       return true;
--- a/src/registration/CrashReporter.ts
+++ b/src/registration/CrashReporter.ts
@@ -1,29 +1,34 @@
 /**
- * Tells control what this entry saw of requests under which instances ended, until it is agreed on.
+ * Reports the requests under which instances crashed at this entry to control, until the crash records are
+ * committed.
  *
- * At once where something is new: the same request comes again within a fraction of a second, at any entry.
+ * New crashes are reported at once: the same request arrives again within a fraction of a second, at any
+ * entry.
  */
 import type { CrashLedger } from "../containment";
 import type { Logger } from "../metrics";
 import type { ViewWatcher } from "./ViewWatcher";
 
-/** What is not agreed on by then is told again, milliseconds; an agreement takes some 50. */
-const REPEAT_MS = 250;
-/** Instances that end at one moment are told of in one call: all their requests break off within this time, milliseconds. */
-const GATHER_MS = 5;
+/** A record that is not committed by then is sent again, in milliseconds; a commit takes some 50. */
+const RETRY_INTERVAL_MS = 250;
+/**
+ * Delay before new crashes are sent, in milliseconds. When instances end at the same moment, all their
+ * requests break off within this time, and one call reports them.
+ */
+const BATCH_DELAY_MS = 5;
 
-/** Reports crashes. */
+/** Reports crashes until it is stopped. */
 export class CrashReporter {
   private readonly _ledger: CrashLedger;
   private readonly _watcher: ViewWatcher;
   private readonly _logger: Logger;
-  private _soon: NodeJS.Timeout | undefined;
-  private _timer: NodeJS.Timeout | undefined;
+  private _batchTimer: NodeJS.Timeout | undefined;
+  private _retryTimer: NodeJS.Timeout | undefined;
   private _hasFailed = false;
 
   /**
-   * @param ledger - Knows what has yet to be told.
-   * @param watcher - Knows whom to tell.
+   * @param ledger - Provides the records that are not committed yet.
+   * @param watcher - Provides the connection to control.
    */
   constructor(ledger: CrashLedger, watcher: ViewWatcher, logger: Logger) {
     this._ledger = ledger;
@@ -31,23 +36,23 @@
     this._logger = logger;
   }
 
-  /** Starts telling again what is not agreed on. */
+  /** Starts to send uncommitted records again at an interval. */
   start(): void {
-    this._timer = setInterval(() => void this._send(), REPEAT_MS).unref();
+    this._retryTimer = setInterval(() => void this._send(), RETRY_INTERVAL_MS).unref();
   }
 
-  /** Tells no more. */
+  /** Stops reporting. */
   stop(): void {
-    clearInterval(this._timer);
-    clearTimeout(this._soon);
+    clearInterval(this._retryTimer);
+    clearTimeout(this._batchTimer);
   }
 
-  /** Tells what is new. */
+  /** Sends new records after a short delay. */
   sendSoon(): void {
-    this._soon ??= setTimeout(() => {
-      this._soon = undefined;
+    this._batchTimer ??= setTimeout(() => {
+      this._batchTimer = undefined;
       void this._send();
-    }, GATHER_MS).unref();
+    }, BATCH_DELAY_MS).unref();
   }
 
   private async _send(): Promise<void> {
@@ -56,7 +61,7 @@
       await this._watcher.reportCrashes({ records: this._ledger.takePending() });
       this._hasFailed = false;
     } catch (cause) {
-      // It is told again after a pause; the log tells the first failure of a row.
+      // The next interval repeats the call; only the first of consecutive failures is logged.
       if (!this._hasFailed) this._logger.warn({ event: "crashes_not_told", reason: String(cause) });
       this._hasFailed = true;
     }
--- a/src/registration/EntryRoster.ts
+++ b/src/registration/EntryRoster.ts
@@ -1,58 +1,61 @@
 /**
- * The entries that watch this process. Pure: times are monotonic milliseconds given by the
- * caller.
+ * The entries that watch this control process. Performs no I/O; the caller passes times in monotonic
+ * milliseconds.
  */
 import type { EntryEndpoint } from "../gen/ploverstage/v1/fleet_pb";
 
 /**
- * An entry whose call ended stays on the roster that long, milliseconds: one that turns to another
- * control process calls there within some 50 ms. Callers are sent to a dead one for as long.
+ * Time in milliseconds for which an entry stays listed after its call has ended. An entry that switches to
+ * another control process calls there within some 50 ms. For the same time callers are still sent to an entry
+ * that has ended.
  */
-const GRACE_MS = 300;
+const DISCONNECT_GRACE_MS = 300;
 
 interface WatchingEntry {
   readonly endpoint: EntryEndpoint;
-  /** When its call ended; `undefined` while it watches. */
-  readonly lostAt: number | undefined;
+  /** When its call ended; `undefined` while the call is open. */
+  readonly disconnectedAt: number | undefined;
 }
 
-/** Watching entries by the id of their process's life. */
+/** The watching entries, by the id of their process incarnation. */
 export class EntryRoster {
   private readonly _entries = new Map<string, WatchingEntry>();
   private _revision = 0;
 
-  /** Gets a number that rises with each change. */
+  /** Gets a number that increases with each change of the list. */
   get revision(): number {
     return this._revision;
   }
 
-  /** Notes that an entry watches. */
+  /** Adds an entry whose watch call has begun. */
   addEntry(id: string, endpoint: EntryEndpoint): void {
-    this._entries.set(id, { endpoint, lostAt: undefined });
+    this._entries.set(id, { endpoint, disconnectedAt: undefined });
     this._revision += 1;
   }
 
-  /** Notes that an entry's call ended, unless it has begun another one since. */
+  /** Records that an entry's call has ended, unless the entry has begun another one since. */
   loseEntry(now: number, id: string, endpoint: EntryEndpoint): void {
     if (this._entries.get(id)?.endpoint !== endpoint) return;
-    this._entries.set(id, { endpoint, lostAt: now });
+    this._entries.set(id, { endpoint, disconnectedAt: now });
   }
 
-  /** Takes an entry that stops off the roster at once. */
+  /** Removes an entry that stops, without waiting for the grace period. */
   removeEntry(id: string): void {
     if (this._entries.delete(id)) this._revision += 1;
   }
 
-  /** Gets the entries, in the order of their addresses. */
+  /** Gets the entries, sorted by address. */
   getEntries(now: number): EntryEndpoint[] {
-    for (const [id, { lostAt }] of this._entries) {
-      if (lostAt !== undefined && now - lostAt > GRACE_MS) this.removeEntry(id);
+    for (const [id, { disconnectedAt }] of this._entries) {
+      if (disconnectedAt !== undefined && now - disconnectedAt > DISCONNECT_GRACE_MS) this.removeEntry(id);
     }
     return sortEntries([...this._entries.values()].map(({ endpoint }) => endpoint));
   }
 }
 
-/** Sorts entries by address; a restarted entry has another id and the same address. */
+/**
+ * Sorts entries by address and lists each address once; a restarted entry has a new id at the same address.
+ */
 export function sortEntries(endpoints: readonly EntryEndpoint[]): EntryEndpoint[] {
   const byAddress = new Map(endpoints.map((endpoint) => [endpoint.address, endpoint]));
   return [...byAddress.values()].sort((a, b) => (a.address < b.address ? -1 : 1));
--- a/src/registration/Hearing.ts
+++ b/src/registration/Hearing.ts
@@ -1,89 +1,96 @@
 /**
- * Tells how long instances were silent while their leader could have heard them.
+ * Measures for how long instances have sent no heartbeat while their leader could have received one.
  *
- * Instances report to any control process, and these pass it on. While one that is alive can't get
- * its reports through, or none can, the silence of an instance says nothing of the instance: that
- * time isn't counted: after a loss of all power a new leader would give up replicas whose instances all run.
- * Pure: times are monotonic milliseconds given by the caller.
+ * Instances report to any control process, and each control process forwards the reports to the leader. While
+ * a live control process can't get its reports through, or none can, a missing heartbeat is no evidence
+ * against an instance. Such time is not counted. Otherwise a new leader would, after a power loss of all
+ * machines, abandon replicas whose instances all run. Performs no I/O; the caller passes times in monotonic
+ * milliseconds.
  */
 
-/** Another control process, as its leader knows it. */
+/** Another control process, as seen by the leader. */
 export interface RelayContact {
-  /** When it answered a message of the agreement last. */
+  /** When it last answered a consensus message. */
   readonly answeredAt: number;
-  /** When reports that it passed on came in last; `undefined` if none did in this term. */
+  /** When the leader last received reports from it; `undefined` if it has received none in this term. */
   readonly reportedAt: number | undefined;
 }
 
-/** A process passes reports on every 400 ms: one that is late by more than its next one is held up. */
-const HELD_UP_MS = 1_000;
-/** A process that answered the agreement within this time is alive: it is asked every 100 ms. */
-const ALIVE_MS = 1_000;
 /**
- * A process that can't reach the leader refuses its instances before they count as absent, and they
- * turn to another one: beyond so many times that silence its own says nothing of them any more.
+ * A process forwards reports every 400 ms. If the last ones are older than this, more than one interval was
+ * missed and the process is delayed.
  */
-const PATIENCE_WINDOWS = 2;
+const DELAYED_MS = 1_000;
+/** A process that answered a consensus message within this time is alive; one is sent every 100 ms. */
+const ALIVE_WINDOW_MS = 1_000;
+/**
+ * The longest delay of a relay that is excluded, in multiples of the time after which an instance is absent.
+ * A process that can't reach the leader refuses reports before its instances count as absent, and they switch
+ * to another process. Beyond this limit the delay of the relay says nothing about its former instances.
+ */
+const MAX_GAP_WINDOWS = 2;
 
-/** Gaps that ended so long ago concern nobody: who was silent for so long is forgotten. */
-const KEPT_MS = 60_000;
+/** Gaps that ended longer ago are dropped: an instance without a heartbeat for that long has been removed. */
+const GAP_RETENTION_MS = 60_000;
 
-/** A time in which instances may have reported without being heard. */
+/** A period in which instances may have reported without the leader receiving it. */
 interface Gap {
   readonly from: number;
   to: number;
 }
 
-/** What one leader could hear. */
+/** The time in which one leader could receive heartbeats. */
 export class Hearing {
-  /** When the leader's term began. */
+  /** When the leader's term began, in monotonic milliseconds. */
   readonly startedAt: number;
   private _gaps: Gap[] = [];
 
-  /**
-   * @param startedAt - Monotonic milliseconds.
-   */
   constructor(startedAt: number) {
     this.startedAt = startedAt;
   }
 
-  /** Gets how long the leader could have heard everybody within its term, milliseconds. */
+  /** Gets how long, in milliseconds, the leader could have received reports of all instances in its term. */
   getListenedMs(now: number): number {
     return this.getSilentMs(now, this.startedAt);
   }
 
   /**
-   * Gets how long an instance has been silent, as far as it could have been heard, milliseconds.
-   * @param reportedAt - When it reported last; before the term there may have been no leader to hear it.
+   * Gets for how long, in milliseconds, the leader could have received a heartbeat of an instance and
+   * received none.
+   * @param reportedAt - Time of the last heartbeat. Time before the term does not count: there may have been
+   * no leader to receive one.
    */
   getSilentMs(now: number, reportedAt: number): number {
     const countedFrom = Math.max(reportedAt, this.startedAt);
-    const unheardMs = this._gaps.map(({ from, to }) =>
+    const gapsMs = this._gaps.map(({ from, to }) =>
       Math.max(0, Math.min(now, to) - Math.max(from, countedFrom)),
     );
-    return now - countedFrom - unheardMs.reduce((sum, ms) => sum + ms, 0);
+    return now - countedFrom - gapsMs.reduce((sum, ms) => sum + ms, 0);
   }
 
   /**
-   * Looks at who was heard.
-   * @param presenceMs - An instance silent for so long is absent.
+   * Checks which relays the leader currently receives reports from, and records a gap for those that are
+   * delayed.
+   * @param presenceMs - An instance without a heartbeat for this time is absent.
    */
   update(now: number, relays: readonly RelayContact[], presenceMs: number): void {
-    const patienceMs = presenceMs * PATIENCE_WINDOWS;
-    const heardAt = relays.map(({ reportedAt }) => reportedAt ?? this.startedAt);
-    const isHeldUp = (at: number) => now - at > HELD_UP_MS && now - at <= patienceMs;
-    const held = heardAt.filter((at, i) => isHeldUp(at) && now - relays[i]!.answeredAt <= ALIVE_MS);
-    // A leader that stood still has heard no answers either.
-    const isNobodyHeard = relays.length > 0 && heardAt.every(isHeldUp);
-    if (isNobodyHeard) this._addGap(now, Math.max(...heardAt));
-    if (held.length > 0) this._addGap(now, Math.min(...held));
+    const maxGapMs = presenceMs * MAX_GAP_WINDOWS;
+    const reportedAts = relays.map(({ reportedAt }) => reportedAt ?? this.startedAt);
+    const isDelayed = (at: number) => now - at > DELAYED_MS && now - at <= maxGapMs;
+    const delayedSince = reportedAts.filter(
+      (at, i) => isDelayed(at) && now - relays[i]!.answeredAt <= ALIVE_WINDOW_MS,
+    );
+    // A leader that was paused has not received consensus answers either.
+    const areAllDelayed = relays.length > 0 && reportedAts.every(isDelayed);
+    if (areAllDelayed) this._addGap(now, Math.max(...reportedAts));
+    if (delayedSince.length > 0) this._addGap(now, Math.min(...delayedSince));
   }
 
-  /** Gaps never overlap: what is counted once is not counted again. */
+  /** Gaps never overlap, so that no time is excluded twice. */
   private _addGap(now: number, from: number): void {
     const last = this._gaps.at(-1);
     if (last !== undefined && from <= last.to) last.to = now;
     else this._gaps.push({ from, to: now });
-    this._gaps = this._gaps.filter(({ to }) => now - to <= KEPT_MS);
+    this._gaps = this._gaps.filter(({ to }) => now - to <= GAP_RETENTION_MS);
   }
 }
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -1,8 +1,8 @@
 /**
- * Finds out which of several instances that reported from one address runs there, by asking.
+ * Finds out by query which of several instances that reported the same address runs there.
  *
- * The answer of the instance itself is the only proof: reports of ended instances may reach a leader
- * seconds after those of their successors, most of all in the first moments of a term.
+ * Only the instance's own answer is proof: reports of ended instances can reach a leader seconds after those
+ * of their successors, in particular at the start of a term.
  */
 import type { Clock } from "../clock";
 import type { InstanceReport } from "../gen/ploverstage/v1/fleet_pb";
@@ -11,7 +11,7 @@
 import type { InstanceOrders, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
 
-/** What the checks work with. */
+/** Dependencies of the checks. */
 export interface IdentityChecksOptions {
   readonly registry: InstanceRegistry;
   readonly orders: Pick<InstanceOrders, "identify" | "askBorn">;
@@ -19,68 +19,72 @@
   readonly logger: Logger;
 }
 
-/** An instance that is well answers within some 10 ms; one that loses its answer is asked again soon. */
-const ANSWER_MS = 250;
-/** Who could not be asked is asked again after this time: about the pause between two signs of life. */
-const PAUSE_MS = 400;
+/** A healthy instance answers within some 10 ms; if the answer is lost, the query is repeated soon. */
+const ANSWER_TIMEOUT_MS = 250;
+/** Wait before a query that got no answer is repeated; about the interval between two heartbeats. */
+const RETRY_INTERVAL_MS = 400;
 
-/** The checks of one term. */
+/** The identity checks of one leadership term. */
 export class IdentityChecks {
   private readonly _options: IdentityChecksOptions;
-  /** How often and when the instances at an address were asked. */
-  private readonly _asked = new Map<string, { readonly count: number; readonly endedAt: number }>();
-  private readonly _asking = new Set<string>();
-  /** By instance: when it was asked which of its lives runs. */
-  private readonly _askedLives = new Map<string, number>();
+  /** By address: number of completed queries and when the last one ended. */
+  private readonly _queries = new Map<string, { readonly count: number; readonly endedAt: number }>();
+  private readonly _pendingAddresses = new Set<string>();
+  /** By instance id: when the last query for the running incarnation was sent. */
+  private readonly _startTimeQueriedAt = new Map<string, number>();
 
-  /**
-   * @param options - Registry, orders and log.
-   */
   constructor(options: IdentityChecksOptions) {
     this._options = options;
   }
 
   /**
-   * Asks at each address that several instances claim, unless it was asked a moment ago.
-   * @param members - Instances that the agreed state gives places: one that was not heard of in this term
-   * claims its address as well. Else the replica of one that has ended, with another one heard of at its
-   * address, stood until the usual silence was over.
-   * @param engineServices - Services whose instances take orders: no others are asked.
+   * Queries each address that several instances claim, unless the last query there ended less than
+   * RETRY_INTERVAL_MS ago.
+   * @param members - Members of replicas in the committed state. A member that has not reported in this term
+   * also claims its address. Otherwise the replica of an ended member would stay until the usual heartbeat
+   * timeout, although another instance reports the member's address.
+   * @param engineServices - Services whose instances accept orders; instances of other services are not
+   * queried.
    */
   checkConflicts(now: number, members: readonly OrderReceiver[], engineServices: ReadonlySet<string>): void {
     const conflicts = this._getConflicts(members, engineServices);
-    for (const address of this._asked.keys()) if (!conflicts.has(address)) this._asked.delete(address);
+    for (const address of this._queries.keys()) if (!conflicts.has(address)) this._queries.delete(address);
     for (const [address, claimants] of conflicts) {
-      const endedAt = this._asked.get(address)?.endedAt ?? Number.NEGATIVE_INFINITY;
-      if (!this._asking.has(address) && now - endedAt >= PAUSE_MS) void this._ask(now, address, claimants);
+      const endedAt = this._queries.get(address)?.endedAt ?? Number.NEGATIVE_INFINITY;
+      if (!this._pendingAddresses.has(address) && now - endedAt >= RETRY_INTERVAL_MS)
+        void this._queryIdentity(now, address, claimants);
     }
   }
 
   /**
-   * Asks each instance of which an older life reports beside a newer one who answers where the older one
-   * reported from, unless it was asked a moment ago: a clock that was set back between two starts makes
-   * the one that runs look older.
+   * Queries each instance whose older and newer incarnations both report, at most once per RETRY_INTERVAL_MS.
+   * The query goes to the address that the older incarnation reported. If a clock was set back between two
+   * starts, the running incarnation has the older start time.
    */
   checkLives(now: number): void {
-    const contenders = this._options.registry.getContenders();
-    const ids = new Set(contenders.map(({ report }) => report.instanceId));
-    for (const id of this._askedLives.keys()) if (!ids.has(id)) this._askedLives.delete(id);
-    for (const { report } of contenders) {
-      if (now - (this._askedLives.get(report.instanceId) ?? Number.NEGATIVE_INFINITY) < PAUSE_MS) continue;
-      this._askedLives.set(report.instanceId, now);
-      void this._askBorn(now, report);
+    const olderIncarnations = this._options.registry.getOlderIncarnations();
+    const ids = new Set(olderIncarnations.map(({ report }) => report.instanceId));
+    for (const id of this._startTimeQueriedAt.keys()) if (!ids.has(id)) this._startTimeQueriedAt.delete(id);
+    for (const { report } of olderIncarnations) {
+      if (
+        now - (this._startTimeQueriedAt.get(report.instanceId) ?? Number.NEGATIVE_INFINITY) <
+        RETRY_INTERVAL_MS
+      )
+        continue;
+      this._startTimeQueriedAt.set(report.instanceId, now);
+      void this._queryStartTime(now, report);
     }
   }
 
-  private async _askBorn(now: number, { instanceId, born, address }: InstanceReport): Promise<void> {
+  private async _queryStartTime(now: number, { instanceId, born, address }: InstanceReport): Promise<void> {
     const { registry, orders, logger } = this._options;
-    const answered = await orders.askBorn({ instanceId, born, address }, ANSWER_MS);
-    if (answered !== undefined) registry.addLifeAnswer(now, { instanceId, born: answered });
+    const answered = await orders.askBorn({ instanceId, born, address }, ANSWER_TIMEOUT_MS);
+    if (answered !== undefined) registry.confirmIncarnation(now, { instanceId, born: answered });
     const knownBorn = registry.getInstance(instanceId)?.report.born;
     logger.info({ event: "life_checked", instance: instanceId, address, born, answered, knownBorn });
   }
 
-  /** Gets lives by address. */
+  /** Gets the conflicting incarnations by address. */
   private _getConflicts(
     members: readonly OrderReceiver[],
     engineServices: ReadonlySet<string>,
@@ -99,17 +103,19 @@
     return conflicts;
   }
 
-  /** One claimant at a time: either answer tells of it or of all the others. */
-  private async _ask(now: number, address: string, claimants: readonly Life[]): Promise<void> {
+  /**
+   * Queries one claimant at a time: the answer shows whether this claimant has ended or all the others have.
+   */
+  private async _queryIdentity(now: number, address: string, claimants: readonly Life[]): Promise<void> {
     const { registry, orders, clock, logger } = this._options;
-    const count = this._asked.get(address)?.count ?? 0;
+    const count = this._queries.get(address)?.count ?? 0;
     const { instanceId, born } = claimants[count % claimants.length]!;
-    this._asking.add(address);
-    const identity = await orders.identify({ instanceId, born, address }, ANSWER_MS);
-    this._asking.delete(address);
-    this._asked.set(address, { count: count + 1, endedAt: clock.getMonotonicMs() });
+    this._pendingAddresses.add(address);
+    const identity = await orders.identify({ instanceId, born, address }, ANSWER_TIMEOUT_MS);
+    this._pendingAddresses.delete(address);
+    this._queries.set(address, { count: count + 1, endedAt: clock.getMonotonicMs() });
     if (identity === "another") registry.addEnd({ instanceId, born });
-    if (identity === "itself") registry.addPresence(now, instanceId, address);
+    if (identity === "itself") registry.confirmInstance(now, instanceId, address);
     logger.info({
       event: "identity_checked",
       address,
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -1,83 +1,90 @@
 /**
- * The instances that registered themselves, as the leader knows them.
+ * The registered instances, as the leader has learnt them from reports.
  *
- * Soft state: rebuilt from the next reports. Reports of one life of an instance carry a rising sequence
- * number, by which a late one is dropped. Lives under one id are ordered by their starts: a newer one ends
- * the older one at once, and what an older one is heard to say later changes nothing, unless its own answer
- * proves that it runs (a clock was set back between two starts). Nothing orders the reports of different
- * instances at one address: one that has ended may be heard after its successor, from a process that kept
- * its report or through a partition that held it up. So who reported last proves nothing. All instances that
- * claim an address are kept until one of them is shown to have ended.
- * Pure: times are monotonic milliseconds given by the caller.
+ * This is soft state: after a change of leader the next reports rebuild it. The reports of one incarnation of
+ * an instance carry an increasing sequence number, and the registry drops a report that arrives out of order.
+ * Incarnations under one id are ordered by their start times: a newer one ends the older one at once, and
+ * later reports of the older one have no effect. The exception is an older incarnation that itself answers a
+ * query: it runs, and the clock was set back between two starts.
+ *
+ * Nothing orders the reports of different instances at one address. The report of an ended instance can
+ * arrive after that of its successor, from a process that buffered it or through a partition that delayed it.
+ * The latest report therefore does not prove which instance runs. The registry retains all instances that
+ * claim an address until one of them is proved to have ended.
+ *
+ * Performs no I/O; the caller passes times in monotonic milliseconds.
  */
 import type { InstanceReport, InstanceSign } from "../gen/ploverstage/v1/fleet_pb";
 import { getLifeKey, type Life, type LifeKey } from "../ids";
 import { hasSameContent } from "./reportContent";
 
-/** One registered instance, in its present life. */
+/** One registered instance, in its current incarnation. */
 export interface RegisteredInstance {
-  /** The newest report that was given in full; later ones said nothing new. */
+  /** The newest full report; the heartbeats since then repeated its content. */
   readonly report: InstanceReport;
-  /** Of the newest report, given in full or not. */
+  /** Sequence number of the newest full report or heartbeat. */
   readonly sequence: number;
   readonly firstReportedAt: number;
   readonly reportedAt: number;
 }
 
-/** Several instances reported from one address, where only one can run. */
+/** Several instances that reported the same address, where only one can run. */
 export interface AddressConflict {
   readonly address: string;
-  /** In the order in which they were first heard of; two at the least. */
+  /** In the order of their first reports; at least two. */
   readonly claimants: readonly RegisteredInstance[];
 }
 
-/** Why a life of an instance is held for ended. */
+/** Why the registry treats an incarnation as ended. */
 export type LifeEnd = "newerLife" | "answeredByAnother" | "olderLifeAnswered" | "olderLifeReports";
 
-/** Told of what changes beside the reports' content. */
+/** Receives events that do not follow from the content of a report. */
 export interface RegistryListener {
-  /** An instance is first heard of at an address that another one has claimed. */
+  /** Called when an instance first reports an address that another instance claims. */
   onConflict?(conflict: AddressConflict): void;
-  /** A life is held for ended from now on. */
+  /** Called when the registry starts to treat an incarnation as ended. */
   onEnd?(life: Life, ground: LifeEnd): void;
 }
 
-/** What a report came to; `older` when a newer life of the instance is known. */
+/** Result of adding a report; `older` when a newer incarnation of the instance is registered. */
 export type ReportOutcome = "taken" | "late" | "older" | "ended";
-/** What a sign of life came to; `unknown` when the instance has to be told of in full. */
-export type SignOutcome = ReportOutcome | "unknown";
+/** Result of adding a heartbeat; `unknown` when the registry needs the instance's full report. */
+export type HeartbeatOutcome = ReportOutcome | "unknown";
 
-/** A silent instance is forgotten after this time. */
-const FORGET_MS = 60_000;
+/** An instance without a heartbeat for this time is removed. */
+const EXPIRY_MS = 60_000;
 
 /** The registered instances. */
 export class InstanceRegistry {
   private readonly _instances = new Map<string, RegisteredInstance>();
   /**
-   * By id: lives that report although a newer one is known: late words of one that ended, or of the one that
-   * runs, whose clock was set back.
+   * By id: incarnations that report although a newer one is registered. These are either stale messages of an
+   * ended incarnation, or messages of the running one, whose clock was set back.
    */
-  private readonly _contenders = new Map<string, RegisteredInstance>();
-  /** Instances by the address that they reported, in the order in which they were first heard of. */
+  private readonly _olderIncarnations = new Map<string, RegisteredInstance>();
+  /** Ids of the instances by reported address, in the order of their first reports. */
   private readonly _claims = new Map<string, Set<string>>();
-  /** Addresses that several instances claim, and when that was first looked at. */
+  /** Addresses that several instances claim, and when `removeExpired` first found the conflict. */
   private readonly _conflicts = new Map<string, number | undefined>();
   private readonly _ended = new Set<LifeKey>();
   private readonly _listener: RegistryListener;
-  private readonly _getAgreedBorn: (instanceId: string) => number;
+  private readonly _getCommittedStartTime: (instanceId: string) => number;
   private _revision = 0;
 
   /**
-   * @param listener - Told of conflicts and ends.
-   * @param getAgreedBorn - Gives the start of the life that the agreed state knows under an id, 0 if none: a
-   * leader may first hear an older one.
+   * @param listener - Receives conflicts and ends.
+   * @param getCommittedStartTime - Gets the start time of the incarnation in the committed state under an id,
+   * 0 if there is none. A new leader may receive reports of an older incarnation first.
    */
-  constructor(listener: RegistryListener = {}, getAgreedBorn: (instanceId: string) => number = () => 0) {
+  constructor(
+    listener: RegistryListener = {},
+    getCommittedStartTime: (instanceId: string) => number = () => 0,
+  ) {
     this._listener = listener;
-    this._getAgreedBorn = getAgreedBorn;
+    this._getCommittedStartTime = getCommittedStartTime;
   }
 
-  /** Gets a number that rises with each change of what instances say. */
+  /** Gets a number that increases with each change in the content of reports. */
   get revision(): number {
     return this._revision;
   }
@@ -92,25 +99,30 @@
     return [...this._instances.values()];
   }
 
-  /** Gets the lives that report although a newer one is known; asking tells who runs. */
-  getContenders(): RegisteredInstance[] {
-    return [...this._contenders.values()];
+  /**
+   * Gets the incarnations that report although a newer one is registered; a query finds out which one runs.
+   */
+  getOlderIncarnations(): RegisteredInstance[] {
+    return [...this._olderIncarnations.values()];
   }
 
-  /** Checks whether a life is held for ended: another instance answered at its address, or a newer life began. */
-  hasEnded(life: Life): boolean {
-    if (this._ended.has(getLifeKey(life))) return true;
-    const known = this._instances.get(life.instanceId)?.report;
-    return known !== undefined && life.born > 0 && known.born > life.born;
+  /**
+   * Checks whether an incarnation counts as ended: another instance answered at its address, or a newer
+   * incarnation started.
+   */
+  hasEnded(incarnation: Life): boolean {
+    if (this._ended.has(getLifeKey(incarnation))) return true;
+    const current = this._instances.get(incarnation.instanceId)?.report;
+    return current !== undefined && incarnation.born > 0 && current.born > incarnation.born;
   }
 
-  /** Checks whether another instance claims the address of this one. */
+  /** Checks whether another instance claims the same address. */
   isInConflict(id: string): boolean {
     const address = this._instances.get(id)?.report.address;
     return address !== undefined && this._conflicts.has(address);
   }
 
-  /** Gets the instances that claim an address, in the order in which they were first heard of. */
+  /** Gets the instances that claim an address, in the order of their first reports. */
   getClaimants(address: string): Life[] {
     return [...(this._claims.get(address) ?? [])].map((id) => this._instances.get(id)!.report);
   }
@@ -121,168 +133,188 @@
   }
 
   /**
-   * Takes a report over unless a newer one of the same life, or a newer life, came before.
-   * @param at - When the report came in, here or at the process that relayed it.
+   * Stores a report unless the registry has a newer one of the same incarnation, or a newer incarnation.
+   * @param at - When the report arrived, at this process or at its relay.
    */
   addReport(at: number, report: InstanceReport): ReportOutcome {
     if (this._ended.has(getLifeKey(report))) return "ended";
-    const known = this._instances.get(report.instanceId);
-    const newestBorn = known?.report.born ?? this._getAgreedBorn(report.instanceId);
-    if (report.born < newestBorn) return this._addContender(at, report);
-    if (known !== undefined && report.born > known.report.born) this._endLife(known.report, "newerLife");
-    return this._takeReport(at, report);
+    const current = this._instances.get(report.instanceId);
+    const newestStartTime = current?.report.born ?? this._getCommittedStartTime(report.instanceId);
+    if (report.born < newestStartTime) return this._addOlderReport(at, report);
+    if (current !== undefined && report.born > current.report.born)
+      this._endIncarnation(current.report, "newerLife");
+    return this._storeReport(at, report);
   }
 
   /**
-   * Notes that an instance reported again and said nothing new.
-   * @param at - When that report came in at the process that relayed it.
+   * Records a heartbeat: the instance reported again with unchanged content.
+   * @param at - When the heartbeat arrived at its relay.
    */
-  addSign(at: number, sign: InstanceSign): SignOutcome {
-    const { instanceId: id, sequence, contentSequence } = sign;
-    if (this._ended.has(getLifeKey(sign))) return "ended";
-    const known = this._instances.get(id);
-    if (known !== undefined && sign.born < known.report.born) return this._addContenderSign(at, sign);
-    // Another relay may have told of something else meanwhile.
-    if (known === undefined || known.report.sequence !== contentSequence || known.report.born !== sign.born) {
+  addSign(at: number, heartbeat: InstanceSign): HeartbeatOutcome {
+    const { instanceId: id, sequence, contentSequence } = heartbeat;
+    if (this._ended.has(getLifeKey(heartbeat))) return "ended";
+    const current = this._instances.get(id);
+    if (current !== undefined && heartbeat.born < current.report.born)
+      return this._addOlderHeartbeat(at, heartbeat);
+    // Another relay may have sent a report with other content in the meantime.
+    if (
+      current === undefined ||
+      current.report.sequence !== contentSequence ||
+      current.report.born !== heartbeat.born
+    ) {
       return "unknown";
     }
-    if (sequence <= known.sequence) return "late";
-    this._instances.set(id, { ...known, sequence, reportedAt: Math.max(at, known.reportedAt) });
+    if (sequence <= current.sequence) return "late";
+    this._instances.set(id, { ...current, sequence, reportedAt: Math.max(at, current.reportedAt) });
     return "taken";
   }
 
-  /** Notes that another instance answered at the address of a life: it has ended. */
-  addEnd(life: Life): void {
-    if (this._ended.has(getLifeKey(life))) return;
-    this._ended.add(getLifeKey(life));
-    this._listener.onEnd?.(life, "answeredByAnother");
-    if (this._instances.get(life.instanceId)?.report.born === life.born) this._forget(life.instanceId);
+  /** Records that another instance answered at the address of an incarnation, which has therefore ended. */
+  addEnd(incarnation: Life): void {
+    if (this._ended.has(getLifeKey(incarnation))) return;
+    this._ended.add(getLifeKey(incarnation));
+    this._listener.onEnd?.(incarnation, "answeredByAnother");
+    if (this._instances.get(incarnation.instanceId)?.report.born === incarnation.born)
+      this._remove(incarnation.instanceId);
     this._revision += 1;
   }
 
   /**
-   * Notes that an instance answered at its address: others that had reported from there have ended.
-   * @param askedAt - When it was asked; who was first heard of later may have followed it.
+   * Records that an instance answered at its address: other instances that reported the same address have
+   * ended.
+   * @param askedAt - When the query was sent; an instance first reported after that may be the successor.
    */
-  addPresence(askedAt: number, id: string, address: string): void {
+  confirmInstance(askedAt: number, id: string, address: string): void {
     for (const { report, firstReportedAt } of this._getConflict(address).claimants) {
       if (report.instanceId !== id && firstReportedAt <= askedAt) this.addEnd(report);
     }
   }
 
   /**
-   * Notes which life of an instance answered where a contender had reported from.
-   * @param askedAt - When it was asked. A newer life that was heard of before has ended if the older one
-   * answered: only one runs at a time.
+   * Records which incarnation of an instance answered at the address that an older incarnation had reported.
+   * @param askedAt - When the query was sent. If the older incarnation answered, a newer one that was
+   * reported before the query has ended, since only one runs at a time.
    */
-  addLifeAnswer(askedAt: number, { instanceId, born }: Life): void {
-    const contender = this._contenders.get(instanceId);
-    // Without a start nothing tells one who answers from another.
-    if (contender === undefined || born === 0) return;
-    const known = this._instances.get(instanceId);
-    const isOlderOne = contender.report.born === born;
-    if (isOlderOne && (known === undefined || known.firstReportedAt <= askedAt)) {
-      this._takeContender(contender, "olderLifeAnswered");
+  confirmIncarnation(askedAt: number, { instanceId, born }: Life): void {
+    const older = this._olderIncarnations.get(instanceId);
+    // Without a start time the answer does not identify an incarnation.
+    if (older === undefined || born === 0) return;
+    const newer = this._instances.get(instanceId);
+    const hasOlderAnswered = older.report.born === born;
+    if (hasOlderAnswered && (newer === undefined || newer.firstReportedAt <= askedAt)) {
+      this._restoreOlderIncarnation(older, "olderLifeAnswered");
       return;
     }
-    if (!isOlderOne) this._contenders.delete(instanceId);
+    if (!hasOlderAnswered) this._olderIncarnations.delete(instanceId);
   }
 
   /**
-   * Forgets instances that have been silent for long; of several at one address that could not be asked,
-   * those that are silent while another one reports. Who is forgotten is not held for ended. Of two lives
-   * under one id that could not be asked, the older one counts once only it is heard.
-   * @param presenceMs - An instance silent for so long is absent.
+   * Removes instances without a heartbeat for EXPIRY_MS. Where a query at a claimed address is not possible,
+   * also removes the claimants without a heartbeat while another claimant still reports. A removed instance
+   * does not count as ended. Where a query between two incarnations of one id is not possible, the older one
+   * replaces the newer one once it alone reports.
+   * @param presenceMs - An instance without a heartbeat for this time is absent.
    */
   removeSilent(now: number, presenceMs: number): void {
     for (const [id, { reportedAt }] of this._instances) {
-      if (now - reportedAt > FORGET_MS) this._forget(id);
+      if (now - reportedAt > EXPIRY_MS) this._remove(id);
     }
     for (const [address, since] of this._conflicts) {
       if (since === undefined) this._conflicts.set(address, now);
-      else if (now - since > presenceMs) this._forgetSilentClaimants(now, address, presenceMs);
+      else if (now - since > presenceMs) this._removeExpiredClaimants(now, address, presenceMs);
     }
-    for (const contender of this._contenders.values()) this._settleContender(now, contender, presenceMs);
+    for (const older of this._olderIncarnations.values())
+      this._resolveOlderIncarnation(now, older, presenceMs);
   }
 
-  private _takeReport(at: number, report: InstanceReport): ReportOutcome {
+  private _storeReport(at: number, report: InstanceReport): ReportOutcome {
     const id = report.instanceId;
-    const known = this._instances.get(id);
-    if (known !== undefined && report.sequence <= known.sequence) return "late";
-    const isNew = known === undefined || !hasSameContent(known.report, report);
+    const current = this._instances.get(id);
+    if (current !== undefined && report.sequence <= current.sequence) return "late";
+    const isNew = current === undefined || !hasSameContent(current.report, report);
     const { sequence } = report;
-    const reportedAt = Math.max(at, known?.reportedAt ?? at);
-    this._instances.set(id, { report, sequence, firstReportedAt: known?.firstReportedAt ?? at, reportedAt });
+    const reportedAt = Math.max(at, current?.reportedAt ?? at);
+    this._instances.set(id, {
+      report,
+      sequence,
+      firstReportedAt: current?.firstReportedAt ?? at,
+      reportedAt,
+    });
     if (isNew) this._revision += 1;
-    if (known?.report.address !== report.address) this._moveClaim(id, known?.report.address, report.address);
+    if (current?.report.address !== report.address)
+      this._moveClaim(id, current?.report.address, report.address);
     return "taken";
   }
 
-  private _addContender(at: number, report: InstanceReport): ReportOutcome {
-    const known = this._contenders.get(report.instanceId);
-    const isSame = known?.report.born === report.born;
+  private _addOlderReport(at: number, report: InstanceReport): ReportOutcome {
+    const stored = this._olderIncarnations.get(report.instanceId);
+    const isSame = stored?.report.born === report.born;
     if (
-      known !== undefined &&
-      (report.born < known.report.born || (isSame && report.sequence <= known.sequence))
+      stored !== undefined &&
+      (report.born < stored.report.born || (isSame && report.sequence <= stored.sequence))
     ) {
       return "older";
     }
     const { sequence } = report;
-    const firstReportedAt = isSame ? known!.firstReportedAt : at;
-    const reportedAt = Math.max(at, isSame ? known!.reportedAt : at);
-    this._contenders.set(report.instanceId, { report, sequence, firstReportedAt, reportedAt });
+    const firstReportedAt = isSame ? stored!.firstReportedAt : at;
+    const reportedAt = Math.max(at, isSame ? stored!.reportedAt : at);
+    this._olderIncarnations.set(report.instanceId, { report, sequence, firstReportedAt, reportedAt });
     return "older";
   }
 
-  private _addContenderSign(
+  private _addOlderHeartbeat(
     at: number,
     { instanceId, born, sequence, contentSequence }: InstanceSign,
-  ): SignOutcome {
-    const known = this._contenders.get(instanceId);
-    if (known === undefined || known.report.born !== born || known.report.sequence !== contentSequence) {
+  ): HeartbeatOutcome {
+    const stored = this._olderIncarnations.get(instanceId);
+    if (stored === undefined || stored.report.born !== born || stored.report.sequence !== contentSequence) {
       return "unknown";
     }
-    if (sequence <= known.sequence) return "older";
-    this._contenders.set(instanceId, { ...known, sequence, reportedAt: Math.max(at, known.reportedAt) });
+    if (sequence <= stored.sequence) return "older";
+    this._olderIncarnations.set(instanceId, {
+      ...stored,
+      sequence,
+      reportedAt: Math.max(at, stored.reportedAt),
+    });
     return "older";
   }
 
-  private _settleContender(now: number, contender: RegisteredInstance, presenceMs: number): void {
-    const { report, firstReportedAt, reportedAt } = contender;
+  private _resolveOlderIncarnation(now: number, older: RegisteredInstance, presenceMs: number): void {
+    const { report, firstReportedAt, reportedAt } = older;
     if (now - reportedAt > presenceMs) {
-      this._contenders.delete(report.instanceId);
+      this._olderIncarnations.delete(report.instanceId);
       return;
     }
-    const heardAt = this._instances.get(report.instanceId)?.reportedAt ?? firstReportedAt;
-    const isAlone = now - heardAt > presenceMs && now - firstReportedAt > presenceMs;
-    if (isAlone) this._takeContender(contender, "olderLifeReports");
+    const newerReportedAt = this._instances.get(report.instanceId)?.reportedAt ?? firstReportedAt;
+    const isOnlyReporter = now - newerReportedAt > presenceMs && now - firstReportedAt > presenceMs;
+    if (isOnlyReporter) this._restoreOlderIncarnation(older, "olderLifeReports");
   }
 
-  private _takeContender(contender: RegisteredInstance, ground: LifeEnd): void {
-    const { report, reportedAt } = contender;
-    const known = this._instances.get(report.instanceId);
-    if (known !== undefined) this._endLife(known.report, ground);
-    this._contenders.delete(report.instanceId);
+  private _restoreOlderIncarnation(older: RegisteredInstance, reason: LifeEnd): void {
+    const { report, reportedAt } = older;
+    const newer = this._instances.get(report.instanceId);
+    if (newer !== undefined) this._endIncarnation(newer.report, reason);
+    this._olderIncarnations.delete(report.instanceId);
     this._ended.delete(getLifeKey(report));
-    this._takeReport(reportedAt, report);
+    this._storeReport(reportedAt, report);
   }
 
-  /** Only an answer is proof for good: by its start or its silence alone no life is shut out. */
-  private _endLife(life: Life, ground: LifeEnd): void {
-    if (ground === "olderLifeAnswered") this._ended.add(getLifeKey(life));
-    this._forget(life.instanceId);
-    this._listener.onEnd?.(life, ground);
+  /** Only an answer shuts out an incarnation permanently; its start time or missing heartbeats do not. */
+  private _endIncarnation(incarnation: Life, reason: LifeEnd): void {
+    if (reason === "olderLifeAnswered") this._ended.add(getLifeKey(incarnation));
+    this._remove(incarnation.instanceId);
+    this._listener.onEnd?.(incarnation, reason);
   }
 
-  private _forgetSilentClaimants(now: number, address: string, presenceMs: number): void {
+  private _removeExpiredClaimants(now: number, address: string, presenceMs: number): void {
     const { claimants } = this._getConflict(address);
     const newest = Math.max(...claimants.map(({ reportedAt }) => reportedAt));
     for (const { report, reportedAt } of claimants) {
-      if (now - reportedAt > presenceMs && reportedAt < newest) this._forget(report.instanceId);
+      if (now - reportedAt > presenceMs && reportedAt < newest) this._remove(report.instanceId);
     }
   }
 
-  private _forget(id: string): void {
+  private _remove(id: string): void {
     const address = this._instances.get(id)?.report.address;
     if (address === undefined) return;
     this._moveClaim(id, address, undefined);
@@ -292,10 +324,10 @@
 
   private _moveClaim(id: string, from: string | undefined, to: string | undefined): void {
     if (from !== undefined) {
-      const left = this._claims.get(from);
-      left?.delete(id);
-      if (left?.size === 0) this._claims.delete(from);
-      if ((left?.size ?? 0) <= 1) this._conflicts.delete(from);
+      const remaining = this._claims.get(from);
+      remaining?.delete(id);
+      if (remaining?.size === 0) this._claims.delete(from);
+      if ((remaining?.size ?? 0) <= 1) this._conflicts.delete(from);
     }
     if (to === undefined) return;
     const claimants = this._claims.get(to) ?? new Set<string>();
--- a/src/registration/PresenceDoubts.ts
+++ b/src/registration/PresenceDoubts.ts
@@ -1,35 +1,35 @@
 /**
- * Instances that were asked for a sign of life, because an entry saw their replica stand
- * still, and gave none.
+ * Instances that are suspected to be absent: an entry saw their replica stall, the leader queried them, and
+ * they did not answer.
  *
- * A doubt lasts until the instance reports again. Pure.
+ * A suspicion lasts until the instance reports again. Performs no I/O.
  */
 
-/** Instances in doubt. */
+/** The instances under suspicion. */
 export class PresenceDoubts {
-  private readonly _doubtedAt = new Map<string, number>();
+  private readonly _suspectedAt = new Map<string, number>();
   private _revision = 0;
 
-  /** Gets a number that rises with each doubt. */
+  /** Gets a number that increases with each suspicion. */
   get revision(): number {
     return this._revision;
   }
 
-  /** Notes that an instance gave no sign of life. */
+  /** Records that an instance did not answer a query. */
   addDoubt(now: number, instanceId: string): void {
-    this._doubtedAt.set(instanceId, now);
+    this._suspectedAt.set(instanceId, now);
     this._revision += 1;
   }
 
   /**
-   * Checks whether an instance is in doubt.
-   * @param reportedAt - When it reported last.
+   * Checks whether an instance is suspected to be absent.
+   * @param reportedAt - Time of its last report.
    */
   isDoubted(instanceId: string, reportedAt: number): boolean {
-    const doubtedAt = this._doubtedAt.get(instanceId);
-    if (doubtedAt === undefined) return false;
-    if (reportedAt <= doubtedAt) return true;
-    this._doubtedAt.delete(instanceId);
+    const suspectedAt = this._suspectedAt.get(instanceId);
+    if (suspectedAt === undefined) return false;
+    if (reportedAt <= suspectedAt) return true;
+    this._suspectedAt.delete(instanceId);
     return false;
   }
 }
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -1,9 +1,10 @@
 /**
- * What any control process does for instances, operators and callers, whoever leads.
+ * The part of the service for instances, operators and callers that every control process offers, whether it
+ * leads or not.
  *
- * Declarations and departures go to the leader, here or over the network, and are acknowledged
- * once it took them. What instances say otherwise is soft state: it is acknowledged by whoever
- * hears it, and told to the leader a moment later.
+ * Declarations and departures go to the leader, in this process or over the network, and are acknowledged
+ * once the leader has accepted them. All other reports of instances are soft state: the process that receives
+ * them acknowledges them and forwards them to the leader a moment later.
  */
 
 import type { CallOrder } from "../admission";
@@ -16,31 +17,34 @@
   GetDeclarationResponse,
   InstanceReport,
 } from "../gen/ploverstage/v1/fleet_pb";
-import type { Declaration as HeldDeclaration } from "../gen/ploverstage/v1/state_pb";
+import type { Declaration as CommittedDeclaration } from "../gen/ploverstage/v1/state_pb";
 import type { Life } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import { CallTrace, type LeaderClient } from "../rpc";
 import type { CallLedger } from "./CallLedger";
 import { checkReport } from "./checkReport";
-import { getUnencodable } from "./encodableReports";
+import { getUnencodableReports } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
 import type { ReportRelay } from "./ReportRelay";
 import type { ReportSender } from "./ReportSender";
 
-/** What a registrar works with. */
+/** Dependencies of a registrar. */
 export interface RegistrarOptions {
   /** Gives the leadership if this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
-  /** Checks whether the agreed state has a life of an instance as departed, as far as it is known here. */
+  /**
+   * Checks whether an incarnation has departed, according to the committed state that this process has
+   * applied.
+   */
   readonly hasDeparted: (life: Life) => boolean;
-  /** Whether this process has heard of a leader lately enough to take reports for it. */
+  /** Checks whether this process had contact with a leader recently enough to accept reports for it. */
   readonly isInTouch: () => boolean;
-  /** Gives the entries that callers may be sent to, the last ones heard of if need be. */
+  /** Gets the entries that callers may use; without a current list, the last known entries. */
   readonly getEntries: () => readonly EntryEndpoint[];
   readonly relay: ReportRelay;
   readonly sender: ReportSender;
   readonly calls: CallLedger;
-  /** In which order calls begin, those over the platform as well. */
+  /** The order in which calls begin, including calls over the platform. */
   readonly callOrder: CallOrder;
   readonly client: LeaderClient<typeof FleetService>;
   readonly getSeeds: () => readonly string[];
@@ -48,61 +52,60 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Where instances and operators reach this process. */
+  /** Address at which instances and operators reach this process. */
   readonly publicAddress: string;
 }
 
-const REPORT_MS = 600;
-const DECLARATION_MS = 3_000;
-const READ_MS = 900;
-/** Departures that arrive within this time travel to the leader in one call. */
-const BATCH_MS = 15;
+const REPORT_TIMEOUT_MS = 600;
+const DECLARATION_TIMEOUT_MS = 3_000;
+const READ_TIMEOUT_MS = 900;
+/** Departures that arrive within this time are sent to the leader in one call. */
+const BATCH_DELAY_MS = 15;
 
-/** A declaration on its way to the leader. */
-interface AgreeingDeclaration {
+/** A declaration that the leader has not acknowledged yet. */
+interface PendingDeclaration {
   readonly document: Uint8Array;
   readonly outcome: Promise<Declaration>;
 }
 
-/** A departure on its way to the leader. */
-interface WaitingDeparture {
+/** A departure that the leader has not acknowledged yet. */
+interface PendingDeparture {
   readonly report: InstanceReport;
   readonly resolve: () => void;
   readonly reject: (cause: unknown) => void;
 }
 
-/** Forwards to the leader, in batches where many come at once. */
+/**
+ * Forwards declarations, departures and reports to the leader; departures that arrive together are sent in
+ * one call.
+ */
 export class Registrar {
   private readonly _options: RegistrarOptions;
-  /** Declarations that are on their way. */
-  private readonly _agreeing = new Set<AgreeingDeclaration>();
-  private _waiting: WaitingDeparture[] = [];
-  private _isSending = false;
+  private readonly _pendingDeclarations = new Set<PendingDeclaration>();
+  private _pendingDepartures: PendingDeparture[] = [];
+  private _isSendingDepartures = false;
 
-  /**
-   * @param options - Leadership, view and seeds.
-   */
   constructor(options: RegistrarOptions) {
     this._options = options;
   }
 
-  /** Gets in which order this process begins calls. */
+  /** Gets the order in which this process begins calls. */
   get callOrder(): CallOrder {
     return this._options.callOrder;
   }
 
   /**
-   * Takes an instance's report.
-   * @returns Address for the next reports.
-   * @throws InvalidReport - When no instance would give it: nothing of it is used.
-   * @throws UnreachableControl - When nobody can act on it.
+   * Accepts a report of an instance.
+   * @returns The address for the next reports.
+   * @throws InvalidReport - When no instance would send such a report; no part of it is used.
+   * @throws UnreachableControl - When no leader can be reached to act on it.
    */
   async addReport(report: InstanceReport): Promise<string> {
     checkReport(report);
     return this._options.calls.follow("instance", this._addReport(report));
   }
 
-  /** Notes a report that was refused for what it says. */
+  /** Counts a report that was rejected because of its content. */
   addInvalidReport(invalid: InvalidReport): void {
     this._options.calls.addInvalidReport(invalid);
   }
@@ -113,84 +116,85 @@
     if (report.leaving || report.deregistered) await this._addDeparture(report);
     else if (leadership !== undefined) await leadership.addReports([report]);
     else this._relayReport(report);
-    // The leader has enough to do: instances report to the others.
+    // The leader carries the most load, so instances report to the other control processes.
     return leadership?.chooseRelay(report.instanceId) ?? publicAddress;
   }
 
   private _relayReport(report: InstanceReport): void {
     const { isInTouch, relay, sender, clock } = this._options;
-    if (!isInTouch()) throw this._createUnreachable("no leader was heard of lately");
+    if (!isInTouch()) throw this._createUnreachable("no recent contact with a leader");
     if (relay.addReport(clock.getMonotonicMs(), report)) sender.sendSoon();
   }
 
-  /** An instance that leaves is acknowledged once that is agreed on. */
-  private async _addDeparture(said: InstanceReport): Promise<void> {
+  /** Acknowledges a departure once it is committed. */
+  private async _addDeparture(departure: InstanceReport): Promise<void> {
     const { getLeadership, hasDeparted, relay } = this._options;
-    const { instanceId } = said;
-    const born = said.born === 0 ? relay.getNewestBorn(instanceId) : said.born;
-    const report = { ...said, born };
-    relay.removeLife(report);
+    const { instanceId } = departure;
+    const born = departure.born === 0 ? relay.getNewestStartTime(instanceId) : departure.born;
+    const report = { ...departure, born };
+    relay.removeIncarnation(report);
     const leadership = getLeadership();
     if (leadership !== undefined) return leadership.addReports([report]);
     if (hasDeparted(report)) return;
     return new Promise((resolve, reject) => {
-      this._waiting.push({ report, resolve, reject });
-      if (!this._isSending) void this._sendBatches();
+      this._pendingDepartures.push({ report, resolve, reject });
+      if (!this._isSendingDepartures) void this._sendBatches();
     });
   }
 
   /**
-   * Checks a declaration and has it agreed on; one that comes again while it is on its way joins the first.
-   * @returns Its version; a higher one may hold already.
+   * Validates a declaration and has it committed. A repeated request joins the first one while that is
+   * pending.
+   * @returns The declaration with its version; a higher version may already be in force.
    * @throws InvalidDeclaration, UnreachableControl, UnknownProposal, AbsentLeader
    */
   putDeclaration(document: Uint8Array): Promise<Declaration> {
-    for (const agreeing of this._agreeing) {
+    for (const agreeing of this._pendingDeclarations) {
       if (Buffer.compare(agreeing.document, document) === 0) return agreeing.outcome;
     }
     const agreeing = { document, outcome: this._putDeclaration(document) };
-    this._agreeing.add(agreeing);
-    const forget = () => this._agreeing.delete(agreeing);
-    agreeing.outcome.then(forget, forget);
+    this._pendingDeclarations.add(agreeing);
+    const remove = () => this._pendingDeclarations.delete(agreeing);
+    agreeing.outcome.then(remove, remove);
     return agreeing.outcome;
   }
 
   private async _putDeclaration(document: Uint8Array): Promise<Declaration> {
-    const arrivedAt = this._options.clock.getMonotonicMs();
-    const declaration = this._parse(arrivedAt, document);
+    const receivedAt = this._options.clock.getMonotonicMs();
+    const declaration = this._parse(receivedAt, document);
     const trace = new CallTrace();
     const describe = () => ({
       version: declaration.version,
       bytes: document.length,
-      took_ms: this._getMsSince(arrivedAt),
+      took_ms: this._getElapsedMs(receivedAt),
       leader: trace.lastAddress,
       tries: trace.tries,
       failures: trace.getFailures(),
     });
     const { logger, metrics } = this._options;
     try {
-      await this._agree(declaration.version, packDocument(document), trace);
+      await this._commitDeclaration(declaration.version, packDocument(document), trace);
     } catch (cause) {
-      metrics.timing("declaration_ms", this._getMsSince(arrivedAt), { outcome: "unanswered" });
+      metrics.timing("declaration_ms", this._getElapsedMs(receivedAt), { outcome: "unanswered" });
       logger.warn({ event: "declaration_unanswered", ...describe(), reason: String(cause) });
       throw cause;
     }
-    metrics.timing("declaration_ms", this._getMsSince(arrivedAt), { outcome: "held" });
+    metrics.timing("declaration_ms", this._getElapsedMs(receivedAt), { outcome: "held" });
     logger.info({ event: "declaration_held", ...describe() });
     return declaration;
   }
 
   /**
-   * Gets the newest declaration, under a confirmed majority.
+   * Gets the newest declaration from a leader that a majority has confirmed.
    * @throws UnreachableControl
    */
-  async getDeclaration(): Promise<HeldDeclaration | undefined> {
+  async getDeclaration(): Promise<CommittedDeclaration | undefined> {
     const trace = new CallTrace();
-    const arrivedAt = this._options.clock.getMonotonicMs();
+    const receivedAt = this._options.clock.getMonotonicMs();
     const answer = await this._readDeclaration(trace).catch((cause: unknown) => {
       this._options.logger.warn({
         event: "declaration_unread",
-        took_ms: this._getMsSince(arrivedAt),
+        took_ms: this._getElapsedMs(receivedAt),
         tries: trace.tries,
         failures: trace.getFailures(),
         reason: String(cause),
@@ -203,21 +207,21 @@
   }
 
   /**
-   * Gets the entries that callers may be sent to, the last ones heard of if need be.
-   * @param failureDomain - The caller's: entries there come first.
+   * Gets the entries that callers may use; without a current list, the last known entries.
+   * @param failureDomain - Failure domain of the caller; entries in it come first.
    */
   getEntries(failureDomain: string): readonly EntryEndpoint[] {
     const entries = this._options.getEntries();
-    const isFar = (entry: EntryEndpoint) => Number(entry.failureDomain !== failureDomain);
-    return [...entries].sort((a, b) => isFar(a) - isFar(b));
+    const isInOtherDomain = (entry: EntryEndpoint) => Number(entry.failureDomain !== failureDomain);
+    return [...entries].sort((a, b) => isInOtherDomain(a) - isInOtherDomain(b));
   }
 
-  private _parse(arrivedAt: number, document: Uint8Array): Declaration {
+  private _parse(receivedAt: number, document: Uint8Array): Declaration {
     const { format, logger, metrics } = this._options;
     try {
       return format.parse(document);
     } catch (cause) {
-      const tookMs = this._getMsSince(arrivedAt);
+      const tookMs = this._getElapsedMs(receivedAt);
       metrics.timing("declaration_ms", tookMs, { outcome: "refused" });
       logger.warn({
         event: "declaration_refused",
@@ -229,43 +233,47 @@
     }
   }
 
-  private async _agree(version: number, packed: Uint8Array, trace: CallTrace): Promise<void> {
+  private async _commitDeclaration(version: number, packed: Uint8Array, trace: CallTrace): Promise<void> {
     await this._options.client.call(
       (leader, timeoutMs) =>
         leader.putDeclaration(
           { version, document: packed },
-          { timeoutMs: Math.max(timeoutMs, DECLARATION_MS / 2) },
+          { timeoutMs: Math.max(timeoutMs, DECLARATION_TIMEOUT_MS / 2) },
         ),
-      DECLARATION_MS,
+      DECLARATION_TIMEOUT_MS,
       trace,
     );
   }
 
   private _readDeclaration(trace: CallTrace): Promise<GetDeclarationResponse> {
     const { client } = this._options;
-    return client.call((leader, timeoutMs) => leader.getDeclaration({}, { timeoutMs }), READ_MS, trace);
+    return client.call(
+      (leader, timeoutMs) => leader.getDeclaration({}, { timeoutMs }),
+      READ_TIMEOUT_MS,
+      trace,
+    );
   }
 
-  private _getMsSince(at: number): number {
+  private _getElapsedMs(at: number): number {
     return Math.round(this._options.clock.getMonotonicMs() - at);
   }
 
-  /** One call at a time: what arrives meanwhile travels with the next one. */
+  /** Sends one call at a time; departures that arrive in the meantime go out with the next call. */
   private async _sendBatches(): Promise<void> {
-    this._isSending = true;
-    await pause(BATCH_MS);
-    while (this._waiting.length > 0) await this._sendBatch();
-    this._isSending = false;
+    this._isSendingDepartures = true;
+    await pause(BATCH_DELAY_MS);
+    while (this._pendingDepartures.length > 0) await this._sendBatch();
+    this._isSendingDepartures = false;
   }
 
   private async _sendBatch(): Promise<void> {
-    const batch = this._takeEncodable();
+    const batch = this._takeEncodableDepartures();
     if (batch.length === 0) return;
     const reports = batch.map((waiting) => waiting.report);
     try {
       await this._options.client.call(
         (leader, timeoutMs) => leader.report({ reports }, { timeoutMs }),
-        REPORT_MS,
+        REPORT_TIMEOUT_MS,
       );
       for (const waiting of batch) waiting.resolve();
     } catch (cause) {
@@ -273,15 +281,19 @@
     }
   }
 
-  /** One that can't be told keeps the others from it no more. */
-  private _takeEncodable(): WaitingDeparture[] {
-    const waiting = this._waiting;
-    this._waiting = [];
-    const faulty = new Set(getUnencodable(waiting.map(({ report }) => report)));
-    for (const { report, reject } of waiting) {
-      if (faulty.has(report)) reject(new InvalidReport({ field: "body", reason: "it can't be encoded" }));
+  /**
+   * Rejects departures that can't be encoded, so that the other departures of the batch still reach the
+   * leader.
+   */
+  private _takeEncodableDepartures(): PendingDeparture[] {
+    const departures = this._pendingDepartures;
+    this._pendingDepartures = [];
+    const unencodable = new Set(getUnencodableReports(departures.map(({ report }) => report)));
+    for (const { report, reject } of departures) {
+      if (unencodable.has(report))
+        reject(new InvalidReport({ field: "body", reason: "the report can't be encoded" }));
     }
-    return waiting.filter(({ report }) => !faulty.has(report));
+    return departures.filter(({ report }) => !unencodable.has(report));
   }
 
   private _createUnreachable(reason: string): UnreachableControl {
--- a/src/registration/ReportRelay.ts
+++ b/src/registration/ReportRelay.ts
@@ -1,9 +1,9 @@
 /**
- * What instances reported to this process, and how much of it the leader has been told.
+ * The reports that this process received from instances, and which of them the leader already has.
  *
- * An instance that says nothing new costs the leader one short sign of life; what is new, and
- * everything to the leader of a new term, is told in full. Pure: times are monotonic
- * milliseconds given by the caller.
+ * For a report with unchanged content the leader gets only a short heartbeat. A report with new content is
+ * sent in full, and so is every report when a new term begins. Performs no I/O; the caller passes times in
+ * monotonic milliseconds.
  */
 import { create } from "@bufbuild/protobuf";
 import {
@@ -15,123 +15,128 @@
 import { getLifeKey, type Life, type LifeKey } from "../ids";
 import { hasSameContent } from "./reportContent";
 
-/** What the leader is told at once. */
+/** The reports and heartbeats of one request to the leader. */
 export interface RelayBatch {
   readonly reports: readonly InstanceReport[];
   readonly signs: readonly InstanceSign[];
 }
 
-/** Sequence numbers that the leader was told last. */
-interface Told {
-  /** Of the report that it was told in full; what that said still holds. */
+/** Sequence numbers that were last sent to the leader. */
+interface SentSequences {
+  /** Of the last full report; later heartbeats have repeated its content. */
   readonly content: number;
   readonly newest: number;
 }
 
-interface RelayedLife {
+interface RelayedIncarnation {
   readonly report: InstanceReport;
-  readonly heardAt: number;
-  /** `undefined` when the leader has to be told in full. */
-  readonly told: Told | undefined;
+  readonly receivedAt: number;
+  /** `undefined` when the leader needs the full report. */
+  readonly sent: SentSequences | undefined;
 }
 
-/** Sequence number of no report. */
-const NOT_TOLD = -1;
-/** An instance that was silent for so long reports elsewhere, or is gone. */
-const FORGET_MS = 10_000;
+/** Stands for a sequence number where no heartbeat was sent. */
+const NO_SEQUENCE = -1;
+/** An instance without a report for this time reports to another process, or has ended. */
+const EXPIRY_MS = 10_000;
 
-/** The relay of one process. */
+/** The reports that one process relays. */
 export class ReportRelay {
-  /** Of several lives under one id each is told of: the leader finds out which of them runs. */
-  private readonly _lives = new Map<LifeKey, RelayedLife>();
+  /** If several incarnations of one id report, each is relayed: the leader finds out which of them runs. */
+  private readonly _incarnations = new Map<LifeKey, RelayedIncarnation>();
   private _term = 0;
 
   /**
-   * Takes a report over.
-   * @returns Whether it says anything that the leader was not told.
+   * Stores a report unless a newer one of the same incarnation is stored.
+   * @returns Whether the leader needs the report in full.
    */
   addReport(now: number, report: InstanceReport): boolean {
     const key = getLifeKey(report);
-    const known = this._lives.get(key);
-    if (known !== undefined && report.sequence <= known.report.sequence) return false;
-    const told = known !== undefined && hasSameContent(known.report, report) ? known.told : undefined;
-    this._lives.set(key, { report, heardAt: now, told });
-    return told === undefined;
+    const previous = this._incarnations.get(key);
+    if (previous !== undefined && report.sequence <= previous.report.sequence) return false;
+    const sent =
+      previous !== undefined && hasSameContent(previous.report, report) ? previous.sent : undefined;
+    this._incarnations.set(key, { report, receivedAt: now, sent });
+    return sent === undefined;
   }
 
-  /** Gets the start of the newest life that reports under an id, 0 when it is not known. */
-  getNewestBorn(instanceId: string): number {
-    const lives = [...this._lives.values()].filter(({ report }) => report.instanceId === instanceId);
-    return Math.max(0, ...lives.map(({ report }) => report.born));
+  /** Gets the start time of the newest incarnation that reports under an id, 0 when none is known. */
+  getNewestStartTime(instanceId: string): number {
+    const incarnations = [...this._incarnations.values()].filter(
+      ({ report }) => report.instanceId === instanceId,
+    );
+    return Math.max(0, ...incarnations.map(({ report }) => report.born));
   }
 
-  /** Forgets a life that leaves. */
-  removeLife(life: Life): void {
-    this._lives.delete(getLifeKey(life));
+  /** Removes an incarnation that departs. */
+  removeIncarnation(incarnation: Life): void {
+    this._incarnations.delete(getLifeKey(incarnation));
   }
 
-  /** Checks whether there is anything to be told in full. */
+  /** Checks whether any report has yet to be sent in full. */
   hasNews(): boolean {
-    return [...this._lives.values()].some(({ told }) => told === undefined);
+    return [...this._incarnations.values()].some(({ sent }) => sent === undefined);
   }
 
   /**
-   * Takes what the leader lacks; it counts as told unless it is put back.
-   * @param maxReports - Reports in full at the most; the others follow with the next batches.
+   * Takes the reports and heartbeats that the leader has not received. They count as sent unless
+   * `restoreBatch` puts them back.
+   * @param maxReports - Maximum number of full reports; the others follow in later batches.
    */
   takeBatch(now: number, maxReports: number): RelayBatch {
     const reports: InstanceReport[] = [];
     const signs: InstanceSign[] = [];
-    for (const [key, { report, heardAt, told }] of this._lives) {
-      const ageMs = now - heardAt;
-      if (ageMs > FORGET_MS) {
-        this._lives.delete(key);
+    for (const [key, { report, receivedAt, sent }] of this._incarnations) {
+      const ageMs = now - receivedAt;
+      if (ageMs > EXPIRY_MS) {
+        this._incarnations.delete(key);
         continue;
       }
       const { instanceId, born, sequence } = report;
-      if (told?.newest === sequence) continue;
-      if (told === undefined && reports.length >= maxReports) continue;
-      const content = told?.content ?? sequence;
-      if (told === undefined) reports.push(create(InstanceReportSchema, { ...report, ageMs }));
+      if (sent?.newest === sequence) continue;
+      if (sent === undefined && reports.length >= maxReports) continue;
+      const content = sent?.content ?? sequence;
+      if (sent === undefined) reports.push(create(InstanceReportSchema, { ...report, ageMs }));
       else
         signs.push(
           create(InstanceSignSchema, { instanceId, born, sequence, ageMs, contentSequence: content }),
         );
-      this._lives.set(key, { report, heardAt, told: { content, newest: sequence } });
+      this._incarnations.set(key, { report, receivedAt, sent: { content, newest: sequence } });
     }
     return { reports, signs };
   }
 
   /** Puts a batch back that may not have reached the leader. */
   restoreBatch({ reports, signs }: RelayBatch): void {
-    for (const report of reports) this._forgetTold(getLifeKey(report));
-    // What the leader was told in full before, it still knows.
-    for (const sign of signs) this._forgetSign(getLifeKey(sign));
+    for (const report of reports) this._markUnsent(getLifeKey(report));
+    // The leader still has the full reports that earlier batches contained.
+    for (const heartbeat of signs) this._markHeartbeatUnsent(getLifeKey(heartbeat));
   }
 
   /**
-   * Notes what the leader answered.
-   * @param term - The leader's; one of another term knows nothing of what was told before.
-   * @param unknownIds - Instances that it was told too little of.
+   * Processes an answer of the leader.
+   * @param term - Term of the leader; a leader of another term has none of the earlier reports.
+   * @param unknownIds - Instances whose full report the leader needs.
    */
   addAnswer(term: number, unknownIds: readonly string[]): void {
     if (term !== this._term) {
       const isFirst = this._term === 0;
       this._term = term;
-      if (!isFirst) for (const key of this._lives.keys()) this._forgetTold(key);
+      if (!isFirst) for (const key of this._incarnations.keys()) this._markUnsent(key);
     }
     const unknown = new Set(unknownIds);
-    for (const [key, { report }] of this._lives) if (unknown.has(report.instanceId)) this._forgetTold(key);
+    for (const [key, { report }] of this._incarnations)
+      if (unknown.has(report.instanceId)) this._markUnsent(key);
   }
 
-  private _forgetSign(key: LifeKey): void {
-    const known = this._lives.get(key);
-    if (known?.told === undefined) return;
-    this._lives.set(key, { ...known, told: { ...known.told, newest: NOT_TOLD } });
+  private _markHeartbeatUnsent(key: LifeKey): void {
+    const relayed = this._incarnations.get(key);
+    if (relayed?.sent === undefined) return;
+    this._incarnations.set(key, { ...relayed, sent: { ...relayed.sent, newest: NO_SEQUENCE } });
   }
 
-  private _forgetTold(key: LifeKey): void {
-    const known = this._lives.get(key);
-    if (known !== undefined) this._lives.set(key, { ...known, told: undefined });
+  private _markUnsent(key: LifeKey): void {
+    const relayed = this._incarnations.get(key);
+    if (relayed !== undefined) this._incarnations.set(key, { ...relayed, sent: undefined });
   }
 }
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the leader what instances reported to this process, which entries watch it and what those saw of targets: what is
- * new within milliseconds, the rest now and then.
+ * Sends the leader what this process has received: reports of instances, the entries that watch it, and the
+ * suspicions that entries reported. Updates go out within milliseconds, heartbeats at an interval.
  */
 
 import { create } from "@bufbuild/protobuf";
@@ -17,48 +17,51 @@
 import type { Logger } from "../metrics";
 import type { LeaderClient } from "../rpc";
 import type { EntryRoster } from "./EntryRoster";
-import { getUnencodable } from "./encodableReports";
+import { getUnencodableReports } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
 import { RelayCall } from "./RelayCall";
 import type { RelayBatch, ReportRelay } from "./ReportRelay";
 import type { SuspicionQueue } from "./SuspicionQueue";
 
-/** What a sender works with. */
+/** Dependencies of a sender. */
 export interface ReportSenderOptions {
   readonly relay: ReportRelay;
   readonly entries: EntryRoster;
-  /** What entries saw of targets, until the leader is told. */
+  /** Suspicions of entries, until they are sent to the leader. */
   readonly suspicions: SuspicionQueue;
   readonly client: LeaderClient<typeof FleetService>;
-  /** Gives the leadership while this process leads. */
+  /** Gets the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
-  /** Tells whether this process knows who leads. */
+  /** Checks whether this process has a known leader. */
   readonly isLeaderKnown: () => boolean;
-  /** Where instances reach this process. */
+  /** Address at which instances reach this process. */
   readonly publicAddress: string;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** What is new waits so long for more of it. */
-const NEWS_MS = 15;
-/** Signs of life are told this often. */
-const SIGN_MS = 400;
-/** How long an answer is waited for; doubled with each failure up to the longest: a slow leader answers late. */
-const FIRST_PATIENCE_MS = 1_500;
-const MAX_PATIENCE_MS = 3_000;
-/** A leader whose answer takes longer counts as one that could not be told. */
+/** An update waits this long, so that later updates join the same request. */
+const UPDATE_DELAY_MS = 15;
+/** Interval at which heartbeats are sent. */
+const HEARTBEAT_INTERVAL_MS = 400;
+/**
+ * Time to wait for an answer. It doubles with each failure up to the maximum, since a slow leader answers
+ * late.
+ */
+const INITIAL_TIMEOUT_MS = 1_500;
+const MAX_TIMEOUT_MS = 3_000;
+/** If the leader takes longer than this to answer, it counts as unreachable. */
 const LATE_ANSWER_MS = 600;
 /**
- * Reports in full that travel at once, so that each call is a step forward at a leader that has just
- * begun: one call with all of them timed out, was made again with all, and kept the leader from
- * answering the next.
+ * Full reports in one request. The limit lets each call make progress at a leader that has just started: a
+ * single call with all reports timed out, was repeated with all of them, and delayed the leader's next
+ * answers.
  */
 const MAX_REPORTS = 40;
-/** Suspicions that travel at once. */
+/** Suspicions in one request. */
 const MAX_SUSPICIONS = 500;
 
-/** Sends one report at a time for as long as it runs. */
+/** Sends one request at a time. */
 export class ReportSender {
   private readonly _options: ReportSenderOptions;
   private _timer: NodeJS.Timeout | undefined;
@@ -66,48 +69,48 @@
   private _sending: Promise<void> | undefined;
   private _isStopped = false;
   private _failingSince: number | undefined;
-  /** When an answer that is awaited counts as late. */
+  /** Time at which a pending answer counts as late. */
   private _lateAt = Number.POSITIVE_INFINITY;
-  /** Term of the leader that was told of the entries, and which of their changes it was told. */
-  private _entriesTold = { term: 0, revision: -1 };
+  /** The term of the leader that last received the entries, and the revision of the list that it received. */
+  private _sentEntries = { term: 0, revision: -1 };
   private _term = 0;
-  private _patienceMs = FIRST_PATIENCE_MS;
-  /** Over which the leader is told, and to whom it goes. */
+  private _timeoutMs = INITIAL_TIMEOUT_MS;
+  /** The open call to the leader, and the leader that it goes to. */
   private _call: RelayCall | undefined;
-  private _called: Client<typeof FleetService> | undefined;
+  private _calledLeader: Client<typeof FleetService> | undefined;
 
-  /**
-   * @param options - What is told, and to whom.
-   */
   constructor(options: ReportSenderOptions) {
     this._options = options;
   }
 
-  /** Starts telling. */
+  /** Starts the periodic heartbeats. */
   start(): void {
-    this._schedule(SIGN_MS);
+    this._schedule(HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Tells no more. */
+  /** Stops sending. */
   stop(): void {
     this._isStopped = true;
     clearTimeout(this._timer);
     this._endCall("this process stops");
   }
 
-  /** Gets for how long the leader could not be told, or has not answered, milliseconds; 0 when it was told last time. */
+  /**
+   * Gets for how long, in milliseconds, requests to the leader have failed or its answer has been late; 0
+   * after a successful request.
+   */
   getFailingMs(now: number): number {
     return Math.max(0, now - (this._failingSince ?? this._lateAt));
   }
 
-  /** Tells what is new in a moment, together with what else turns up until then. */
+  /** Sends updates after a short delay, together with those that arrive until then. */
   sendSoon(): void {
-    this._schedule(NEWS_MS);
+    this._schedule(UPDATE_DELAY_MS);
   }
 
-  /** Tells what is new; resolves once the leader was told or could not be reached. */
+  /** Sends updates now; resolves once the leader has received them or the attempt has failed. */
   async sendNow(): Promise<void> {
-    // A report under way does not hold what came after it was made.
+    // A pending request does not contain what arrived after it was built.
     await this._sending;
     await this._send();
   }
@@ -123,7 +126,7 @@
     }, milliseconds);
   }
 
-  /** Never rejects: whoever waits for a report under way is told nothing of its failure. */
+  /** Never rejects: callers that wait for a pending request do not receive its failure. */
   private _send(): Promise<void> {
     this._sending ??= this._sendAndLog().finally(() => {
       this._sending = undefined;
@@ -132,30 +135,30 @@
   }
 
   private async _sendAndLog(): Promise<void> {
-    const wasTold = await this._sendBatch().then(
+    const wasSent = await this._sendBatch().then(
       () => true,
       (cause: unknown) => this._addFailure(cause),
     );
-    if (wasTold) {
+    if (wasSent) {
       this._failingSince = undefined;
-      this._patienceMs = FIRST_PATIENCE_MS;
+      this._timeoutMs = INITIAL_TIMEOUT_MS;
     }
-    this._schedule(wasTold && this._options.relay.hasNews() ? NEWS_MS : SIGN_MS);
+    this._schedule(wasSent && this._options.relay.hasNews() ? UPDATE_DELAY_MS : HEARTBEAT_INTERVAL_MS);
   }
 
   private async _sendBatch(): Promise<void> {
     const { relay, suspicions, clock, isLeaderKnown, getLeadership } = this._options;
-    const leads = getLeadership() !== undefined;
-    // Without a leader nothing is gained by looking for one from here.
-    if (!leads && !isLeaderKnown()) return;
+    const isLeading = getLeadership() !== undefined;
+    // While no leader is known, searching for one from here gains nothing.
+    if (!isLeading && !isLeaderKnown()) return;
     const now = clock.getMonotonicMs();
     const batch = relay.takeBatch(now, MAX_REPORTS);
-    const suspected = suspicions.take(now, MAX_SUSPICIONS);
+    const suspicionBatch = suspicions.take(now, MAX_SUSPICIONS);
     try {
-      await this._tell(batch, suspected);
+      await this._sendToLeader(batch, suspicionBatch);
     } catch (cause) {
       relay.restoreBatch(batch);
-      suspicions.restore(clock.getMonotonicMs(), suspected);
+      suspicions.restore(clock.getMonotonicMs(), suspicionBatch);
       this._dropUnencodable(batch);
       throw cause;
     }
@@ -163,13 +166,17 @@
 
   private _dropUnencodable({ reports }: RelayBatch): void {
     const { relay, logger } = this._options;
-    for (const report of getUnencodable(reports)) {
-      relay.removeLife(report);
-      logger.error({ event: "report_dropped", instance: report.instanceId, reason: "it can't be encoded" });
+    for (const report of getUnencodableReports(reports)) {
+      relay.removeIncarnation(report);
+      logger.error({
+        event: "report_dropped",
+        instance: report.instanceId,
+        reason: "the report can't be encoded",
+      });
     }
   }
 
-  private async _tell(batch: RelayBatch, suspicions: Suspicion[]): Promise<void> {
+  private async _sendToLeader(batch: RelayBatch, suspicions: Suspicion[]): Promise<void> {
     const { relay, entries, client, clock, publicAddress, getLeadership } = this._options;
     const leadership = getLeadership();
     if (leadership !== undefined) {
@@ -183,38 +190,38 @@
       return;
     }
     const { revision } = entries;
-    const isTold = this._entriesTold.term === this._term && this._entriesTold.revision === revision;
-    const watching = entries.getEntries(clock.getMonotonicMs());
+    const areEntriesSent = this._sentEntries.term === this._term && this._sentEntries.revision === revision;
+    const watchingEntries = entries.getEntries(clock.getMonotonicMs());
     const request = create(ReportRequestSchema, {
       reports: [...batch.reports],
       signs: [...batch.signs],
       suspicions,
       relayAddress: publicAddress,
-      entries: isTold ? undefined : create(EntryListSchema, { entries: watching }),
+      entries: areEntriesSent ? undefined : create(EntryListSchema, { entries: watchingEntries }),
     });
     this._lateAt = clock.getMonotonicMs() + LATE_ANSWER_MS;
-    const answer = await client.call((leader) => this._tellLeader(leader, request), this._patienceMs);
+    const answer = await client.call((leader) => this._callLeader(leader, request), this._timeoutMs);
     this._lateAt = Number.POSITIVE_INFINITY;
     relay.addAnswer(answer.term, answer.unknownInstanceIds);
-    // A leader of another term than expected may have been told of no entries.
-    const wasTold = !isTold || answer.term === this._term;
+    // A leader of an unexpected term may not have received the entries.
+    const areEntriesReceived = !areEntriesSent || answer.term === this._term;
     this._term = answer.term;
-    if (wasTold) this._entriesTold = { term: answer.term, revision };
+    if (areEntriesReceived) this._sentEntries = { term: answer.term, revision };
   }
 
-  private async _tellLeader(
+  private async _callLeader(
     leader: Client<typeof FleetService>,
     request: ReportRequest,
   ): Promise<ReportResponse> {
-    if (this._called !== leader) this._endCall("another process leads");
-    this._called = leader;
+    if (this._calledLeader !== leader) this._endCall("another process leads");
+    this._calledLeader = leader;
     const call = this._call ?? new RelayCall(leader);
     this._call = call;
     try {
-      return await call.tell(request, this._patienceMs);
+      return await call.tell(request, this._timeoutMs);
     } catch (cause) {
-      // Another leader may be told by now.
-      if (this._call === call) this._endCall("it has failed");
+      // The sender may already have switched to another leader.
+      if (this._call === call) this._endCall("a request over the call failed");
       throw cause;
     }
   }
@@ -224,7 +231,7 @@
     this._call = undefined;
   }
 
-  /** One line for each time that the leader is lost. */
+  /** Logs only the first of consecutive failures. */
   private _addFailure(cause: unknown): false {
     const { clock, logger } = this._options;
     if (this._failingSince === undefined) {
@@ -232,7 +239,7 @@
       logger.warn({ event: "reports_not_relayed", reason: String(cause) });
     }
     this._lateAt = Number.POSITIVE_INFINITY;
-    this._patienceMs = Math.min(MAX_PATIENCE_MS, this._patienceMs * 2);
+    this._timeoutMs = Math.min(MAX_TIMEOUT_MS, this._timeoutMs * 2);
     return false;
   }
 }
--- a/src/registration/SuspicionQueue.ts
+++ b/src/registration/SuspicionQueue.ts
@@ -1,60 +1,61 @@
 /**
- * What was seen of targets that can't be reached or stand still, until it is told: once a target, whatever the
- * number of those who saw it.
+ * Suspicions of targets that are unreachable or stalled, until they are sent. The queue contains each target
+ * once, however many observers suspect it.
  *
- * Pure: times are monotonic milliseconds given by the caller.
+ * Performs no I/O; the caller passes times in monotonic milliseconds.
  */
 import type { Suspicion } from "../gen/ploverstage/v1/fleet_pb";
 
-/** What a suspicion adds to those that are known: a target that nobody has been told of lately, one to be told of again, nothing. */
-export type SuspicionNews = "first" | "again" | "none";
+/**
+ * Result of adding a suspicion: its target is new, its target is due to be reported again, or nothing has to
+ * be sent for it now.
+ */
+export type SuspicionOutcome = "first" | "again" | "none";
 
 interface PendingSuspicion {
   readonly suspicion: Suspicion;
-  readonly seenAt: number;
+  readonly addedAt: number;
 }
 
-/** One that was not told for so long says nothing of its target any more. */
-const OUTDATED_MS = 3_000;
-/** A target that nobody suspected for so long counts as new. */
-const FORGET_MS = 10_000;
+/** A queued suspicion that is older than this no longer applies to its target and is dropped. */
+const EXPIRY_MS = 3_000;
+/** A target without a suspicion for this time counts as new. */
+const NEW_TARGET_MS = 10_000;
 
-/** Suspicions on their way to control, or from one control process to the leader. */
+/** Suspicions on their way from an entry to control, or from a control process to the leader. */
 export class SuspicionQueue {
-  private readonly _pauseMs: number;
+  private readonly _intervalMs: number;
   private readonly _pending = new Map<string, PendingSuspicion>();
   private readonly _takenAt = new Map<string, number>();
 
-  /**
-   * @param pauseMs - A target is told no more often than this.
-   */
-  constructor(pauseMs: number) {
-    this._pauseMs = pauseMs;
+  /** @param intervalMs - Minimum time between two reports of the same target. */
+  constructor(intervalMs: number) {
+    this._intervalMs = intervalMs;
   }
 
-  /** Gets whether nothing waits to be told. */
+  /** Checks whether the queue is empty. */
   get isEmpty(): boolean {
     return this._pending.size === 0;
   }
 
-  /** Adds what was seen of one target. */
-  add(now: number, suspicion: Suspicion): SuspicionNews {
+  /** Adds a suspicion of one target. */
+  add(now: number, suspicion: Suspicion): SuspicionOutcome {
     const { targetId } = suspicion;
     const takenAt = this._takenAt.get(targetId);
-    if (takenAt !== undefined && now - takenAt < this._pauseMs) return "none";
+    if (takenAt !== undefined && now - takenAt < this._intervalMs) return "none";
     const isPending = this._pending.has(targetId);
-    this._pending.set(targetId, { suspicion, seenAt: now });
+    this._pending.set(targetId, { suspicion, addedAt: now });
     if (isPending) return "none";
-    return takenAt === undefined || now - takenAt >= FORGET_MS ? "first" : "again";
+    return takenAt === undefined || now - takenAt >= NEW_TARGET_MS ? "first" : "again";
   }
 
   /**
-   * Takes what is to be told now, the oldest first; it counts as told unless it is put back.
-   * @param most - Suspicions at the most; the others stay.
+   * Takes the suspicions to send now, the oldest first. They count as sent unless `restore` puts them back.
+   * @param maxCount - Maximum number of suspicions; the others stay queued.
    */
-  take(now: number, most: number): Suspicion[] {
-    this._forget(now);
-    const taken = [...this._pending.values()].slice(0, most).map(({ suspicion }) => suspicion);
+  take(now: number, maxCount: number): Suspicion[] {
+    this._removeExpired(now);
+    const taken = [...this._pending.values()].slice(0, maxCount).map(({ suspicion }) => suspicion);
     for (const { targetId } of taken) {
       this._pending.delete(targetId);
       this._takenAt.set(targetId, now);
@@ -62,17 +63,19 @@
     return taken;
   }
 
-  /** Puts back what may not have been told; what was seen of the same target since then stands. */
+  /**
+   * Puts back suspicions that may not have arrived; a newer suspicion of the same target takes precedence.
+   */
   restore(now: number, suspicions: readonly Suspicion[]): void {
     for (const suspicion of suspicions) {
       const { targetId } = suspicion;
       this._takenAt.delete(targetId);
-      if (!this._pending.has(targetId)) this._pending.set(targetId, { suspicion, seenAt: now });
+      if (!this._pending.has(targetId)) this._pending.set(targetId, { suspicion, addedAt: now });
     }
   }
 
-  private _forget(now: number): void {
-    for (const [id, { seenAt }] of this._pending) if (now - seenAt > OUTDATED_MS) this._pending.delete(id);
-    for (const [id, takenAt] of this._takenAt) if (now - takenAt > FORGET_MS) this._takenAt.delete(id);
+  private _removeExpired(now: number): void {
+    for (const [id, { addedAt }] of this._pending) if (now - addedAt > EXPIRY_MS) this._pending.delete(id);
+    for (const [id, takenAt] of this._takenAt) if (now - takenAt > NEW_TARGET_MS) this._takenAt.delete(id);
   }
 }
--- a/src/registration/SuspicionReporter.ts
+++ b/src/registration/SuspicionReporter.ts
@@ -1,7 +1,8 @@
 /**
- * Tells control of targets that can't be reached or stand still: all of them in one call, and one call at a time.
+ * Reports targets that are unreachable or stalled to control, all of them in one call and one call at a time.
  *
- * The later control answers, the longer targets stand still: calls that grew with their number would make it later.
+ * The later control answers, the longer targets stay stalled. If the number of calls grew with the number of
+ * stalled targets, control would answer even later.
  */
 import { create } from "@bufbuild/protobuf";
 import type { Clock } from "../clock";
@@ -9,70 +10,67 @@
 import type { Logger } from "../metrics";
 import { SuspicionQueue } from "./SuspicionQueue";
 
-/** What a reporter works with. */
+/** Dependencies of a reporter. */
 export interface SuspicionReporterOptions {
   /**
-   * Tells control.
-   * @throws ConnectError - When it may be lost.
+   * Sends suspicions to control.
+   * @throws ConnectError - When the message may have been lost.
    */
   readonly tell: (suspicions: readonly Suspicion[]) => Promise<void>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** What is seen of a new target waits so long for more of it, as when a failure domain is lost. */
-const GATHER_MS = 10;
-/** A target is told of again, and calls that tell of no new target are made, no more often than this. */
-const PAUSE_MS = 1_000;
-/** After a call that failed; doubled with each that follows, up to the longest. */
-const FIRST_RETRY_MS = 500;
+/** A suspicion of a new target waits this long for further ones, as when a whole failure domain is lost. */
+const BATCH_DELAY_MS = 10;
+/** Minimum time between two reports of one target, and between two calls without a new target. */
+const REPEAT_INTERVAL_MS = 1_000;
+/** Delay after a failed call; it doubles with each consecutive failure, up to the maximum. */
+const INITIAL_RETRY_MS = 500;
 const MAX_RETRY_MS = 4_000;
 /** Suspicions in one call. */
 const MAX_SUSPICIONS = 500;
 
-/** Reports suspicions for as long as its process runs. */
+/** Reports suspicions until it is stopped. */
 export class SuspicionReporter {
   private readonly _options: SuspicionReporterOptions;
-  private readonly _queue = new SuspicionQueue(PAUSE_MS);
+  private readonly _queue = new SuspicionQueue(REPEAT_INTERVAL_MS);
   private _timer: NodeJS.Timeout | undefined;
   private _dueAt = Number.POSITIVE_INFINITY;
-  /** No call is made before this time. */
-  private _pausedUntil = Number.NEGATIVE_INFINITY;
+  /** No call starts before this time. */
+  private _blockedUntil = Number.NEGATIVE_INFINITY;
   private _calledAt = Number.NEGATIVE_INFINITY;
   private _failures = 0;
   private _isCalling = false;
 
-  /**
-   * @param options - Whom it tells.
-   */
   constructor(options: SuspicionReporterOptions) {
     this._options = options;
   }
 
-  /** Reports one target. */
+  /** Adds a suspicion of one target to the next call. */
   report(suspicion: Omit<Suspicion, "$typeName">): void {
     const now = this._options.clock.getMonotonicMs();
-    const news = this._queue.add(now, create(SuspicionSchema, suspicion));
-    if (news === "first") this._schedule(now + GATHER_MS);
-    if (news === "again") this._schedule(this._calledAt + PAUSE_MS);
+    const outcome = this._queue.add(now, create(SuspicionSchema, suspicion));
+    if (outcome === "first") this._schedule(now + BATCH_DELAY_MS);
+    if (outcome === "again") this._schedule(this._calledAt + REPEAT_INTERVAL_MS);
   }
 
-  /** Reports no more. */
+  /** Stops reporting. */
   stop(): void {
     clearTimeout(this._timer);
-    this._pausedUntil = Number.POSITIVE_INFINITY;
+    this._blockedUntil = Number.POSITIVE_INFINITY;
   }
 
-  private _schedule(wantedAt: number): void {
-    const at = Math.max(wantedAt, this._pausedUntil);
+  private _schedule(requestedAt: number): void {
+    const at = Math.max(requestedAt, this._blockedUntil);
     if (this._isCalling || at >= this._dueAt || at === Number.POSITIVE_INFINITY) return;
     clearTimeout(this._timer);
     this._dueAt = at;
     const waitMs = Math.max(0, at - this._options.clock.getMonotonicMs());
-    this._timer = setTimeout(() => void this._tell(), waitMs).unref();
+    this._timer = setTimeout(() => void this._send(), waitMs).unref();
   }
 
-  private async _tell(): Promise<void> {
+  private async _send(): Promise<void> {
     const { tell, clock } = this._options;
     this._dueAt = Number.POSITIVE_INFINITY;
     this._calledAt = clock.getMonotonicMs();
@@ -86,11 +84,11 @@
       this._addFailure(cause, suspicions);
     }
     this._isCalling = false;
-    // What came meanwhile has waited for as long as the answer took.
+    // Suspicions that arrived during the call have already waited for its answer.
     if (!this._queue.isEmpty) this._schedule(clock.getMonotonicMs());
   }
 
-  /** One line for each time that control is lost. */
+  /** Logs only the first of consecutive failures. */
   private _addFailure(cause: unknown, suspicions: readonly Suspicion[]): void {
     const { clock, logger } = this._options;
     const now = clock.getMonotonicMs();
@@ -98,8 +96,8 @@
     if (this._failures === 0) {
       logger.info({ event: "suspicions_not_told", targets: suspicions.length, reason: String(cause) });
     }
-    const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** this._failures);
+    const retryMs = Math.min(MAX_RETRY_MS, INITIAL_RETRY_MS * 2 ** this._failures);
     this._failures += 1;
-    this._pausedUntil = Math.max(this._pausedUntil, now + retryMs);
+    this._blockedUntil = Math.max(this._blockedUntil, now + retryMs);
   }
 }
--- a/src/registration/checkReport.ts
+++ b/src/registration/checkReport.ts
@@ -1,9 +1,10 @@
 /**
- * Checks what an instance reports of itself, whole, before anything of it is used or told on.
+ * Validates a whole instance report before any part of it is used or forwarded.
  *
- * A report may come from another writer. One with a count, a rank or slots that no message between our
- * processes can hold kept a control process from telling the leader of any instance for as long as its
- * writer went on, and a count beyond all others made the instance's own reports late for good. Pure.
+ * A report can come from a writer other than an instance. A count, a rank or a number of slots that does not
+ * fit the protobuf message kept a control process from sending the leader any report for as long as that
+ * writer continued. A sequence number above all others made every later report of the instance itself arrive
+ * out of order. Performs no I/O.
  */
 import { isIPv4 } from "node:net";
 import { InvalidReport } from "../errors";
@@ -11,16 +12,16 @@
 import { splitAddress } from "../http";
 
 const MAX_UINT32 = 2 ** 32 - 1;
-/** An IPv4 address and a port, digits only. */
+/** An IPv4 address and a port, in digits only. */
 const ADDRESS = /^[\d.]+:\d{1,5}$/;
 const MAX_PORT = 65_535;
-/** Names are a few dozen characters long; a whole report has four kilobytes at the most. */
+/** Names have a few dozen characters; a whole report has at most four kilobytes. */
 const MAX_NAME_LENGTH = 512;
 const MAX_LIST_LENGTH = 1_000;
 
 /**
  * Checks a report.
- * @throws InvalidReport - Naming the first field that is none that an instance would give.
+ * @throws InvalidReport - For the first field with a value that no instance would send.
  */
 export function checkReport(report: InstanceReport): void {
   checkName("id", report.instanceId);
@@ -42,31 +43,34 @@
   checkWhole("epoch", epoch, 0, Number.MAX_SAFE_INTEGER);
   checkWhole("rank", rank, 0, MAX_UINT32);
   if (state === PlaceState.UNSPECIFIED)
-    throw new InvalidReport({ field: "place", reason: "its state is unknown" });
+    throw new InvalidReport({ field: "place", reason: "the state is not a known value" });
 }
 
 function checkNames(field: string, names: readonly string[]): void {
-  if (names.length > MAX_LIST_LENGTH) throw new InvalidReport({ field, reason: "there are too many" });
+  if (names.length > MAX_LIST_LENGTH) throw new InvalidReport({ field, reason: "the list is too long" });
   for (const name of names) checkName(field, name);
 }
 
 function checkName(field: string, text: string): void {
-  if (text === "") throw new InvalidReport({ field, reason: "it is empty" });
+  if (text === "") throw new InvalidReport({ field, reason: "the value is empty" });
   checkText(field, text);
 }
 
 function checkText(field: string, text: string): void {
-  if (text.length > MAX_NAME_LENGTH) throw new InvalidReport({ field, reason: "it is too long" });
-  if (!text.isWellFormed()) throw new InvalidReport({ field, reason: "it is no valid Unicode" });
+  if (text.length > MAX_NAME_LENGTH) throw new InvalidReport({ field, reason: "the value is too long" });
+  if (!text.isWellFormed()) throw new InvalidReport({ field, reason: "the value is not valid Unicode" });
 }
 
 function checkWhole(field: string, value: number, min: number, max: number): void {
   if (Number.isInteger(value) && value >= min && value <= max) return;
-  throw new InvalidReport({ field, reason: `${value} is no whole number from ${min} to ${max}` });
+  throw new InvalidReport({ field, reason: `${value} is not a whole number from ${min} to ${max}` });
 }
 
 function checkAddress(address: string): void {
   const { host, port } = splitAddress(address);
   if (ADDRESS.test(address) && isIPv4(host) && port > 0 && port <= MAX_PORT) return;
-  throw new InvalidReport({ field: "address", reason: `${address.slice(0, MAX_NAME_LENGTH)} is none` });
+  throw new InvalidReport({
+    field: "address",
+    reason: `${address.slice(0, MAX_NAME_LENGTH)} is not an IPv4 address with a port`,
+  });
 }
--- a/src/registration/encodableReports.ts
+++ b/src/registration/encodableReports.ts
@@ -1,14 +1,15 @@
 /**
- * Tells reports that a message between our processes can hold from those that none can.
+ * Finds reports that can't be encoded as a protobuf message.
  *
- * Reports are checked where they come in. Should one get past that, it is dropped by itself: put back and
- * told again with all others, it kept a process from telling its leader of any. Pure.
+ * Reports are validated on arrival. If an invalid one still gets through, it must be dropped on its own: put
+ * back and sent again with the others, it would keep the process from sending the leader any report. Performs
+ * no I/O.
  */
 import { toBinary } from "@bufbuild/protobuf";
 import { type InstanceReport, InstanceReportSchema } from "../gen/ploverstage/v1/fleet_pb";
 
-/** Gets the reports among some that can't be encoded. */
-export function getUnencodable(reports: readonly InstanceReport[]): InstanceReport[] {
+/** Gets those of the reports that can't be encoded. */
+export function getUnencodableReports(reports: readonly InstanceReport[]): InstanceReport[] {
   return reports.filter((report) => !isEncodable(report));
 }
 
@@ -17,7 +18,7 @@
     toBinary(InstanceReportSchema, report);
     return true;
   } catch {
-    // What is wrong with it makes no difference: it can't be told.
+    // The cause is irrelevant: the report can't be sent.
     return false;
   }
 }
--- a/src/registration/reportContent.ts
+++ b/src/registration/reportContent.ts
@@ -1,7 +1,7 @@
-/** Compares what instances say of themselves. Pure. */
+/** Compares the content of instance reports. Performs no I/O. */
 import type { InstanceReport, ReplicaPlace } from "../gen/ploverstage/v1/fleet_pb";
 
-/** Checks whether two reports differ in nothing but their sequence number and age. */
+/** Checks whether two reports differ only in sequence number and age. */
 export function hasSameContent(a: InstanceReport, b: InstanceReport): boolean {
   return (
     a.instanceId === b.instanceId &&
--- a/test/registration/AgreedFacts.test.ts
+++ b/test/registration/AgreedFacts.test.ts
@@ -8,14 +8,14 @@
   ReplicaSchema,
 } from "../../src/gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life, parseLifeKey } from "../../src/ids";
-import { AgreedFacts, type AgreedState } from "../../src/registration/AgreedFacts";
+import { AgreedFacts, type CommittedState } from "../../src/registration/AgreedFacts";
 
 const BORN = 1_700_000_000_000;
 
 /** An agreed state of one replica a phase, in which some lives have left. */
 function createFacts(departed: readonly Life[]): AgreedFacts {
   const gone = new Set(departed.map(getLifeKey));
-  const state: AgreedState = {
+  const state: CommittedState = {
     getDeclaration: () => create(DeclarationSchema, { version: 7 }),
     getReplica: (id) => {
       const phase = ReplicaPhase[id as keyof typeof ReplicaPhase];
--- a/test/registration/lives.test.ts
+++ b/test/registration/lives.test.ts
@@ -44,8 +44,8 @@
     expect(registry.addReport(10, createReport(OLD, 500, { place: PLACE }))).toBe("older");
     expect(registry.addSign(20, { ...createSign(OLD, 501, 500) })).toBe("older");
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, reportedAt: 0 });
-    registry.addLifeAnswer(30, createLife("i", NEW));
-    expect(registry.getContenders()).toEqual([]);
+    registry.confirmIncarnation(30, createLife("i", NEW));
+    expect(registry.getOlderIncarnations()).toEqual([]);
   });
 
   it("takes the one that looks older once it answers, and the other one has ended for good", () => {
@@ -53,7 +53,7 @@
     registry.addReport(0, createReport(NEW, 500));
     registry.addReport(100, createReport(OLD, 1));
     expect(registry.getInstance("i")?.report.born).toBe(NEW);
-    registry.addLifeAnswer(110, createLife("i", OLD));
+    registry.confirmIncarnation(110, createLife("i", OLD));
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, report: { born: OLD } });
     expect(registry.addReport(120, createReport(NEW, 501))).toBe("ended");
     expect(registry.addReport(130, createReport(OLD, 2))).toBe("taken");
@@ -63,7 +63,7 @@
     const registry = new InstanceRegistry({}, () => NEW);
     registry.addReport(0, createReport(OLD, 9));
     registry.addReport(20, createReport(NEW, 1));
-    registry.addLifeAnswer(10, createLife("i", OLD));
+    registry.confirmIncarnation(10, createLife("i", OLD));
     expect(registry.getInstance("i")?.report.born).toBe(NEW);
   });
 
@@ -120,14 +120,14 @@
     const { reports, signs } = relay.takeBatch(30, 10);
     expect(reports.map(({ born, sequence }) => [born, sequence])).toEqual([[NEW, 1]]);
     expect(signs.map(({ born, sequence }) => [born, sequence])).toEqual([[OLD, 101]]);
-    expect(relay.getNewestBorn("i")).toBe(NEW);
+    expect(relay.getNewestStartTime("i")).toBe(NEW);
   });
 
   it("forgets only the life that leaves", () => {
     const relay = new ReportRelay();
     relay.addReport(0, createReport(OLD, 100));
     relay.addReport(10, createReport(NEW, 1));
-    relay.removeLife(createLife("i", OLD));
+    relay.removeIncarnation(createLife("i", OLD));
     expect(relay.takeBatch(20, 10).reports.map(({ born }) => born)).toEqual([NEW]);
   });
 });
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -55,11 +55,11 @@
   it("takes an answer for proof against all that were heard of at the address before the question", () => {
     const registry = addTwo();
     registry.addReport(6, createReport("c", 1, { address }));
-    registry.addPresence(5, "a", address);
+    registry.confirmInstance(5, "a", address);
     expect(registry.hasEnded(createLife("b"))).toBe(true);
     expect(registry.hasEnded(createLife("c"))).toBe(false);
     expect(registry.isInConflict("a")).toBe(true);
-    registry.addPresence(7, "c", address);
+    registry.confirmInstance(7, "c", address);
     expect(registry.hasEnded(createLife("a"))).toBe(true);
     expect(registry.isInConflict("c")).toBe(false);
   });
