--- a/test/registration/AgreedFacts.test.ts
+++ b/test/registration/AgreedFacts.test.ts
@@ -12,9 +12,9 @@
 
 const BORN = 1_700_000_000_000;
 
-/** An agreed state of one replica a phase, in which some lives have left. */
+/** Creates a committed state with one replica in each phase and the given departed incarnations. */
 function createFacts(departed: readonly Life[]): AgreedFacts {
-  const gone = new Set(departed.map(getLifeKey));
+  const departedKeys = new Set(departed.map(getLifeKey));
   const state: CommittedState = {
     getDeclaration: () => create(DeclarationSchema, { version: 7 }),
     getReplica: (id) => {
@@ -25,23 +25,23 @@
     },
     getKnownReplicas: () => [],
     getDepartures: () => [...departed],
-    hasDeparted: (life) => gone.has(getLifeKey(life)),
+    hasDeparted: (life) => departedKeys.has(getLifeKey(life)),
   };
   return new AgreedFacts(() => state);
 }
 
-describe("AgreedFacts", () => {
-  it("ends replicas that retire or that a member has left, and no other", () => {
+describe("CommittedFacts", () => {
+  it("ends a replica that is retiring or has lost a member, and no other replica", () => {
     const createTarget = (id: string) => create(TargetSchema, { id, model: "m", instanceId: `${id}-head` });
     const facts = createFacts([]);
     expect(facts.declaration?.version).toBe(7);
     for (const id of ["RETIRING", "RELEASED"]) expect(facts.hasEnded(createTarget(id))).toBe(true);
     for (const id of ["SERVING", "not-applied-yet"]) expect(facts.hasEnded(createTarget(id))).toBe(false);
-    const left = createFacts([{ instanceId: "SERVING-head", born: BORN }]);
-    expect(left.hasEnded(createTarget("SERVING"))).toBe(true);
+    const factsAfterDeparture = createFacts([{ instanceId: "SERVING-head", born: BORN }]);
+    expect(factsAfterDeparture.hasEnded(createTarget("SERVING"))).toBe(true);
   });
 
-  it("ends a plain service's instance with the life that left, not with the one that follows under its id", () => {
+  it("ends the departed incarnation of a plain service's instance, but not its successor under the same id", () => {
     const facts = createFacts([{ instanceId: "app@1", born: BORN }]);
     const hasEnded = (born: number) => {
       const id = getLifeKey({ instanceId: "app@1", born });
@@ -52,7 +52,7 @@
     expect(hasEnded(0)).toBe(false);
   });
 
-  it("reads the life that a target's id names", () => {
+  it("parses the incarnation from a target's id", () => {
     for (const born of [0, 1, BORN]) {
       const life = { instanceId: "a@b", born };
       expect(parseLifeKey("a@b", getLifeKey(life))).toEqual(life);
--- a/test/registration/CallLedger.test.ts
+++ b/test/registration/CallLedger.test.ts
@@ -2,7 +2,7 @@
 import { TextMetrics } from "../../src/metrics";
 import { CallLedger } from "../../src/registration/CallLedger";
 
-describe("CallLedger", () => {
+describe("ControlCallCounter", () => {
   let lines: object[];
   let metrics: TextMetrics;
   let ledger: CallLedger;
@@ -19,7 +19,7 @@
     vi.useRealTimers();
   });
 
-  it("tells once a second what was refused, and nothing where all was served", async () => {
+  it("logs the refused calls once a second, and nothing when all calls were served", async () => {
     ledger.addServed("watch");
     vi.advanceTimersByTime(1_000);
     expect(lines).toEqual([]);
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -12,7 +12,7 @@
 import { createCommand } from "../support/createCommand";
 
 const DIGEST = "abcdefghijklmnopqrstuv";
-const OTHER = "ABCDEFGHIJKLMNOPQRSTUV";
+const OTHER_DIGEST = "ABCDEFGHIJKLMNOPQRSTUV";
 const START_MS = 1_700_000_000_000;
 
 function createRecord(digest: string, depth: number, generation = 0): CrashRecord {
@@ -44,7 +44,7 @@
     registry = new CrashRegistry({ driver, clock, logger });
   });
 
-  it("has each account agreed on once, and shows it to watchers of whichever process and term", async () => {
+  it("has each crash record committed once, and publishes it to the watchers of every process in every term", async () => {
     await registry.addRecords([createRecord(DIGEST, 3)]);
     await registry.addRecords([createRecord(DIGEST, 1)]);
     expect(index).toBe(1);
@@ -67,7 +67,7 @@
     );
   });
 
-  it("shows what proves something however much was told since that proves nothing", async () => {
+  it("still publishes a record with a confirmed cause after thousands of records without one", async () => {
     await registry.addRecords([createRecord(DIGEST, 3)]);
     const view = new FleetView();
     registry.publish(view);
@@ -76,21 +76,21 @@
       await registry.addRecords(digests.map((digest) => createRecord(digest, 1)));
       registry.publish(view);
     }
-    const shown = view.createUpdate(1, undefined, 0).crashRecords.map(({ digest }) => digest);
-    expect(shown).toContain(DIGEST);
-    expect(shown.length).toBe(KEPT_CRASH_RECORDS);
+    const published = view.createUpdate(1, undefined, 0).crashRecords.map(({ digest }) => digest);
+    expect(published).toContain(DIGEST);
+    expect(published.length).toBe(KEPT_CRASH_RECORDS);
   });
 
-  it("outlasts a snapshot", async () => {
-    await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER, 1)]);
+  it("restores its records from a snapshot", async () => {
+    await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER_DIGEST, 1)]);
     const restored = new StateMachine(machine.encode());
     expect(restored.getCrashRecords()).toEqual(machine.getCrashRecords());
     expect(restored.crashIndex).toBe(machine.crashIndex);
-    expect([restored.isProven(DIGEST), restored.isProven(OTHER)]).toEqual([true, false]);
+    expect([restored.isProven(DIGEST), restored.isProven(OTHER_DIGEST)]).toEqual([true, false]);
   });
 
-  it("leaves out an account that no entry would give, and no other with it", async () => {
-    const odd = [
+  it("skips each invalid crash record, and accepts the valid one in the same call", async () => {
+    const invalidRecords = [
       createRecord("", 1),
       createRecord(`${DIGEST}x`, 1),
       createRecord(DIGEST, 1, Number.NaN),
@@ -101,27 +101,27 @@
       create(CrashRecordSchema, { digest: DIGEST, crashes: [{ life: "a", depth: 0 }] }),
       create(CrashRecordSchema, { digest: DIGEST, releases: 1_000 }),
     ];
-    await registry.addRecords([...odd, createRecord(OTHER, 2)]);
-    expect(refused.length).toBe(odd.length);
-    expect(machine.getCrashRecords().map(({ digest }) => digest)).toEqual([OTHER]);
+    await registry.addRecords([...invalidRecords, createRecord(OTHER_DIGEST, 2)]);
+    expect(refused.length).toBe(invalidRecords.length);
+    expect(machine.getCrashRecords().map(({ digest }) => digest)).toEqual([OTHER_DIGEST]);
   });
 
-  it("lets a request run again after a time, each time later, and takes one crash for enough then", async () => {
-    await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER, 1)]);
-    const spans: number[] = [];
+  it("releases a request after a time that grows with each release, and confirms it again after a single crash", async () => {
+    await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER_DIGEST, 1)]);
+    const heldBackMs: number[] = [];
     for (let i = 0; i < 3; i++) {
       const since = now;
       while (machine.isProven(DIGEST)) {
         now += 60_000;
         await registry.releaseDue(now);
       }
-      spans.push(now - since);
+      heldBackMs.push(now - since);
       const { generation, releases } = machine.getCrashRecord(DIGEST)!;
       const crash = { digest: DIGEST, generation, releases, crashes: [{ life: `again-${i}`, depth: 1 }] };
       await registry.addRecords([create(CrashRecordSchema, crash)]);
       expect(machine.isProven(DIGEST)).toBe(true);
     }
-    expect(spans).toEqual([KEEP_AWAY_MS, 6 * KEEP_AWAY_MS, 36 * KEEP_AWAY_MS]);
-    expect(machine.getCrashRecord(OTHER)).toMatchObject({ crashes: [], releases: 0 });
+    expect(heldBackMs).toEqual([KEEP_AWAY_MS, 6 * KEEP_AWAY_MS, 36 * KEEP_AWAY_MS]);
+    expect(machine.getCrashRecord(OTHER_DIGEST)).toMatchObject({ crashes: [], releases: 0 });
   });
 });
--- a/test/registration/IdentityChecks.test.ts
+++ b/test/registration/IdentityChecks.test.ts
@@ -9,30 +9,30 @@
 const SERVICE = "llm";
 const ENGINE_SERVICES = new Set([SERVICE]);
 const ADDRESS = "10.0.0.1:80";
-/** Longer than any pause between two questions. */
-const LATER_MS = 1_000;
+/** Longer than the interval between two queries. */
+const STEP_MS = 1_000;
 
 describe("IdentityChecks", () => {
   let now: number;
-  let asked: OrderReceiver[];
-  /** What runs at the address; `undefined` when nobody answers. */
+  let queried: OrderReceiver[];
+  /** Id of the instance that runs at the address; `undefined` when nothing answers there. */
   let running: string | undefined;
-  /** Instances that the agreed state gives places. */
+  /** Members of replicas in the committed state. */
   let members: OrderReceiver[];
   let registry: InstanceRegistry;
   let checks: IdentityChecks;
-  let answeredBorn: number | undefined;
+  let answeredStartTime: number | undefined;
 
   beforeEach(() => {
     now = 10_000;
-    asked = [];
+    queried = [];
     running = undefined;
-    answeredBorn = undefined;
+    answeredStartTime = undefined;
     members = [];
     registry = new InstanceRegistry();
     checks = new IdentityChecks({
       registry,
-      orders: { identify: (receiver) => answer(receiver), askBorn: () => Promise.resolve(answeredBorn) },
+      orders: { identify: (receiver) => answer(receiver), askBorn: () => Promise.resolve(answeredStartTime) },
       clock: { getMonotonicMs: () => now, getWallMs: () => now },
       logger: { info: () => {} } as never,
     });
@@ -41,7 +41,7 @@
   });
 
   function answer(receiver: OrderReceiver): Promise<Identity> {
-    asked.push(receiver);
+    queried.push(receiver);
     if (running === undefined) return Promise.resolve("unknown");
     return Promise.resolve(running === receiver.instanceId ? "itself" : "another");
   }
@@ -51,74 +51,74 @@
   }
 
   async function check(): Promise<void> {
-    now += LATER_MS;
+    now += STEP_MS;
     checks.checkConflicts(now, members, ENGINE_SERVICES);
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  it("holds for ended whoever is not at the address, by one question, whichever runs there", async () => {
+  it("marks the instance that does not run at the address as ended after one query, whichever claimant was asked", async () => {
     running = "second";
     await check();
-    expect(asked).toEqual([{ ...createLife("first"), address: ADDRESS }]);
+    expect(queried).toEqual([{ ...createLife("first"), address: ADDRESS }]);
     expect(registry.hasEnded(createLife("first"))).toBe(true);
     expect(registry.hasEnded(createLife("second"))).toBe(false);
     running = "second";
     report("third");
     await check();
-    expect(asked.length).toBe(2);
+    expect(queried.length).toBe(2);
     expect(registry.hasEnded(createLife("third"))).toBe(true);
     expect(registry.getConflicts()).toEqual([]);
     await check();
-    expect(asked.length).toBe(2);
+    expect(queried.length).toBe(2);
   });
 
-  it("takes no missing answer for proof, and asks the others in turn", async () => {
+  it("treats a missing answer as no proof, and queries the claimants in turn", async () => {
     await check();
     await check();
-    expect(asked.map(({ instanceId }) => instanceId)).toEqual(["first", "second"]);
+    expect(queried.map(({ instanceId }) => instanceId)).toEqual(["first", "second"]);
     expect(registry.hasEnded(createLife("first")) || registry.hasEnded(createLife("second"))).toBe(false);
     running = "first";
     await check();
     expect(registry.hasEnded(createLife("second"))).toBe(true);
   });
 
-  it("asks no more often than a moment ago, and once at a time", async () => {
+  it("waits between two queries of an address, and sends one at a time", async () => {
     await check();
     checks.checkConflicts(now + 10, members, ENGINE_SERVICES);
     await new Promise((resolve) => setImmediate(resolve));
-    expect(asked.length).toBe(1);
-    checks.checkConflicts(now + LATER_MS, members, ENGINE_SERVICES);
-    checks.checkConflicts(now + LATER_MS, members, ENGINE_SERVICES);
-    expect(asked.length).toBe(2);
+    expect(queried.length).toBe(1);
+    checks.checkConflicts(now + STEP_MS, members, ENGINE_SERVICES);
+    checks.checkConflicts(now + STEP_MS, members, ENGINE_SERVICES);
+    expect(queried.length).toBe(2);
   });
 
-  it("asks nobody where an address is claimed once", async () => {
+  it("sends no query when only one instance claims an address", async () => {
     registry.addEnd(createLife("first"));
     await check();
-    expect(asked).toEqual([]);
+    expect(queried).toEqual([]);
   });
 
-  it("asks for a member that was not heard of, once another one is heard of at its address", async () => {
+  it("queries a member that has not reported once another instance reports its address", async () => {
     const address = "10.0.0.2:80";
     members = [{ ...createLife("member"), address }];
     running = "second";
     await check();
-    expect(asked.map(({ instanceId }) => instanceId)).toEqual(["first"]);
+    expect(queried.map(({ instanceId }) => instanceId)).toEqual(["first"]);
     report("next", SERVICE, address);
     running = "next";
     await check();
-    expect(asked.at(-1)).toEqual({ ...createLife("member"), address });
+    expect(queried.at(-1)).toEqual({ ...createLife("member"), address });
     expect(registry.hasEnded(createLife("member"))).toBe(true);
     await check();
-    expect(asked.length).toBe(2);
+    expect(queried.length).toBe(2);
   });
 
-  it("asks no instance of a service without engines: it takes no orders", async () => {
+  it("queries no instance of a service without engines, since such an instance accepts no orders", async () => {
     const address = "10.0.0.3:80";
     running = "first";
     report("plain", "board", address);
     report("next", "board", address);
     await check();
-    expect(asked.map((receiver) => receiver.address)).toEqual([ADDRESS]);
+    expect(queried.map((receiver) => receiver.address)).toEqual([ADDRESS]);
   });
 });
--- a/test/registration/ReportRelay.test.ts
+++ b/test/registration/ReportRelay.test.ts
@@ -18,8 +18,8 @@
   return create(InstanceReportSchema, { instanceId, sequence, address: `${instanceId}:1`, place });
 }
 
-/** A leader that takes batches over as the leadership does. */
-class Leader {
+/** Adds batches to a registry as the leadership does. */
+class RegistryLeader {
   readonly registry = new InstanceRegistry();
   readonly term: number;
 
@@ -27,37 +27,37 @@
     this.term = term;
   }
 
-  take(now: number, { reports, signs }: RelayBatch): string[] {
+  addBatch(now: number, { reports, signs }: RelayBatch): string[] {
     const unknown = signs.filter((sign) => this.registry.addSign(now - sign.ageMs, sign) === "unknown");
     for (const report of reports) this.registry.addReport(now - report.ageMs, report);
     return unknown.map((sign) => sign.instanceId);
   }
 }
 
-function tell(relay: ReportRelay, leader: Leader, now = NOW): RelayBatch {
+function sendBatch(relay: ReportRelay, leader: RegistryLeader, now = NOW): RelayBatch {
   const batch = relay.takeBatch(now, 100);
-  relay.addAnswer(leader.term, leader.take(now, batch));
+  relay.addAnswer(leader.term, leader.addBatch(now, batch));
   return batch;
 }
 
 describe("ReportRelay", () => {
-  it("tells in full once, then signs of life, and in full again what is new", () => {
+  it("sends a full report once, then heartbeats, and a full report again when the content changes", () => {
     const relay = new ReportRelay();
-    const leader = new Leader(1);
+    const leader = new RegistryLeader(1);
     expect(relay.addReport(NOW, createReport(1))).toBe(true);
-    expect(tell(relay, leader).reports).toHaveLength(1);
+    expect(sendBatch(relay, leader).reports).toHaveLength(1);
     expect(relay.addReport(NOW, createReport(2))).toBe(false);
-    expect(tell(relay, leader, NOW + 300)).toMatchObject({
+    expect(sendBatch(relay, leader, NOW + 300)).toMatchObject({
       reports: [],
       signs: [{ sequence: 2, ageMs: 300 }],
     });
     expect(leader.registry.getInstance("i")).toMatchObject({ sequence: 2, reportedAt: NOW });
-    expect(tell(relay, leader)).toEqual({ reports: [], signs: [] });
+    expect(sendBatch(relay, leader)).toEqual({ reports: [], signs: [] });
     expect(relay.addReport(NOW, createReport(3, PlaceState.OPEN))).toBe(true);
-    expect(tell(relay, leader).reports).toHaveLength(1);
+    expect(sendBatch(relay, leader).reports).toHaveLength(1);
   });
 
-  it("drops late reports, and tells again what did not arrive", () => {
+  it("drops reports that arrive out of order, and sends a lost batch again", () => {
     const relay = new ReportRelay();
     relay.addReport(NOW, createReport(5));
     expect(relay.addReport(NOW, createReport(4, PlaceState.OPEN))).toBe(false);
@@ -70,20 +70,20 @@
     });
   });
 
-  it("tells the leader of a new term everything, with its age", () => {
+  it("sends all reports with their age to the leader of a new term", () => {
     const relay = new ReportRelay();
     relay.addReport(NOW, createReport(1));
-    tell(relay, new Leader(1));
-    const next = new Leader(2);
-    tell(relay, next, NOW + 100);
+    sendBatch(relay, new RegistryLeader(1));
+    const next = new RegistryLeader(2);
+    sendBatch(relay, next, NOW + 100);
     expect(relay.hasNews()).toBe(true);
-    tell(relay, next, NOW + 200);
+    sendBatch(relay, next, NOW + 200);
     expect(next.registry.getInstance("i")?.reportedAt).toBe(NOW);
-    tell(relay, next, NOW + 20_000);
+    sendBatch(relay, next, NOW + 20_000);
     expect(relay.addReport(NOW + 20_000, createReport(2))).toBe(true);
   });
 
-  it("tells a part at a time, and again only what did not arrive", () => {
+  it("limits the full reports in a batch, and sends only the lost batch again", () => {
     const relay = new ReportRelay();
     for (let i = 0; i < 5; i++) relay.addReport(NOW, { ...createReport(1), instanceId: `i${i}` });
     relay.addAnswer(1, []);
@@ -99,7 +99,7 @@
     expect(relay.takeBatch(NOW, 3)).toEqual(signs);
   });
 
-  it("leaves the leader with the newest that any relay heard, whatever is lost on the way", () => {
+  it("gives the leader the newest report that any relay received, even when batches are lost and leaders change", () => {
     const step = fc.record({
       kind: fc.constantFrom("report" as const, "tell" as const, "lose" as const, "elect" as const),
       relay: fc.nat(1),
@@ -107,18 +107,18 @@
     });
     const property = fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       const relays = [new ReportRelay(), new ReportRelay()];
-      let leader = new Leader(1);
+      let leader = new RegistryLeader(1);
       let sequence = 0;
       let newest: InstanceReport | undefined;
       for (const { kind, relay, state } of steps) {
         if (kind === "report") {
           newest = createReport(++sequence, state);
           relays[relay]!.addReport(NOW, newest);
-        } else if (kind === "tell") tell(relays[relay]!, leader);
+        } else if (kind === "tell") sendBatch(relays[relay]!, leader);
         else if (kind === "lose") relays[relay]!.restoreBatch(relays[relay]!.takeBatch(NOW, 100));
-        else leader = new Leader(leader.term + 1);
+        else leader = new RegistryLeader(leader.term + 1);
       }
-      for (let round = 0; round < 3; round++) for (const relay of relays) tell(relay, leader);
+      for (let round = 0; round < 3; round++) for (const relay of relays) sendBatch(relay, leader);
       const known = leader.registry.getInstance("i");
       expect(known?.sequence).toBe(newest?.sequence);
       expect(known?.report.place?.state).toBe(newest?.place?.state);
--- a/test/registration/ReportSender.test.ts
+++ b/test/registration/ReportSender.test.ts
@@ -16,8 +16,8 @@
 
 const ENTRY: EntryEndpoint = create(EntryEndpointSchema, { address: "127.0.0.1:1", failureDomain: "a" });
 
-/** Tells whoever is taken for the leader. */
-type LeaderTelling = (leader: object) => Promise<unknown>;
+/** Sends a request to the process that counts as the leader. */
+type LeaderCall = (leader: object) => Promise<unknown>;
 
 describe("ReportSender", () => {
   let requests: ReportRequest[];
@@ -31,7 +31,7 @@
   let dropped: string[];
   let onRequest: (request: ReportRequest) => void;
   let onAnswer: () => Promise<void>;
-  let findLeader: (call: LeaderTelling) => Promise<unknown>;
+  let findLeader: (call: LeaderCall) => Promise<unknown>;
 
   beforeEach(() => {
     requests = [];
@@ -45,13 +45,14 @@
     suspicions = new SuspicionQueue(500);
     calls = 0;
     const leader = {
-      async *relay(told: AsyncIterable<ReportRequest>) {
+      async *relay(requestStream: AsyncIterable<ReportRequest>) {
         calls += 1;
-        for await (const request of told) {
+        for await (const request of requestStream) {
           requests.push(request);
           onRequest(request);
           await onAnswer();
-          if (answer === undefined) throw new UnreachableControl({ tried: [], reason: "it is cut off" });
+          if (answer === undefined)
+            throw new UnreachableControl({ tried: [], reason: "the leader is partitioned" });
           yield answer;
         }
       },
@@ -61,7 +62,7 @@
       relay,
       entries,
       suspicions,
-      client: { call: (call: LeaderTelling) => findLeader(call) } as never,
+      client: { call: (call: LeaderCall) => findLeader(call) } as never,
       getLeadership: () => undefined,
       isLeaderKnown: () => true,
       publicAddress: "127.0.0.9:1",
@@ -79,7 +80,7 @@
     relay.addReport(performance.now(), create(InstanceReportSchema, { instanceId: "i", sequence }));
   }
 
-  it("tells entries once, again when they change, and again to another leader", async () => {
+  it("sends the entries once, again when they change, and again to a new leader", async () => {
     entries.addEntry("e", ENTRY);
     await sender.sendNow();
     await sender.sendNow();
@@ -88,12 +89,12 @@
     answer = { term: 2, unknownInstanceIds: [] };
     await sender.sendNow();
     await sender.sendNow();
-    const told = requests.map((request) => request.entries?.entries.map((entry) => entry.address));
-    expect(told).toEqual([["127.0.0.1:1"], undefined, [], undefined, []]);
+    const sentEntries = requests.map((request) => request.entries?.entries.map((entry) => entry.address));
+    expect(sentEntries).toEqual([["127.0.0.1:1"], undefined, [], undefined, []]);
   });
 
-  it("drops just the report that can't be told, and tells the others", async () => {
-    const tell = answer;
+  it("drops only the report that can't be encoded, and sends the others", async () => {
+    const usualAnswer = answer;
     const encode = (request: ReportRequest) => {
       for (const report of request.reports) toBinary(InstanceReportSchema, report);
     };
@@ -102,12 +103,12 @@
     addReport(1);
     await sender.sendNow();
     expect(dropped).toEqual(["odd"]);
-    answer = tell;
+    answer = usualAnswer;
     await sender.sendNow();
     expect(requests.at(-1)?.reports.map(({ instanceId }) => instanceId)).toEqual(["i"]);
   });
 
-  it("keeps what could not be told, logs the loss once, and rejects nobody who waits", async () => {
+  it("sends reports again after a failure, logs consecutive failures once, and rejects no waiting caller", async () => {
     answer = undefined;
     addReport(1);
     await Promise.all([sender.sendNow(), sender.sendNow(), sender.sendNow()]);
@@ -117,33 +118,33 @@
     expect(requests.at(-1)?.reports.map((report) => report.instanceId)).toEqual(["i"]);
   });
 
-  it("tells what entries saw of targets with the next report, and again when that was lost", async () => {
+  it("sends suspicions with the next request, and again when that request was lost", async () => {
     suspicions.add(performance.now(), create(SuspicionSchema, { targetId: "t" }));
     answer = undefined;
     await sender.sendNow();
     answer = { term: 1, unknownInstanceIds: [] };
     await sender.sendNow();
     await sender.sendNow();
-    const told = requests.map((request) => request.suspicions.map(({ targetId }) => targetId));
-    expect(told).toEqual([["t"], ["t"], []]);
+    const sentTargets = requests.map((request) => request.suspicions.map(({ targetId }) => targetId));
+    expect(sentTargets).toEqual([["t"], ["t"], []]);
   });
 
-  it("tells the leader over one call for as long as that lasts, and over another one after it has failed", async () => {
+  it("sends all requests over one call, and opens another one after it has failed", async () => {
     for (let i = 0; i < 3; i++) await sender.sendNow();
     expect(calls).toBe(1);
-    const tell = answer;
+    const usualAnswer = answer;
     answer = undefined;
     await sender.sendNow();
-    answer = tell;
+    answer = usualAnswer;
     for (let i = 0; i < 3; i++) await sender.sendNow();
     expect(calls).toBe(2);
     expect(requests).toHaveLength(7);
   });
 
-  it("goes on over the call to a new leader when the one to the old leader ends", async () => {
-    const told: string[] = [];
-    let callsToNew = 0;
-    const old = {
+  it("continues over the call to a new leader when the call to the old leader ends", async () => {
+    const relayAddresses: string[] = [];
+    let callsToNewLeader = 0;
+    const oldLeader = {
       async *relay(_: unknown, { signal }: { signal: AbortSignal }) {
         yield* [];
         await new Promise((_resolve, reject) =>
@@ -151,36 +152,36 @@
         );
       },
     };
-    const next = {
+    const newLeader = {
       async *relay(requests: AsyncIterable<ReportRequest>) {
-        callsToNew += 1;
+        callsToNewLeader += 1;
         for await (const request of requests) {
-          told.push(request.relayAddress);
+          relayAddresses.push(request.relayAddress);
           yield { term: 2, unknownInstanceIds: [] };
         }
       },
     };
-    // As a client does that learns of a new leader while the old one has not answered.
+    // Models a client that learns of a new leader before the old one has answered.
     let isFirst = true;
     findLeader = async (call) => {
-      if (isFirst) call(old).catch(() => {});
+      if (isFirst) call(oldLeader).catch(() => {});
       isFirst = false;
       await new Promise((resolve) => setImmediate(resolve));
-      return call(next);
+      return call(newLeader);
     };
     for (let i = 0; i < 3; i++) await sender.sendNow();
-    expect(told).toHaveLength(3);
-    expect(callsToNew).toBe(1);
+    expect(relayAddresses).toHaveLength(3);
+    expect(callsToNewLeader).toBe(1);
   });
 
-  it("counts a leader as not told while its answer is late, and no more once it came", async () => {
+  it("counts the leader as failing while its answer is late, and no longer once the answer arrives", async () => {
     let answerNow: () => void = () => {};
     onAnswer = () =>
       new Promise((resolve) => {
         answerNow = resolve;
       });
     const sending = sender.sendNow();
-    await waitUntil("the leader is told", () => requests.length === 1);
+    await waitUntil("the leader receives the request", () => requests.length === 1);
     const now = performance.now();
     expect(sender.getFailingMs(now)).toBe(0);
     expect(sender.getFailingMs(now + 1_500)).toBeGreaterThan(800);
@@ -189,11 +190,11 @@
     expect(sender.getFailingMs(now + 1_500)).toBe(0);
   });
 
-  it("tells what is new without being asked twice", async () => {
+  it("sends one request for several calls of sendSoon", async () => {
     addReport(1);
     sender.sendSoon();
     sender.sendSoon();
-    await waitUntil("it is told", () => requests.length === 1);
+    await waitUntil("the request is sent", () => requests.length === 1);
     expect(requests[0]?.reports).toHaveLength(1);
   });
 });
--- a/test/registration/SuspicionReporter.test.ts
+++ b/test/registration/SuspicionReporter.test.ts
@@ -2,9 +2,12 @@
 import type { Suspicion } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { SuspicionReporter } from "../../src/registration/SuspicionReporter";
 
-/** Targets of a large site that all stand still, each seen by its own requests, many times a second. */
-const TARGETS = 55;
-const SIGHTING_MS = 50;
+/**
+ * Number of targets at a large site. All of them are stalled, and requests report each of them many times a
+ * second.
+ */
+const TARGET_COUNT = 55;
+const SUSPICION_INTERVAL_MS = 50;
 
 interface Call {
   readonly at: number;
@@ -38,42 +41,43 @@
     vi.useRealTimers();
   });
 
-  function see(targetId: string): void {
+  function suspect(targetId: string): void {
     reporter.report({ targetId, instanceId: `${targetId}-head`, unreachable: false });
   }
 
-  /** Sees every target over and over. */
-  async function seeAll(forMs: number): Promise<void> {
-    for (let leftMs = forMs; leftMs > 0; leftMs -= SIGHTING_MS) {
-      for (let i = 0; i < TARGETS; i++) see(`t${i}`);
-      await vi.advanceTimersByTimeAsync(SIGHTING_MS);
+  /** Reports every target every SUSPICION_INTERVAL_MS. */
+  async function suspectAll(durationMs: number): Promise<void> {
+    for (let remainingMs = durationMs; remainingMs > 0; remainingMs -= SUSPICION_INTERVAL_MS) {
+      for (let i = 0; i < TARGET_COUNT; i++) suspect(`t${i}`);
+      await vi.advanceTimersByTimeAsync(SUSPICION_INTERVAL_MS);
     }
   }
 
-  it("makes one call a second at the most, however many targets stand still", async () => {
-    await seeAll(10_000);
+  it("makes at most one call a second, however many targets are stalled", async () => {
+    await suspectAll(10_000);
     expect(calls.length).toBeLessThanOrEqual(10);
-    for (const { targets } of calls) expect(targets).toHaveLength(TARGETS);
+    for (const { targets } of calls) expect(targets).toHaveLength(TARGET_COUNT);
   });
 
-  it("makes fewer calls to a control that doesn't answer in time", async () => {
-    answer = () => new Promise((_, reject) => setTimeout(() => reject(new Error("too late")), 500));
-    await seeAll(10_000);
+  it("makes fewer calls while control doesn't answer in time", async () => {
+    answer = () =>
+      new Promise((_, reject) => setTimeout(() => reject(new Error("control answered too late")), 500));
+    await suspectAll(10_000);
     expect(calls.length).toBeLessThanOrEqual(5);
     expect(lines).toHaveLength(1);
   });
 
-  it("tells of a new target at once, also beside others that are told already", async () => {
-    see("a");
+  it("reports a new target at once, even right after a call about another target", async () => {
+    suspect("a");
     await vi.advanceTimersByTimeAsync(10);
-    see("b");
+    suspect("b");
     await vi.advanceTimersByTimeAsync(10);
     expect(calls.map(({ targets }) => targets)).toEqual([["a"], ["b"]]);
   });
 
-  it("tells again what may have been lost", async () => {
-    answer = () => Promise.reject(new Error("control has gone"));
-    see("a");
+  it("sends a suspicion again after a failed call", async () => {
+    answer = () => Promise.reject(new Error("control is unreachable"));
+    suspect("a");
     await vi.advanceTimersByTimeAsync(10);
     answer = () => Promise.resolve();
     await vi.advanceTimersByTimeAsync(600);
@@ -90,7 +94,7 @@
       running -= 1;
     };
     for (let i = 0; i < 40; i++) {
-      see(`t${i}`);
+      suspect(`t${i}`);
       await vi.advanceTimersByTimeAsync(100);
     }
     expect(most).toBe(1);
--- a/test/registration/checkReport.test.ts
+++ b/test/registration/checkReport.test.ts
@@ -1,8 +1,8 @@
 /**
- * A report with `slots` of -1, 1.5 or 1e12, or a rank of -1, was accepted; the batch in which it was to be
- * told to the leader could not be encoded, was put back whole and tried again: the leader heard of no
- * instance that reported through that process for as long as the report's writer went on. A count of 1e300
- * made each later report of the id late.
+ * Guards against invalid reports that block all others. A report with `slots` of -1, 1.5 or 1e12, or with a
+ * rank of -1, used to pass. The batch that contained it could not be encoded, was put back whole and sent
+ * again, so the leader received no report through that process for as long as the report's writer continued.
+ * A sequence number of 1e300 made each later report of the same id arrive out of order.
  */
 import { create, type MessageInitShape, toBinary } from "@bufbuild/protobuf";
 import { describe, expect, it } from "vitest";
@@ -10,9 +10,9 @@
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { checkReport } from "../../src/registration/checkReport";
 
-type Init = Omit<MessageInitShape<typeof InstanceReportSchema>, "$typeName">;
+type ReportInit = Omit<MessageInitShape<typeof InstanceReportSchema>, "$typeName">;
 const PLACE = { replicaId: "g-1", epoch: 1, rank: 0, state: PlaceState.OPEN };
-const SOUND: Init = {
+const VALID_REPORT: ReportInit = {
   instanceId: "i-1",
   sequence: 4,
   born: 1_786_000_000_000,
@@ -25,17 +25,17 @@
 };
 
 describe("checkReport", () => {
-  it("takes what instances say of themselves, and what deregisters by its id alone", () => {
-    expect(() => checkReport(create(InstanceReportSchema, SOUND))).not.toThrow();
+  it("accepts reports of instances, and a deregistration that contains only an id", () => {
+    expect(() => checkReport(create(InstanceReportSchema, VALID_REPORT))).not.toThrow();
     expect(() =>
-      checkReport(create(InstanceReportSchema, { ...SOUND, born: 0, place: undefined })),
+      checkReport(create(InstanceReportSchema, { ...VALID_REPORT, born: 0, place: undefined })),
     ).not.toThrow();
     expect(() =>
       checkReport(create(InstanceReportSchema, { instanceId: "i", deregistered: true })),
     ).not.toThrow();
   });
 
-  const faults: readonly [string, Init][] = [
+  const invalidReports: readonly [string, ReportInit][] = [
     ["id", { instanceId: "" }],
     ["id", { instanceId: "\ud800" }],
     ["born", { born: 1.5 }],
@@ -60,16 +60,16 @@
     ["rank", { place: { ...PLACE, rank: -1 } }],
     ["place", { place: { ...PLACE, state: PlaceState.UNSPECIFIED } }],
   ];
-  it.each(faults)("refuses one whose %s no instance would give: %j", (field, fault) => {
-    const report = create(InstanceReportSchema, { ...SOUND, ...fault } as Init);
+  it.each(invalidReports)("refuses a report whose %s is invalid: %j", (field, change) => {
+    const report = create(InstanceReportSchema, { ...VALID_REPORT, ...change } as ReportInit);
     expect(() => checkReport(report)).toThrow(InvalidReport);
     expect(() => checkReport(report)).toThrow(field);
   });
 
-  it("lets nothing pass that a message could not hold", () => {
+  it("refuses a value that the encoder would reject", () => {
     expect(() =>
-      toBinary(InstanceReportSchema, create(InstanceReportSchema, { ...SOUND, slots: 1e12 })),
+      toBinary(InstanceReportSchema, create(InstanceReportSchema, { ...VALID_REPORT, slots: 1e12 })),
     ).toThrow();
-    expect(() => toBinary(InstanceReportSchema, create(InstanceReportSchema, SOUND))).not.toThrow();
+    expect(() => toBinary(InstanceReportSchema, create(InstanceReportSchema, VALID_REPORT))).not.toThrow();
   });
 });
--- a/test/registration/lives.test.ts
+++ b/test/registration/lives.test.ts
@@ -1,8 +1,9 @@
 /**
- * An instance that started again under its id was not heard of until its count had passed that of its
- * earlier life: reports 1 and 20 of the new life came late after report 100 of the old one, in the registry
- * and in each relay. Over real processes no request reached it in 20 s; under a new id it took 0.27 s.
- * Cause: an id stood for a life. A life is an id and its start.
+ * Guards against sequence numbers that outlive a restart. An instance that restarted under its id was ignored
+ * until its sequence number had passed that of its earlier incarnation: the registry and each relay dropped
+ * reports 1 and 20 of the new incarnation as late after report 100 of the old one. With real processes no
+ * request reached the instance in 20 s; under a new id the first one arrived after 0.27 s. The cause was that
+ * an id alone identified an incarnation; now an id and a start time do.
  */
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import fc from "fast-check";
@@ -12,8 +13,8 @@
 import { ReportRelay } from "../../src/registration/ReportRelay";
 import { createLife } from "../support/createLife";
 
-const OLD = 1_000_000;
-const NEW = 2_000_000;
+const OLD_START = 1_000_000;
+const NEW_START = 2_000_000;
 const PRESENCE_MS = 3_600;
 const PLACE = { replicaId: "g-1", epoch: 1, state: PlaceState.OPEN };
 
@@ -25,76 +26,76 @@
   return create(InstanceReportSchema, { instanceId: "i", born, sequence, address: "10.0.0.1:80", ...init });
 }
 
-describe("InstanceRegistry, with lives under one id", () => {
-  it("hears a newer life at once, whatever it counts, and what the older one held is gone", () => {
+describe("InstanceRegistry, with several incarnations of one id", () => {
+  it("accepts a newer incarnation at once, whatever its sequence number, and drops the older one's replica", () => {
     const ends: [number, LifeEnd][] = [];
-    const registry = new InstanceRegistry({ onEnd: ({ born }, ground) => ends.push([born, ground]) });
-    registry.addReport(0, createReport(OLD, 100, { place: PLACE }));
-    expect(registry.addReport(10, createReport(NEW, 1))).toBe("taken");
+    const registry = new InstanceRegistry({ onEnd: ({ born }, reason) => ends.push([born, reason]) });
+    registry.addReport(0, createReport(OLD_START, 100, { place: PLACE }));
+    expect(registry.addReport(10, createReport(NEW_START, 1))).toBe("taken");
     expect(registry.getInstance("i")).toMatchObject({ firstReportedAt: 10, sequence: 1 });
     expect(registry.getInstance("i")?.report.place).toBeUndefined();
-    expect(registry.hasEnded(createLife("i", OLD))).toBe(true);
-    expect(registry.hasEnded(createLife("i", NEW))).toBe(false);
-    expect(ends).toEqual([[OLD, "newerLife"]]);
+    expect(registry.hasEnded(createLife("i", OLD_START))).toBe(true);
+    expect(registry.hasEnded(createLife("i", NEW_START))).toBe(false);
+    expect(ends).toEqual([[OLD_START, "newerLife"]]);
   });
 
-  it("changes nothing for what an older life is heard to say later", () => {
+  it("ignores later reports of an older incarnation", () => {
     const registry = new InstanceRegistry();
-    registry.addReport(0, createReport(NEW, 1));
-    expect(registry.addReport(10, createReport(OLD, 500, { place: PLACE }))).toBe("older");
-    expect(registry.addSign(20, { ...createSign(OLD, 501, 500) })).toBe("older");
+    registry.addReport(0, createReport(NEW_START, 1));
+    expect(registry.addReport(10, createReport(OLD_START, 500, { place: PLACE }))).toBe("older");
+    expect(registry.addSign(20, { ...createHeartbeat(OLD_START, 501, 500) })).toBe("older");
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, reportedAt: 0 });
-    registry.confirmIncarnation(30, createLife("i", NEW));
+    registry.confirmIncarnation(30, createLife("i", NEW_START));
     expect(registry.getOlderIncarnations()).toEqual([]);
   });
 
-  it("takes the one that looks older once it answers, and the other one has ended for good", () => {
+  it("switches to the older incarnation once it answers, and shuts out the newer one permanently", () => {
     const registry = new InstanceRegistry();
-    registry.addReport(0, createReport(NEW, 500));
-    registry.addReport(100, createReport(OLD, 1));
-    expect(registry.getInstance("i")?.report.born).toBe(NEW);
-    registry.confirmIncarnation(110, createLife("i", OLD));
-    expect(registry.getInstance("i")).toMatchObject({ sequence: 1, report: { born: OLD } });
-    expect(registry.addReport(120, createReport(NEW, 501))).toBe("ended");
-    expect(registry.addReport(130, createReport(OLD, 2))).toBe("taken");
+    registry.addReport(0, createReport(NEW_START, 500));
+    registry.addReport(100, createReport(OLD_START, 1));
+    expect(registry.getInstance("i")?.report.born).toBe(NEW_START);
+    registry.confirmIncarnation(110, createLife("i", OLD_START));
+    expect(registry.getInstance("i")).toMatchObject({ sequence: 1, report: { born: OLD_START } });
+    expect(registry.addReport(120, createReport(NEW_START, 501))).toBe("ended");
+    expect(registry.addReport(130, createReport(OLD_START, 2))).toBe("taken");
   });
 
-  it("takes no answer for proof against a life that was heard of only after the question", () => {
-    const registry = new InstanceRegistry({}, () => NEW);
-    registry.addReport(0, createReport(OLD, 9));
-    registry.addReport(20, createReport(NEW, 1));
-    registry.confirmIncarnation(10, createLife("i", OLD));
-    expect(registry.getInstance("i")?.report.born).toBe(NEW);
+  it("treats an answer as no proof against an incarnation that was first reported after the query", () => {
+    const registry = new InstanceRegistry({}, () => NEW_START);
+    registry.addReport(0, createReport(OLD_START, 9));
+    registry.addReport(20, createReport(NEW_START, 1));
+    registry.confirmIncarnation(10, createLife("i", OLD_START));
+    expect(registry.getInstance("i")?.report.born).toBe(NEW_START);
   });
 
-  it("takes the one that looks older without an answer once the other one is silent, and shuts neither out", () => {
+  it("switches to the older incarnation without an answer once the newer one stops reporting, and shuts out neither", () => {
     const registry = new InstanceRegistry();
-    registry.addReport(0, createReport(NEW, 500));
+    registry.addReport(0, createReport(NEW_START, 500));
     for (let sequence = 1; sequence <= 5; sequence++) {
-      registry.addReport(sequence * 1_200, createReport(OLD, sequence));
+      registry.addReport(sequence * 1_200, createReport(OLD_START, sequence));
       registry.removeSilent(sequence * 1_200, PRESENCE_MS);
     }
-    expect(registry.getInstance("i")?.report.born).toBe(OLD);
-    expect(registry.addReport(6_100, createReport(NEW, 501))).toBe("taken");
+    expect(registry.getInstance("i")?.report.born).toBe(OLD_START);
+    expect(registry.addReport(6_100, createReport(NEW_START, 501))).toBe("taken");
   });
 
-  it("does not begin a term with an older life than the one that was agreed on", () => {
-    const registry = new InstanceRegistry({}, (id) => (id === "i" ? NEW : 0));
-    expect(registry.addReport(0, createReport(OLD, 500))).toBe("older");
+  it("does not start a term with an incarnation older than the committed one", () => {
+    const registry = new InstanceRegistry({}, (id) => (id === "i" ? NEW_START : 0));
+    expect(registry.addReport(0, createReport(OLD_START, 500))).toBe("older");
     expect(registry.getInstance("i")).toBeUndefined();
-    expect(registry.addReport(10, createReport(NEW, 1))).toBe("taken");
+    expect(registry.addReport(10, createReport(NEW_START, 1))).toBe("taken");
   });
 
-  it("takes a report without a start as ever, and none after one that told it", () => {
+  it("accepts reports without a start time, but none after a report with one", () => {
     const registry = new InstanceRegistry();
     expect(registry.addReport(0, createReport(0, 5))).toBe("taken");
     expect(registry.addReport(1, createReport(0, 5))).toBe("late");
-    expect(registry.addReport(2, createReport(NEW, 1))).toBe("taken");
+    expect(registry.addReport(2, createReport(NEW_START, 1))).toBe("taken");
     expect(registry.addReport(3, createReport(0, 6))).toBe("older");
-    expect(registry.getInstance("i")?.report.born).toBe(NEW);
+    expect(registry.getInstance("i")?.report.born).toBe(NEW_START);
   });
 
-  it("knows the newest report of the newest life, in whatever order reports arrive", () => {
+  it("stores the newest report of the newest incarnation, in whatever order reports arrive", () => {
     const anyReport = fc.record({
       born: fc.integer({ min: 1, max: 4 }),
       sequence: fc.integer({ min: 1, max: 50 }),
@@ -110,29 +111,29 @@
   });
 });
 
-describe("ReportRelay, with lives under one id", () => {
-  it("tells of a new life at once, and of an older one that goes on", () => {
+describe("ReportRelay, with several incarnations of one id", () => {
+  it("sends a new incarnation's report in full, and heartbeats of an older one that still reports", () => {
     const relay = new ReportRelay();
-    relay.addReport(0, createReport(OLD, 100));
+    relay.addReport(0, createReport(OLD_START, 100));
     relay.takeBatch(0, 10);
-    expect(relay.addReport(10, createReport(NEW, 1))).toBe(true);
-    expect(relay.addReport(20, createReport(OLD, 101))).toBe(false);
+    expect(relay.addReport(10, createReport(NEW_START, 1))).toBe(true);
+    expect(relay.addReport(20, createReport(OLD_START, 101))).toBe(false);
     const { reports, signs } = relay.takeBatch(30, 10);
-    expect(reports.map(({ born, sequence }) => [born, sequence])).toEqual([[NEW, 1]]);
-    expect(signs.map(({ born, sequence }) => [born, sequence])).toEqual([[OLD, 101]]);
-    expect(relay.getNewestStartTime("i")).toBe(NEW);
+    expect(reports.map(({ born, sequence }) => [born, sequence])).toEqual([[NEW_START, 1]]);
+    expect(signs.map(({ born, sequence }) => [born, sequence])).toEqual([[OLD_START, 101]]);
+    expect(relay.getNewestStartTime("i")).toBe(NEW_START);
   });
 
-  it("forgets only the life that leaves", () => {
+  it("removes only the incarnation that departs", () => {
     const relay = new ReportRelay();
-    relay.addReport(0, createReport(OLD, 100));
-    relay.addReport(10, createReport(NEW, 1));
-    relay.removeIncarnation(createLife("i", OLD));
-    expect(relay.takeBatch(20, 10).reports.map(({ born }) => born)).toEqual([NEW]);
+    relay.addReport(0, createReport(OLD_START, 100));
+    relay.addReport(10, createReport(NEW_START, 1));
+    relay.removeIncarnation(createLife("i", OLD_START));
+    expect(relay.takeBatch(20, 10).reports.map(({ born }) => born)).toEqual([NEW_START]);
   });
 });
 
-function createSign(born: number, sequence: number, contentSequence: number) {
+function createHeartbeat(born: number, sequence: number, contentSequence: number) {
   const { instanceId } = createLife("i");
   return {
     $typeName: "ploverstage.v1.InstanceSign" as const,
--- a/test/registration/outdated/SimulatedFleet.ts
+++ b/test/registration/outdated/SimulatedFleet.ts
@@ -1,6 +1,6 @@
 /**
- * Control processes, entries and declarations under simulated time: watchers, relays, hubs and kept views are the
- * real ones; the agreement, the network between them and the disks are modelled.
+ * Control processes, entries and declarations under simulated time. Watchers, relays, hubs and persisted
+ * views are the production classes; consensus, the network between the processes and the disks are models.
  */
 
 import { create } from "@bufbuild/protobuf";
@@ -23,29 +23,29 @@
 /** Clients by address, for the mocked `createClient`. */
 export type SimulatedClients = Map<string, object>;
 
-const CONTROLS = 5;
+const CONTROL_COUNT = 5;
 const MAJORITY = 3;
-const ENTRIES = 6;
-/** From power to a process that runs. */
-const START_MS = 800;
-/** From the start of a majority to a leader that has committed. */
+const ENTRY_COUNT = 6;
+/** Time from the return of power to a running process. */
+const STARTUP_MS = 800;
+/** Shortest and longest time from the start of a majority to a leader that has committed. */
 const ELECTION_MIN_MS = 1_200;
 const ELECTION_MAX_MS = 2_400;
-/** A leader tells the others how far it has committed so often. */
-const APPEND_MS = 100;
-const ACKNOWLEDGE_MS = 50;
+/** Interval at which a leader sends its commit index to the other control processes. */
+const APPEND_INTERVAL_MS = 100;
+const ACKNOWLEDGEMENT_DELAY_MS = 50;
 const FIRST_VERSION = 8;
 
-const SILENT = { info: () => {}, warn: () => {}, error: () => {} } as never;
-const METRICS = { increment: () => {}, timing: () => {}, gauge: () => {} } as never;
+const NO_LOGGER = { info: () => {}, warn: () => {}, error: () => {} } as never;
+const NO_METRICS = { increment: () => {}, timing: () => {}, gauge: () => {} } as never;
 
-/** The agreement of one fleet: a list of committed declarations. */
-class SimulatedAgreement {
+/** The consensus state of one fleet: a list of committed declarations. */
+class SimulatedConsensus {
   readonly committed: Declaration[] = [createDeclaration(FIRST_VERSION)];
   term = 1;
   /** Index of the process that leads and has committed in its term. */
   leader: number | undefined = 0;
-  /** While it has so much else to do, a leader answers no watcher; the agreement goes on. */
+  /** Until this time the leader answers no watcher, as under overload; consensus continues. */
   overloadedUntil = 0;
 }
 
@@ -54,7 +54,7 @@
   private readonly _index: number;
   private readonly _fleet: SimulatedFleet;
   private _relay: FleetRelay | undefined;
-  private _known: KnownView | undefined;
+  private _persistedView: KnownView | undefined;
   private _calls: CallLedger | undefined;
   private _leadership: { term: number; view: FleetView } | undefined;
   private _applied = 0;
@@ -62,7 +62,7 @@
   private _routes:
     | { watch(request: WatchRequest, context: { signal: AbortSignal }): AsyncIterable<unknown> }
     | undefined;
-  private _life = new AbortController();
+  private _stopSignal = new AbortController();
   private _appendedAt = Number.NEGATIVE_INFINITY;
 
   constructor(fleet: SimulatedFleet, index: number) {
@@ -78,34 +78,34 @@
 
   async start(): Promise<void> {
     const { _fleet: fleet, _index: index } = this;
-    const { agreement, clock } = fleet;
-    this._life = new AbortController();
+    const { consensus, clock } = fleet;
+    this._stopSignal = new AbortController();
     this._applied = 0;
     this._listeners = [];
-    const known = await KnownView.open(this.address, SILENT);
-    this._known = known;
+    const persistedView = await KnownView.open(this.address, NO_LOGGER);
+    this._persistedView = persistedView;
     const driver = {
       node: {
         id: this.address,
         get term() {
-          return agreement.term;
+          return consensus.term;
         },
         get leaderId() {
-          return fleet.isHeard(agreement.leader) ? `c${agreement.leader}:1` : "";
+          return fleet.isLeaderUp(consensus.leader) ? `c${consensus.leader}:1` : "";
         },
-        isElecting: () => !fleet.isHeard(agreement.leader) && fleet.upCount >= MAJORITY,
+        isElecting: () => !fleet.isLeaderUp(consensus.leader) && fleet.upCount >= MAJORITY,
         getQuorumContactAt: (now: number) => now,
       },
       machine: {
-        getDeclaration: () => agreement.committed[this._applied - 1],
+        getDeclaration: () => consensus.committed[this._applied - 1],
         getReplica: () => undefined,
         getKnownReplicas: () => [],
         getDepartures: () => [],
         hasDeparted: () => false,
       },
-      getCaughtUpContactAt: () => (fleet.isHeard(agreement.leader) ? this._appendedAt : undefined),
-      isLeader: () => agreement.leader === index,
-      getLeaderAddress: () => (fleet.isHeard(agreement.leader) ? `c${agreement.leader}:1` : ""),
+      getCaughtUpContactAt: () => (fleet.isLeaderUp(consensus.leader) ? this._appendedAt : undefined),
+      isLeader: () => consensus.leader === index,
+      getLeaderAddress: () => (fleet.isLeaderUp(consensus.leader) ? `c${consensus.leader}:1` : ""),
       addStateListener: (listener: () => void) => this._listeners.push(listener),
     } as never;
     const getLeadership = () => this._leadership as never;
@@ -116,14 +116,14 @@
       listen: this.address,
       publicAddress: this.address,
       transports: new TransportPool(undefined),
-      recovered: known.recovered,
+      recovered: persistedView.recovered,
       isFirstStart: false,
       clock,
-      logger: SILENT,
+      logger: NO_LOGGER,
       getReportPatienceMs: () => 300,
     });
     this._relay = relay;
-    this._calls = new CallLedger(SILENT, METRICS);
+    this._calls = new CallLedger(NO_LOGGER, NO_METRICS);
     const router = { service: (_: unknown, routes: never) => (this._routes = routes) };
     addFleetRoutes(router as never, {
       driver,
@@ -138,7 +138,7 @@
       relayEntries: async () => {},
     });
     relay.start();
-    known.start(
+    persistedView.start(
       () => relay.hub.getSource(),
       () => clock.getMonotonicMs(),
       () => relay.agreed,
@@ -146,38 +146,38 @@
   }
 
   stop(): void {
-    this._life.abort();
+    this._stopSignal.abort();
     this._relay?.stop();
-    this._known?.stop();
+    this._persistedView?.stop();
     this._calls?.stop();
     this._relay = undefined;
     this._leadership = undefined;
   }
 
-  lead(): void {
+  becomeLeader(): void {
     const view = new FleetView();
     view.setControlAddresses(this._fleet.addresses.filter((address) => address !== this.address));
     view.setComplete();
-    this._leadership = { term: this._fleet.agreement.term, view };
+    this._leadership = { term: this._fleet.consensus.term, view };
     this.apply();
   }
 
-  /** Applies what is committed, as a leader or as its follower. */
+  /** Applies the committed declarations, as a leader or as a follower. */
   apply(): void {
-    const { agreement, clock } = this._fleet;
+    const { consensus, clock } = this._fleet;
     this._appendedAt = clock.getMonotonicMs();
-    while (this._applied < agreement.committed.length) {
+    while (this._applied < consensus.committed.length) {
       this._applied += 1;
       for (const listener of this._listeners) listener();
     }
     if (this._leadership === undefined) return;
-    this._leadership.view.setDeclaration(agreement.committed[this._applied - 1]);
+    this._leadership.view.setDeclaration(consensus.committed[this._applied - 1]);
     this._relay?.hub.notify();
   }
 
   private _createClient(): object {
     const refuse = () => {
-      throw new ConnectError("not served here", Code.Unavailable);
+      throw new ConnectError("the simulation does not serve this call", Code.Unavailable);
     };
     return {
       watch: (request: WatchRequest, { signal }: { signal: AbortSignal }) => this._watch(request, signal),
@@ -191,26 +191,26 @@
   private async *_watch(request: WatchRequest, signal: AbortSignal): AsyncGenerator<unknown> {
     await delay(1);
     if (!this.isUp) throw new ConnectError("refused", Code.Unavailable);
-    const ended = AbortSignal.any([signal, this._life.signal]);
-    await this._waitForTurn(ended);
+    const ended = AbortSignal.any([signal, this._stopSignal.signal]);
+    await this._waitWhileOverloaded(ended);
     for await (const update of this._routes!.watch(request, { signal: ended })) {
-      await this._waitForTurn(ended);
+      await this._waitWhileOverloaded(ended);
       yield update;
     }
     if (ended.aborted) throw new ConnectError("ended", Code.Unavailable);
   }
 
-  private async _waitForTurn(signal: AbortSignal): Promise<void> {
-    const { agreement, clock } = this._fleet;
-    const isLate = () =>
-      agreement.leader === this._index && clock.getMonotonicMs() < agreement.overloadedUntil;
-    while (isLate() && !signal.aborted) await delay(20);
+  private async _waitWhileOverloaded(signal: AbortSignal): Promise<void> {
+    const { consensus, clock } = this._fleet;
+    const isOverloaded = () =>
+      consensus.leader === this._index && clock.getMonotonicMs() < consensus.overloadedUntil;
+    while (isOverloaded() && !signal.aborted) await delay(20);
     if (signal.aborted) throw new ConnectError("ended", Code.Unavailable);
   }
 }
 
 class SimulatedEntry {
-  /** Version of the declaration that requests are handled by. */
+  /** Version of the declaration by which the entry handles requests. */
   version: number | undefined;
   private readonly _fleet: SimulatedFleet;
   private readonly _id: string;
@@ -234,7 +234,7 @@
       transports: new TransportPool(undefined),
       view,
       clock: this._fleet.clock,
-      logger: SILENT,
+      logger: NO_LOGGER,
       onChange: update,
       onDeclaration: update,
     });
@@ -247,48 +247,48 @@
   }
 }
 
-/** Times of a play, milliseconds. */
-export interface FleetBounds {
-  /** Calm begins so long after the last loss has ended. */
-  readonly contactMs: number;
-  /** An acknowledged declaration is obeyed after so long. */
+/** Limits of a run, in milliseconds. */
+export interface FleetLimits {
+  /** The check starts this long after the last outage has ended. */
+  readonly settlingMs: number;
+  /** After this time every entry must use an acknowledged declaration. */
   readonly applyMs: number;
 }
 
-/** When what fails. Milliseconds of the play. */
-export interface FleetTroubles {
+/** The faults of a run; times in milliseconds from its start. */
+export interface FleetFaults {
   readonly endMs: number;
-  /** All control processes lose power for a second. */
-  readonly coreAt: readonly number[];
-  /** All entries lose power for a second. */
-  readonly entriesAt: readonly number[];
-  /** The new leaders, one after the other, answer no watcher for so long after they began. */
+  /** Times at which all control processes lose power for a second. */
+  readonly controlOutagesAt: readonly number[];
+  /** Times at which all entries lose power for a second. */
+  readonly entryOutagesAt: readonly number[];
+  /** For each new leader in turn, how long after its election it answers no watcher. */
   readonly overloadsMs: readonly number[];
-  readonly declareEveryMs: number;
+  readonly declarationIntervalMs: number;
 }
 
-const POWER_MS = 1_000;
+const OUTAGE_MS = 1_000;
 const STEP_MS = 10;
 
-/** One fleet. */
+/** A simulated fleet of control processes and entries. */
 export class SimulatedFleet {
-  readonly agreement = new SimulatedAgreement();
+  readonly consensus = new SimulatedConsensus();
   readonly clock: Clock = { getMonotonicMs: () => this._now, getWallMs: () => this._now };
-  readonly addresses: readonly string[] = Array.from({ length: CONTROLS }, (_, i) => `c${i}:1`);
+  readonly addresses: readonly string[] = Array.from({ length: CONTROL_COUNT }, (_, i) => `c${i}:1`);
   readonly clients: SimulatedClients;
   private readonly _advance: (ms: number) => Promise<unknown>;
   private readonly _random: SeededRandom;
   private readonly _controls: SimulatedControl[];
-  private readonly _entries = Array.from({ length: ENTRIES }, (_, i) => new SimulatedEntry(this, i));
+  private readonly _entries = Array.from({ length: ENTRY_COUNT }, (_, i) => new SimulatedEntry(this, i));
   private readonly _acknowledged: { version: number; at: number }[] = [];
   private _now = 0;
-  private _changedAt = 0;
+  private _faultAt = 0;
   private _electedAt = Number.POSITIVE_INFINITY;
   private _timeline: { at: number; run: () => void | Promise<void> }[] = [];
 
   /**
-   * @param clients - Filled with a client of each control process.
-   * @param advance - Lets timers run for so many milliseconds.
+   * @param clients - Receives a client for each control process.
+   * @param advance - Runs the timers of the given number of milliseconds.
    */
   constructor(seed: number, clients: SimulatedClients, advance: (ms: number) => Promise<unknown>) {
     this._random = new SeededRandom(seed);
@@ -297,7 +297,7 @@
     this._controls = this.addresses.map((_, i) => new SimulatedControl(this, i));
   }
 
-  /** Gets how many declarations were acknowledged. */
+  /** Gets the number of acknowledged declarations. */
   get acknowledgedCount(): number {
     return this._acknowledged.length;
   }
@@ -306,72 +306,76 @@
     return this._controls.filter((control) => control.isUp).length;
   }
 
-  /** Checks whether a process leads that runs. */
-  isHeard(leader: number | undefined): boolean {
+  /** Checks whether there is a leader and its process runs. */
+  isLeaderUp(leader: number | undefined): boolean {
     return leader !== undefined && this._controls[leader]!.isUp;
   }
 
-  /** Plays troubles; says of each entry and version when it was first gone by although a newer one was in force. */
-  async play(troubles: FleetTroubles, bounds: FleetBounds): Promise<string[]> {
-    const found = new Map<string, string>();
+  /**
+   * Runs the faults; for each entry and outdated version, returns when the entry first used it although a
+   * newer one was in force.
+   */
+  async run(faults: FleetFaults, bounds: FleetLimits): Promise<string[]> {
+    const outdatedUses = new Map<string, string>();
     for (const control of this._controls) await control.start();
-    this._controls[0]!.lead();
+    this._controls[0]!.becomeLeader();
     for (const entry of this._entries) entry.start();
-    this._plan(troubles);
-    while (this._now < troubles.endMs) {
-      await this._step(troubles);
-      for (const [key, outdated] of this._getOutdated(bounds)) if (!found.has(key)) found.set(key, outdated);
+    this._scheduleFaults(faults);
+    while (this._now < faults.endMs) {
+      await this._step(faults);
+      for (const [key, description] of this._findOutdated(bounds))
+        if (!outdatedUses.has(key)) outdatedUses.set(key, description);
     }
     for (const control of this._controls) control.stop();
     for (const entry of this._entries) entry.stop();
     await this._advance(5_000);
-    return [...found.values()];
+    return [...outdatedUses.values()];
   }
 
-  private _plan({ coreAt, entriesAt }: FleetTroubles): void {
-    for (const at of coreAt) {
-      this._timeline.push({ at, run: () => this._stopCore() });
-      this._timeline.push({ at: at + POWER_MS, run: () => this._noteChange() });
-      this._timeline.push({ at: at + POWER_MS + START_MS, run: () => this._startCore() });
+  private _scheduleFaults({ controlOutagesAt, entryOutagesAt }: FleetFaults): void {
+    for (const at of controlOutagesAt) {
+      this._timeline.push({ at, run: () => this._stopControls() });
+      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordFault() });
+      this._timeline.push({ at: at + OUTAGE_MS + STARTUP_MS, run: () => this._startControls() });
     }
-    for (const at of entriesAt) {
+    for (const at of entryOutagesAt) {
       this._timeline.push({ at, run: () => this._stopEntries() });
-      this._timeline.push({ at: at + POWER_MS, run: () => this._noteChange() });
-      this._timeline.push({ at: at + POWER_MS + START_MS / 2, run: () => this._startEntries() });
+      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordFault() });
+      this._timeline.push({ at: at + OUTAGE_MS + STARTUP_MS / 2, run: () => this._startEntries() });
     }
     this._timeline.sort((a, b) => a.at - b.at);
   }
 
-  private async _step({ declareEveryMs, overloadsMs }: FleetTroubles): Promise<void> {
+  private async _step({ declarationIntervalMs, overloadsMs }: FleetFaults): Promise<void> {
     while ((this._timeline[0]?.at ?? Number.POSITIVE_INFINITY) <= this._now)
       await this._timeline.shift()!.run();
     if (this._now >= this._electedAt) this._elect(overloadsMs);
-    if (this._now % declareEveryMs === 0) this._declare();
-    if (this._now % APPEND_MS === 0 && this.isHeard(this.agreement.leader)) {
+    if (this._now % declarationIntervalMs === 0) this._declare();
+    if (this._now % APPEND_INTERVAL_MS === 0 && this.isLeaderUp(this.consensus.leader)) {
       for (const control of this._controls) if (control.isUp) control.apply();
     }
     await this._advance(STEP_MS);
     this._now += STEP_MS;
   }
 
-  private _noteChange(): void {
-    this._changedAt = this._now;
+  private _recordFault(): void {
+    this._faultAt = this._now;
   }
 
-  private _stopCore(): void {
-    this._noteChange();
+  private _stopControls(): void {
+    this._recordFault();
     for (const control of this._controls) control.stop();
-    this.agreement.leader = undefined;
+    this.consensus.leader = undefined;
     this._electedAt = Number.POSITIVE_INFINITY;
   }
 
-  private async _startCore(): Promise<void> {
+  private async _startControls(): Promise<void> {
     for (const control of this._controls) await control.start();
-    this._electedAt = this._now + ELECTION_MIN_MS + this._draw(ELECTION_MAX_MS - ELECTION_MIN_MS);
+    this._electedAt = this._now + ELECTION_MIN_MS + this._drawInteger(ELECTION_MAX_MS - ELECTION_MIN_MS);
   }
 
   private _stopEntries(): void {
-    this._noteChange();
+    this._recordFault();
     for (const entry of this._entries) entry.stop();
   }
 
@@ -381,33 +385,33 @@
 
   private _elect(overloadsMs: readonly number[]): void {
     this._electedAt = Number.POSITIVE_INFINITY;
-    this.agreement.term += 1;
-    this.agreement.leader = this._draw(CONTROLS);
-    // The first term is that of the leader at the start.
-    this.agreement.overloadedUntil = this._now + (overloadsMs[this.agreement.term - 2] ?? 0);
-    this._controls[this.agreement.leader]!.lead();
+    this.consensus.term += 1;
+    this.consensus.leader = this._drawInteger(CONTROL_COUNT);
+    // The initial leader has the first term and no overload.
+    this.consensus.overloadedUntil = this._now + (overloadsMs[this.consensus.term - 2] ?? 0);
+    this._controls[this.consensus.leader]!.becomeLeader();
   }
 
   private _declare(): void {
-    const { committed, leader } = this.agreement;
-    if (!this.isHeard(leader)) return;
+    const { committed, leader } = this.consensus;
+    if (!this.isLeaderUp(leader)) return;
     const version = committed.at(-1)!.version + 1;
     committed.push(createDeclaration(version));
     this._controls[leader!]!.apply();
-    this._acknowledged.push({ version, at: this._now + ACKNOWLEDGE_MS });
+    this._acknowledged.push({ version, at: this._now + ACKNOWLEDGEMENT_DELAY_MS });
   }
 
-  private _draw(below: number): number {
+  private _drawInteger(below: number): number {
     return Math.floor(this._random.next() * below);
   }
 
-  private *_getOutdated({ contactMs, applyMs }: FleetBounds): Generator<[string, string]> {
-    if (this._now - this._changedAt < contactMs) return;
+  private *_findOutdated({ settlingMs, applyMs }: FleetLimits): Generator<[string, string]> {
+    if (this._now - this._faultAt < settlingMs) return;
     const due = this._acknowledged.filter(({ at }) => this._now - at > applyMs);
     const acknowledged = due.at(-1)?.version ?? FIRST_VERSION;
     for (const [entry, { version }] of this._entries.entries()) {
       if (version === undefined || version >= acknowledged) continue;
-      const text = `${this._now} ms: entry ${entry} goes by ${version}, ${acknowledged} was acknowledged`;
+      const text = `${this._now} ms: entry ${entry} uses declaration ${version} although ${acknowledged} was acknowledged`;
       yield [`${entry}/${version}`, text];
     }
   }
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe("InstanceRegistry", () => {
-  it("drops a late report of the same life", () => {
+  it("drops a report of the same incarnation that arrives out of order", () => {
     const registry = new InstanceRegistry();
     registry.addReport(0, createReport("a", 5, { slots: 5 }));
     expect(registry.addReport(10, createReport("a", 4, { slots: 4 }))).toBe("late");
@@ -32,15 +32,15 @@
 
   const address = "10.0.0.1:80";
 
-  function addTwo(): InstanceRegistry {
+  function createRegistryWithConflict(): InstanceRegistry {
     const registry = new InstanceRegistry();
     registry.addReport(0, createReport("a", 1, { address }));
     registry.addReport(1, createReport("b", 1, { address }));
     return registry;
   }
 
-  it("keeps all that claim an address until one of them answered there", () => {
-    const registry = addTwo();
+  it("retains all instances that claim an address until one of them is proved to have ended", () => {
+    const registry = createRegistryWithConflict();
     expect(registry.isInConflict("a") && registry.isInConflict("b")).toBe(true);
     expect(registry.hasEnded(createLife("a")) || registry.hasEnded(createLife("b"))).toBe(false);
     registry.addEnd(createLife("a"));
@@ -52,8 +52,8 @@
     expect(registry.getConflicts()).toEqual([]);
   });
 
-  it("takes an answer for proof against all that were heard of at the address before the question", () => {
-    const registry = addTwo();
+  it("treats an answer as proof against all claimants that were reported before the query", () => {
+    const registry = createRegistryWithConflict();
     registry.addReport(6, createReport("c", 1, { address }));
     registry.confirmInstance(5, "a", address);
     expect(registry.hasEnded(createLife("b"))).toBe(true);
@@ -64,8 +64,8 @@
     expect(registry.isInConflict("c")).toBe(false);
   });
 
-  it("forgets who is silent at a claimed address, and holds it not for ended, where nobody could be asked", () => {
-    const registry = addTwo();
+  it("removes a claimant without heartbeats where no query was answered, without marking it as ended", () => {
+    const registry = createRegistryWithConflict();
     const presenceMs = 3_000;
     registry.removeSilent(1_000, presenceMs);
     for (let sequence = 2; sequence < 5; sequence++) {
@@ -82,28 +82,30 @@
 });
 
 /**
- * Two calls show it without a fleet: a running instance was held for ended because a report of an
- * earlier one at its address came in after its own, 0.1 to 9.2 s old in the logs of a day on which
- * instances were in two replicas (`ownership/ownership.test.ts` has the story).
+ * Guards against a running instance that is treated as ended because a report of an earlier instance at the
+ * same address arrives after its own. In logs of a day on which instances were in two replicas, such reports
+ * were 0.1 to 9.2 s old; `ownership/ownership.test.ts` describes that incident. Two reports reproduce the
+ * fault without a fleet.
  */
-describe("InstanceRegistry, with reports of ended instances that arrive late", () => {
+describe("InstanceRegistry, with delayed reports of ended instances", () => {
   const address = "10.0.0.1:80";
 
-  it("holds no running instance for ended", () => {
+  it("does not treat a running instance as ended", () => {
     const registry = new InstanceRegistry();
     registry.addReport(1_000, createReport("new", 1, { address }));
     registry.addReport(500, createReport("old", 9, { address }));
     expect(registry.getInstance("new")).toBeDefined();
-    const other = new InstanceRegistry();
-    other.addReport(0, createReport("old", 7, { address }));
-    other.addReport(1_000, createReport("new", 1, { address }));
-    for (const sequence of [8, 9, 10]) other.addReport(1_100, createReport("old", sequence, { address }));
-    expect(other.getInstance("new")).toBeDefined();
+    const secondRegistry = new InstanceRegistry();
+    secondRegistry.addReport(0, createReport("old", 7, { address }));
+    secondRegistry.addReport(1_000, createReport("new", 1, { address }));
+    for (const sequence of [8, 9, 10])
+      secondRegistry.addReport(1_100, createReport("old", sequence, { address }));
+    expect(secondRegistry.getInstance("new")).toBeDefined();
   });
 });
 
 describe("LoadLimiter", () => {
-  it("lets no window have more loads than the limit", () => {
+  it("allows no more loads in a window than the limit", () => {
     const limiter = new LoadLimiter();
     const limit = { loads: 3, windowMs: 1_000 };
     const taken = Array.from({ length: 40 }, (_, i) => i * 100).filter((now) => limiter.takeLoad(now, limit));
@@ -114,13 +116,13 @@
   });
 });
 
-describe("PresenceDoubts", () => {
-  it("last until the instance reports again", () => {
-    const doubts = new PresenceDoubts();
-    doubts.addDoubt(100, "a");
-    expect(doubts.isDoubted("a", 90)).toBe(true);
-    expect(doubts.isDoubted("a", 110)).toBe(false);
-    expect(doubts.isDoubted("b", 0)).toBe(false);
+describe("PresenceSuspicions", () => {
+  it("suspects an instance until it reports again", () => {
+    const suspicions = new PresenceDoubts();
+    suspicions.addDoubt(100, "a");
+    expect(suspicions.isDoubted("a", 90)).toBe(true);
+    expect(suspicions.isDoubted("a", 110)).toBe(false);
+    expect(suspicions.isDoubted("b", 0)).toBe(false);
   });
 });
 
@@ -151,17 +153,17 @@
     return { registry, closer, report };
   }
 
-  it("is not over while the head may take requests", () => {
+  it("does not complete while the head may accept requests", () => {
     const { closer } = setUp(false);
     expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
   });
 
-  const isHere = () => false;
+  const isNeverSilent = () => false;
   const isHeadSilent = (id: string) => id === "head";
 
-  it("is over once the head has left, is broken, or is gone", () => {
+  it("completes once the head has left, is broken, or has ended", () => {
     const left = setUp(false);
-    const [due] = left.closer.getDueOrders(0, replica, TIMES, isHere);
+    const [due] = left.closer.getDueOrders(0, replica, TIMES, isNeverSilent);
     expect(due?.order.kind).toBe("leave");
     expect(due?.receiver.instanceId).toBe("head");
     left.closer.addOutcome(10, replica, due!, "done");
@@ -169,12 +171,12 @@
     const broken = setUp(false);
     broken.report("head", 2, PlaceState.BROKEN);
     expect(broken.closer.isOver(10, replica, TIMES)).toBe(true);
-    const gone = setUp(false);
-    gone.registry.addEnd(createLife("head"));
-    expect(gone.closer.isOver(10, replica, TIMES)).toBe(true);
+    const ended = setUp(false);
+    ended.registry.addEnd(createLife("head"));
+    expect(ended.closer.isOver(10, replica, TIMES)).toBe(true);
   });
 
-  it("takes a member out of a silent head's replica at once, and waits until it must be broken", () => {
+  it("orders the members to leave at once when the head sends no heartbeat, and completes only when the head must be broken", () => {
     const { closer } = setUp(false);
     const orders = closer.getDueOrders(0, replica, TIMES, isHeadSilent);
     expect(orders.map((due) => due.receiver.instanceId)).toEqual(["head", "m1", "m2"]);
@@ -187,7 +189,7 @@
     expect(again.map((due) => due.receiver.instanceId)).toEqual(["m2"]);
   });
 
-  it("is over at once when all members that are there have left a head that is lost", () => {
+  it("completes at once when all remaining members have left a lost head", () => {
     const { closer } = setUp(false);
     const isLost = (id: string) => id === "head" || id === "m2";
     const [, toMember] = closer.getDueOrders(0, replica, TIMES, isLost);
@@ -196,16 +198,16 @@
     closer.addOutcome(10, replica, toMember!, "done");
     expect(closer.getDueOrders(20, replica, TIMES, isLost)).toEqual([]);
     expect(closer.getEndGround(20, replica, TIMES)).toBe("membersLeft");
-    // A head that answers is waited for.
-    const here = setUp(false);
-    const [, toM1, toM2] = here.closer.getDueOrders(0, replica, TIMES, isHere);
-    here.closer.addOutcome(10, replica, toM1!, "done");
-    here.closer.addOutcome(10, replica, toM2!, "done");
-    here.closer.getDueOrders(20, replica, TIMES, isHere);
-    expect(here.closer.isOver(20, replica, TIMES)).toBe(false);
+    // While the head still answers, closing waits for it.
+    const answering = setUp(false);
+    const [, toM1, toM2] = answering.closer.getDueOrders(0, replica, TIMES, isNeverSilent);
+    answering.closer.addOutcome(10, replica, toM1!, "done");
+    answering.closer.addOutcome(10, replica, toM2!, "done");
+    answering.closer.getDueOrders(20, replica, TIMES, isNeverSilent);
+    expect(answering.closer.isOver(20, replica, TIMES)).toBe(false);
   });
 
-  it("tells the members that are there to leave together with the head, each once", () => {
+  it("orders the head and the members that report to leave, each once", () => {
     const { closer } = setUp(false);
     const isMemberSilent = (id: string) => id === "m2";
     const orders = closer.getDueOrders(0, replica, TIMES, isMemberSilent);
@@ -215,10 +217,10 @@
     expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
   });
 
-  it("takes a refused connection for no proof that the head is gone: others may still reach it", () => {
+  it("treats a refused connection as no proof that the head has ended, since others may still reach it", () => {
     for (const drains of [false, true]) {
       const { closer } = setUp(drains);
-      const [first] = closer.getDueOrders(0, replica, TIMES, isHere);
+      const [first] = closer.getDueOrders(0, replica, TIMES, isNeverSilent);
       closer.addOutcome(10, replica, first!, "absent");
       expect(closer.isOver(10, replica, TIMES)).toBe(false);
       const orders = closer.getDueOrders(1_000, replica, TIMES, isHeadSilent);
@@ -230,38 +232,45 @@
     }
   });
 
-  it("takes a member out as well once a head that reports has left an order unanswered", () => {
+  it("orders the members to leave once a head that still reports leaves an order unanswered", () => {
     const { closer } = setUp(false);
-    for (const due of closer.getDueOrders(0, replica, TIMES, isHere)) {
+    for (const due of closer.getDueOrders(0, replica, TIMES, isNeverSilent)) {
       closer.addOutcome(1_000, replica, due, "unanswered");
     }
-    const again = closer.getDueOrders(1_000, replica, TIMES, isHere);
+    const again = closer.getDueOrders(1_000, replica, TIMES, isNeverSilent);
     expect(again.map((due) => due.receiver.instanceId)).toEqual(["head", "m1", "m2"]);
   });
 
-  it("does not wait for the work of a head that is silent: its last report says nothing any more", () => {
+  it("does not wait for the requests of a head without heartbeats, whose last report is outdated", () => {
     const { closer } = setUp(true);
     const orders = closer.getDueOrders(0, replica, TIMES, isHeadSilent);
     expect(orders.map((due) => due.order.kind)).toEqual(["leave", "leave", "leave"]);
     closer.addOutcome(100, replica, orders[1]!, "done");
     expect(closer.isOver(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     const closed = setUp(true);
-    const [close] = closed.closer.getDueOrders(0, replica, TIMES, isHere);
+    const [close] = closed.closer.getDueOrders(0, replica, TIMES, isNeverSilent);
     closed.closer.addOutcome(1_000, replica, close!, "unanswered");
-    expect(closed.closer.getDueOrders(1_000, replica, TIMES, isHere)).toEqual([]);
+    expect(closed.closer.getDueOrders(1_000, replica, TIMES, isNeverSilent)).toEqual([]);
     expect(closed.closer.getDueOrders(1_200, replica, TIMES, isHeadSilent)).toHaveLength(3);
   });
 
-  it("lets work end first where it may, for no longer than the time to drain", () => {
+  it("lets running requests finish first, for at most the drain time", () => {
     const { closer, report } = setUp(true);
-    const [close] = closer.getDueOrders(0, replica, TIMES, isHere);
+    const [close] = closer.getDueOrders(0, replica, TIMES, isNeverSilent);
     expect(close?.order.kind).toBe("close");
     closer.addOutcome(10, replica, close!, "begun");
-    expect(closer.getDueOrders(100, replica, TIMES, isHere)).toEqual([]);
+    expect(closer.getDueOrders(100, replica, TIMES, isNeverSilent)).toEqual([]);
     report("head", 2, PlaceState.READY);
-    expect(closer.getDueOrders(200, replica, TIMES, isHere)[0]?.order.kind).toBe("leave");
+    expect(closer.getDueOrders(200, replica, TIMES, isNeverSilent)[0]?.order.kind).toBe("leave");
     const slow = setUp(true);
-    slow.closer.addOutcome(10, replica, slow.closer.getDueOrders(0, replica, TIMES, isHere)[0]!, "begun");
-    expect(slow.closer.getDueOrders(TIMES.drainMs + 1, replica, TIMES, isHere)[0]?.order.kind).toBe("leave");
+    slow.closer.addOutcome(
+      10,
+      replica,
+      slow.closer.getDueOrders(0, replica, TIMES, isNeverSilent)[0]!,
+      "begun",
+    );
+    expect(slow.closer.getDueOrders(TIMES.drainMs + 1, replica, TIMES, isNeverSilent)[0]?.order.kind).toBe(
+      "leave",
+    );
   });
 });
