--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -43,7 +43,7 @@
   /** Called when an instance first reports an address that another instance claims. */
   onConflict?(conflict: AddressConflict): void;
   /** Called when the registry starts to treat an incarnation as ended. */
-  onEnd?(life: Life, ground: LifeEnd): void;
+  onEnd?(incarnation: Life, reason: LifeEnd): void;
 }
 
 /** Result of adding a report; `older` when a newer incarnation of the instance is registered. */
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -121,8 +121,8 @@
   }
 
   private _relayReport(report: InstanceReport): void {
-    const { isInTouch, relay, sender, clock } = this._options;
-    if (!isInTouch()) throw this._createUnreachable("no recent contact with a leader");
+    const { isInTouch: hasLeaderContact, relay, sender, clock } = this._options;
+    if (!hasLeaderContact()) throw this._createUnreachable("no recent contact with a leader");
     if (relay.addReport(clock.getMonotonicMs(), report)) sender.sendSoon();
   }
 
@@ -269,15 +269,15 @@
   private async _sendBatch(): Promise<void> {
     const batch = this._takeEncodableDepartures();
     if (batch.length === 0) return;
-    const reports = batch.map((waiting) => waiting.report);
+    const reports = batch.map((departure) => departure.report);
     try {
       await this._options.client.call(
         (leader, timeoutMs) => leader.report({ reports }, { timeoutMs }),
         REPORT_TIMEOUT_MS,
       );
-      for (const waiting of batch) waiting.resolve();
+      for (const departure of batch) departure.resolve();
     } catch (cause) {
-      for (const waiting of batch) waiting.reject(cause);
+      for (const departure of batch) departure.reject(cause);
     }
   }
 
