--- a/src/registration/AgreedFacts.ts
+++ b/src/registration/AgreedFacts.ts
@@ -19,8 +19,8 @@
 
 /**
  * Maximum number of departures to publish, the newest ones. An entry that still has an older target drops it
- * with the complete view, seconds later. Were there more departures than removals that a view retains, each
- * change would send all of them to all watchers again.
+ * with the complete view, seconds later. With more departures than the number of removals that a view
+ * retains, each change would send all departures to all watchers again.
  */
 const MAX_PUBLISHED_DEPARTURES = 300;
 
--- a/src/registration/CrashReporter.ts
+++ b/src/registration/CrashReporter.ts
@@ -9,7 +9,7 @@
 import type { Logger } from "../metrics";
 import type { ViewWatcher } from "./ViewWatcher";
 
-/** A record that is not committed by then is sent again, in milliseconds; a commit takes some 50. */
+/** Time in milliseconds after which an uncommitted record is sent again; a commit takes some 50. */
 const RETRY_INTERVAL_MS = 250;
 /**
  * Delay before new crashes are sent, in milliseconds. When instances end at the same moment, all their
--- a/src/registration/EntryRoster.ts
+++ b/src/registration/EntryRoster.ts
@@ -6,8 +6,8 @@
 
 /**
  * Time in milliseconds for which an entry stays listed after its call has ended. An entry that switches to
- * another control process calls there within some 50 ms. For the same time callers are still sent to an entry
- * that has ended.
+ * another control process calls there within some 50 ms. Callers may be sent to a dead entry for the same
+ * time.
  */
 const DISCONNECT_GRACE_MS = 300;
 
--- a/src/registration/Hearing.ts
+++ b/src/registration/Hearing.ts
@@ -24,9 +24,9 @@
 /** A process that answered a consensus message within this time is alive; one is sent every 100 ms. */
 const ALIVE_WINDOW_MS = 1_000;
 /**
- * The longest delay of a relay that is excluded, in multiples of the time after which an instance is absent.
- * A process that can't reach the leader refuses reports before its instances count as absent, and they switch
- * to another process. Beyond this limit the delay of the relay says nothing about its former instances.
+ * The longest relay delay that is excluded, in multiples of the time after which an instance is absent. A
+ * process that can't reach the leader refuses reports before its instances count as absent, and they switch
+ * to another process. After a longer delay the relay has no instances left whose heartbeats could be held up.
  */
 const MAX_GAP_WINDOWS = 2;
 
@@ -75,14 +75,14 @@
    */
   update(now: number, relays: readonly RelayContact[], presenceMs: number): void {
     const maxGapMs = presenceMs * MAX_GAP_WINDOWS;
-    const reportedAts = relays.map(({ reportedAt }) => reportedAt ?? this.startedAt);
+    const lastReportTimes = relays.map(({ reportedAt }) => reportedAt ?? this.startedAt);
     const isDelayed = (at: number) => now - at > DELAYED_MS && now - at <= maxGapMs;
-    const delayedSince = reportedAts.filter(
+    const delayedSince = lastReportTimes.filter(
       (at, i) => isDelayed(at) && now - relays[i]!.answeredAt <= ALIVE_WINDOW_MS,
     );
     // A leader that was paused has not received consensus answers either.
-    const areAllDelayed = relays.length > 0 && reportedAts.every(isDelayed);
-    if (areAllDelayed) this._addGap(now, Math.max(...reportedAts));
+    const areAllDelayed = relays.length > 0 && lastReportTimes.every(isDelayed);
+    if (areAllDelayed) this._addGap(now, Math.max(...lastReportTimes));
     if (delayedSince.length > 0) this._addGap(now, Math.min(...delayedSince));
   }
 
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -41,8 +41,8 @@
    * Queries each address that several instances claim, unless the last query there ended less than
    * RETRY_INTERVAL_MS ago.
    * @param members - Members of replicas in the committed state. A member that has not reported in this term
-   * also claims its address. Otherwise the replica of an ended member would stay until the usual heartbeat
-   * timeout, although another instance reports the member's address.
+   * also claims its address. Without this rule the replica of an ended member would stay until the usual
+   * heartbeat timeout, although another instance reports the member's address.
    * @param engineServices - Services whose instances accept orders; instances of other services are not
    * queried.
    */
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -46,9 +46,12 @@
   onEnd?(incarnation: Life, reason: LifeEnd): void;
 }
 
-/** Result of adding a report; `older` when a newer incarnation of the instance is registered. */
+/**
+ * Result of adding a report: `late` when it arrived out of order, `older` when a newer incarnation is
+ * registered, `ended` when its incarnation has ended.
+ */
 export type ReportOutcome = "taken" | "late" | "older" | "ended";
-/** Result of adding a heartbeat; `unknown` when the registry needs the instance's full report. */
+/** Result of adding a heartbeat; `unknown` when the registry needs the full report of the instance. */
 export type HeartbeatOutcome = ReportOutcome | "unknown";
 
 /** An instance without a heartbeat for this time is removed. */
@@ -64,7 +67,10 @@
   private readonly _olderIncarnations = new Map<string, RegisteredInstance>();
   /** Ids of the instances by reported address, in the order of their first reports. */
   private readonly _claims = new Map<string, Set<string>>();
-  /** Addresses that several instances claim, and when `removeExpired` first found the conflict. */
+  /**
+   * Addresses that several instances claim, and when `removeExpired` first found the conflict; `undefined`
+   * until then.
+   */
   private readonly _conflicts = new Map<string, number | undefined>();
   private readonly _ended = new Set<LifeKey>();
   private readonly _listener: RegistryListener;
@@ -212,7 +218,7 @@
    * Removes instances without a heartbeat for EXPIRY_MS. Where a query at a claimed address is not possible,
    * also removes the claimants without a heartbeat while another claimant still reports. A removed instance
    * does not count as ended. Where a query between two incarnations of one id is not possible, the older one
-   * replaces the newer one once it alone reports.
+   * replaces the newer one once only the older one reports.
    * @param presenceMs - An instance without a heartbeat for this time is absent.
    */
   removeSilent(now: number, presenceMs: number): void {
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -30,13 +30,13 @@
 
 /** Dependencies of a registrar. */
 export interface RegistrarOptions {
-  /** Gives the leadership if this process leads. */
+  /** Gets the leadership if this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
   /**
    * Checks whether an incarnation has departed, according to the committed state that this process has
    * applied.
    */
-  readonly hasDeparted: (life: Life) => boolean;
+  readonly hasDeparted: (incarnation: Life) => boolean;
   /** Checks whether this process had contact with a leader recently enough to accept reports for it. */
   readonly isInTouch: () => boolean;
   /** Gets the entries that callers may use; without a current list, the last known entries. */
--- a/src/registration/ReportRelay.ts
+++ b/src/registration/ReportRelay.ts
@@ -35,7 +35,7 @@
   readonly sent: SentSequences | undefined;
 }
 
-/** Stands for a sequence number where no heartbeat was sent. */
+/** Sequence number of no report; marks that the newest heartbeat was not sent. */
 const NO_SEQUENCE = -1;
 /** An instance without a report for this time reports to another process, or has ended. */
 const EXPIRY_MS = 10_000;
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -53,9 +53,9 @@
 /** If the leader takes longer than this to answer, it counts as unreachable. */
 const LATE_ANSWER_MS = 600;
 /**
- * Full reports in one request. The limit lets each call make progress at a leader that has just started: a
- * single call with all reports timed out, was repeated with all of them, and delayed the leader's next
- * answers.
+ * Full reports in one request. The limit lets each call make progress at a leader that has just started. A
+ * call with all reports can time out there; its repetition contains all reports again and delays the leader's
+ * next answers.
  */
 const MAX_REPORTS = 40;
 /** Suspicions in one request. */
--- a/src/registration/SuspicionQueue.ts
+++ b/src/registration/SuspicionQueue.ts
@@ -7,8 +7,8 @@
 import type { Suspicion } from "../gen/ploverstage/v1/fleet_pb";
 
 /**
- * Result of adding a suspicion: its target is new, its target is due to be reported again, or nothing has to
- * be sent for it now.
+ * Result of adding a suspicion: `first` when its target is new, `again` when the target is due to be reported
+ * again, `none` when nothing has to be sent for it now.
  */
 export type SuspicionOutcome = "first" | "again" | "none";
 
--- a/src/registration/checkReport.ts
+++ b/src/registration/checkReport.ts
@@ -1,9 +1,9 @@
 /**
  * Validates a whole instance report before any part of it is used or forwarded.
  *
- * A report can come from a writer other than an instance. A count, a rank or a number of slots that does not
- * fit the protobuf message kept a control process from sending the leader any report for as long as that
- * writer continued. A sequence number above all others made every later report of the instance itself arrive
+ * A report can come from a writer other than an instance. If its count, rank or slots did not fit the
+ * protobuf message, the control process could not send the leader any report for as long as that writer
+ * continued. A sequence number above all others would make every later report of the instance itself arrive
  * out of order. Performs no I/O.
  */
 import { isIPv4 } from "node:net";
@@ -19,10 +19,7 @@
 const MAX_NAME_LENGTH = 512;
 const MAX_LIST_LENGTH = 1_000;
 
-/**
- * Checks a report.
- * @throws InvalidReport - For the first field with a value that no instance would send.
- */
+/** @throws InvalidReport - For the first field with a value that no instance would send. */
 export function checkReport(report: InstanceReport): void {
   checkName("id", report.instanceId);
   checkWhole("born", report.born, 0, Number.MAX_SAFE_INTEGER);
--- a/test/registration/AgreedFacts.test.ts
+++ b/test/registration/AgreedFacts.test.ts
@@ -10,7 +10,7 @@
 import { getLifeKey, type Life, parseLifeKey } from "../../src/ids";
 import { AgreedFacts, type CommittedState } from "../../src/registration/AgreedFacts";
 
-const BORN = 1_700_000_000_000;
+const START_TIME = 1_700_000_000_000;
 
 /** Creates a committed state with one replica in each phase and the given departed incarnations. */
 function createFacts(departed: readonly Life[]): AgreedFacts {
@@ -20,12 +20,12 @@
     getReplica: (id) => {
       const phase = ReplicaPhase[id as keyof typeof ReplicaPhase];
       if (phase === undefined) return undefined;
-      const member = create(ReplicaMemberSchema, { instanceId: `${id}-head`, born: BORN });
+      const member = create(ReplicaMemberSchema, { instanceId: `${id}-head`, born: START_TIME });
       return create(ReplicaSchema, { id, phase, members: [member] });
     },
     getKnownReplicas: () => [],
     getDepartures: () => [...departed],
-    hasDeparted: (life) => departedKeys.has(getLifeKey(life)),
+    hasDeparted: (incarnation) => departedKeys.has(getLifeKey(incarnation)),
   };
   return new AgreedFacts(() => state);
 }
@@ -37,25 +37,25 @@
     expect(facts.declaration?.version).toBe(7);
     for (const id of ["RETIRING", "RELEASED"]) expect(facts.hasEnded(createTarget(id))).toBe(true);
     for (const id of ["SERVING", "not-applied-yet"]) expect(facts.hasEnded(createTarget(id))).toBe(false);
-    const factsAfterDeparture = createFacts([{ instanceId: "SERVING-head", born: BORN }]);
+    const factsAfterDeparture = createFacts([{ instanceId: "SERVING-head", born: START_TIME }]);
     expect(factsAfterDeparture.hasEnded(createTarget("SERVING"))).toBe(true);
   });
 
   it("ends the departed incarnation of a plain service's instance, but not its successor under the same id", () => {
-    const facts = createFacts([{ instanceId: "app@1", born: BORN }]);
+    const facts = createFacts([{ instanceId: "app@1", born: START_TIME }]);
     const hasEnded = (born: number) => {
       const id = getLifeKey({ instanceId: "app@1", born });
       return facts.hasEnded(create(TargetSchema, { id, instanceId: "app@1" }));
     };
-    expect(hasEnded(BORN)).toBe(true);
-    expect(hasEnded(BORN + 1)).toBe(false);
+    expect(hasEnded(START_TIME)).toBe(true);
+    expect(hasEnded(START_TIME + 1)).toBe(false);
     expect(hasEnded(0)).toBe(false);
   });
 
   it("parses the incarnation from a target's id", () => {
-    for (const born of [0, 1, BORN]) {
-      const life = { instanceId: "a@b", born };
-      expect(parseLifeKey("a@b", getLifeKey(life))).toEqual(life);
+    for (const born of [0, 1, START_TIME]) {
+      const incarnation = { instanceId: "a@b", born };
+      expect(parseLifeKey("a@b", getLifeKey(incarnation))).toEqual(incarnation);
     }
   });
 });
--- a/test/registration/CallLedger.test.ts
+++ b/test/registration/CallLedger.test.ts
@@ -5,27 +5,27 @@
 describe("ControlCallCounter", () => {
   let lines: object[];
   let metrics: TextMetrics;
-  let ledger: CallLedger;
+  let counter: CallLedger;
 
   beforeEach(() => {
     vi.useFakeTimers();
     lines = [];
     metrics = new TextMetrics({ role: "control", name: "c" });
-    ledger = new CallLedger({ info: (line: object) => lines.push(line) } as never, metrics);
+    counter = new CallLedger({ info: (line: object) => lines.push(line) } as never, metrics);
   });
 
   afterEach(() => {
-    ledger.stop();
+    counter.stop();
     vi.useRealTimers();
   });
 
   it("logs the refused calls once a second, and nothing when all calls were served", async () => {
-    ledger.addServed("watch");
+    counter.addServed("watch");
     vi.advanceTimersByTime(1_000);
     expect(lines).toEqual([]);
-    for (let i = 0; i < 3; i++) ledger.addRefused("watch");
-    await expect(ledger.follow("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
-    expect(await ledger.follow("relay", Promise.resolve("told"))).toBe("told");
+    for (let i = 0; i < 3; i++) counter.addRefused("watch");
+    await expect(counter.follow("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
+    expect(await counter.follow("relay", Promise.resolve("told"))).toBe("told");
     vi.advanceTimersByTime(2_000);
     expect(lines).toEqual([{ event: "calls_refused", served: 1, watch: 3, instance: 1 }]);
     const text = await metrics.getText();
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -106,7 +106,7 @@
     expect(machine.getCrashRecords().map(({ digest }) => digest)).toEqual([OTHER_DIGEST]);
   });
 
-  it("releases a request after a time that grows with each release, and confirms it again after a single crash", async () => {
+  it("releases a request after a time that grows with each release, and then needs only one crash to confirm the cause again", async () => {
     await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER_DIGEST, 1)]);
     const heldBackMs: number[] = [];
     for (let i = 0; i < 3; i++) {
--- a/test/registration/Hearing.test.ts
+++ b/test/registration/Hearing.test.ts
@@ -47,7 +47,7 @@
     expect(update(20_000, [19_900, 19_900], [19_900, 10_000])).toBe(4_100);
   });
 
-  it("counts the time without a heartbeat that preceded the relay's delay", () => {
+  it("counts the time without a heartbeat before the relay's delay began", () => {
     update(22_000, [21_900, 21_900], [21_900, 18_000]);
     expect(monitor.getSilentMs(22_000, 11_000)).toBe(7_000);
   });
--- a/test/registration/IdentityChecks.test.ts
+++ b/test/registration/IdentityChecks.test.ts
@@ -56,7 +56,7 @@
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  it("marks the instance that does not run at the address as ended after one query, whichever claimant was asked", async () => {
+  it("marks the claimant that does not run at the address as ended after one query, whichever claimant is queried", async () => {
     running = "second";
     await check();
     expect(queried).toEqual([{ ...createLife("first"), address: ADDRESS }]);
--- a/test/registration/ReportRelay.test.ts
+++ b/test/registration/ReportRelay.test.ts
@@ -18,7 +18,7 @@
   return create(InstanceReportSchema, { instanceId, sequence, address: `${instanceId}:1`, place });
 }
 
-/** Adds batches to a registry as the leadership does. */
+/** A leader that stores batches in a registry, as the leadership does. */
 class RegistryLeader {
   readonly registry = new InstanceRegistry();
   readonly term: number;
@@ -119,9 +119,9 @@
         else leader = new RegistryLeader(leader.term + 1);
       }
       for (let round = 0; round < 3; round++) for (const relay of relays) sendBatch(relay, leader);
-      const known = leader.registry.getInstance("i");
-      expect(known?.sequence).toBe(newest?.sequence);
-      expect(known?.report.place?.state).toBe(newest?.place?.state);
+      const registered = leader.registry.getInstance("i");
+      expect(registered?.sequence).toBe(newest?.sequence);
+      expect(registered?.report.place?.state).toBe(newest?.place?.state);
     });
     fc.assert(property, { numRuns: 500 });
   });
--- a/test/registration/checkReport.test.ts
+++ b/test/registration/checkReport.test.ts
@@ -1,8 +1,8 @@
 /**
- * Guards against invalid reports that block all others. A report with `slots` of -1, 1.5 or 1e12, or with a
- * rank of -1, used to pass. The batch that contained it could not be encoded, was put back whole and sent
- * again, so the leader received no report through that process for as long as the report's writer continued.
- * A sequence number of 1e300 made each later report of the same id arrive out of order.
+ * Guards against an invalid report that blocks all others. A batch that contains a report with `slots` of -1,
+ * 1.5 or 1e12, or with a rank of -1, can't be encoded. If the batch is put back whole and sent again, the
+ * leader receives no report through that process for as long as the writer of the invalid report continues. A
+ * sequence number of 1e300 makes each later report of the same id arrive out of order.
  */
 import { create, type MessageInitShape, toBinary } from "@bufbuild/protobuf";
 import { describe, expect, it } from "vitest";
--- a/test/registration/lives.test.ts
+++ b/test/registration/lives.test.ts
@@ -1,9 +1,9 @@
 /**
- * Guards against sequence numbers that outlive a restart. An instance that restarted under its id was ignored
- * until its sequence number had passed that of its earlier incarnation: the registry and each relay dropped
- * reports 1 and 20 of the new incarnation as late after report 100 of the old one. With real processes no
- * request reached the instance in 20 s; under a new id the first one arrived after 0.27 s. The cause was that
- * an id alone identified an incarnation; now an id and a start time do.
+ * Guards against sequence numbers that outlive a restart. If an id alone identifies an incarnation, the
+ * registry and each relay drop reports 1 and 20 of a restarted instance as late after report 100 of its
+ * earlier incarnation, and ignore the instance until its sequence number exceeds 100. With real processes no
+ * request reached such an instance in 20 s; under a new id the first one arrived after 0.27 s. An id and a
+ * start time therefore identify an incarnation.
  */
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import fc from "fast-check";
@@ -27,7 +27,7 @@
 }
 
 describe("InstanceRegistry, with several incarnations of one id", () => {
-  it("accepts a newer incarnation at once, whatever its sequence number, and drops the older one's replica", () => {
+  it("accepts a newer incarnation at once, whatever its sequence number, and drops the older one's place in a replica", () => {
     const ends: [number, LifeEnd][] = [];
     const registry = new InstanceRegistry({ onEnd: ({ born }, reason) => ends.push([born, reason]) });
     registry.addReport(0, createReport(OLD_START, 100, { place: PLACE }));
--- a/test/registration/outdated/SimulatedFleet.ts
+++ b/test/registration/outdated/SimulatedFleet.ts
@@ -282,13 +282,13 @@
   private readonly _entries = Array.from({ length: ENTRY_COUNT }, (_, i) => new SimulatedEntry(this, i));
   private readonly _acknowledged: { version: number; at: number }[] = [];
   private _now = 0;
-  private _faultAt = 0;
+  private _outageChangedAt = 0;
   private _electedAt = Number.POSITIVE_INFINITY;
   private _timeline: { at: number; run: () => void | Promise<void> }[] = [];
 
   /**
    * @param clients - Receives a client for each control process.
-   * @param advance - Runs the timers of the given number of milliseconds.
+   * @param advance - Advances the timers by the given number of milliseconds.
    */
   constructor(seed: number, clients: SimulatedClients, advance: (ms: number) => Promise<unknown>) {
     this._random = new SeededRandom(seed);
@@ -315,7 +315,7 @@
    * Runs the faults; for each entry and outdated version, returns when the entry first used it although a
    * newer one was in force.
    */
-  async run(faults: FleetFaults, bounds: FleetLimits): Promise<string[]> {
+  async run(faults: FleetFaults, limits: FleetLimits): Promise<string[]> {
     const outdatedUses = new Map<string, string>();
     for (const control of this._controls) await control.start();
     this._controls[0]!.becomeLeader();
@@ -323,7 +323,7 @@
     this._scheduleFaults(faults);
     while (this._now < faults.endMs) {
       await this._step(faults);
-      for (const [key, description] of this._findOutdated(bounds))
+      for (const [key, description] of this._findOutdated(limits))
         if (!outdatedUses.has(key)) outdatedUses.set(key, description);
     }
     for (const control of this._controls) control.stop();
@@ -335,12 +335,12 @@
   private _scheduleFaults({ controlOutagesAt, entryOutagesAt }: FleetFaults): void {
     for (const at of controlOutagesAt) {
       this._timeline.push({ at, run: () => this._stopControls() });
-      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordFault() });
+      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordOutageChange() });
       this._timeline.push({ at: at + OUTAGE_MS + STARTUP_MS, run: () => this._startControls() });
     }
     for (const at of entryOutagesAt) {
       this._timeline.push({ at, run: () => this._stopEntries() });
-      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordFault() });
+      this._timeline.push({ at: at + OUTAGE_MS, run: () => this._recordOutageChange() });
       this._timeline.push({ at: at + OUTAGE_MS + STARTUP_MS / 2, run: () => this._startEntries() });
     }
     this._timeline.sort((a, b) => a.at - b.at);
@@ -358,12 +358,12 @@
     this._now += STEP_MS;
   }
 
-  private _recordFault(): void {
-    this._faultAt = this._now;
+  private _recordOutageChange(): void {
+    this._outageChangedAt = this._now;
   }
 
   private _stopControls(): void {
-    this._recordFault();
+    this._recordOutageChange();
     for (const control of this._controls) control.stop();
     this.consensus.leader = undefined;
     this._electedAt = Number.POSITIVE_INFINITY;
@@ -375,7 +375,7 @@
   }
 
   private _stopEntries(): void {
-    this._recordFault();
+    this._recordOutageChange();
     for (const entry of this._entries) entry.stop();
   }
 
@@ -406,7 +406,7 @@
   }
 
   private *_findOutdated({ settlingMs, applyMs }: FleetLimits): Generator<[string, string]> {
-    if (this._now - this._faultAt < settlingMs) return;
+    if (this._now - this._outageChangedAt < settlingMs) return;
     const due = this._acknowledged.filter(({ at }) => this._now - at > applyMs);
     const acknowledged = due.at(-1)?.version ?? FIRST_VERSION;
     for (const [entry, { version }] of this._entries.entries()) {
--- a/test/registration/outdated/outdated.test.ts
+++ b/test/registration/outdated/outdated.test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against an entry that, more than four seconds after the last fault, still handles requests by a
- * declaration older than one that was acknowledged 2.5 s before.
+ * Checks that entries use no outdated declaration: from four seconds after the last power loss on, no entry
+ * may handle requests by a declaration older than one that was acknowledged 2.5 s before.
  */
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { SeededRandom } from "../../../src/consensus";
