--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -121,8 +121,8 @@
   }
 
   private _relayReport(report: InstanceReport): void {
-    const { isInTouch: hasLeaderContact, relay, sender, clock } = this._options;
-    if (!hasLeaderContact()) throw this._createUnreachable("no recent contact with a leader");
+    const { isInTouch, relay, sender, clock } = this._options;
+    if (!isInTouch()) throw this._createUnreachable("no recent contact with a leader");
     if (relay.addReport(clock.getMonotonicMs(), report)) sender.sendSoon();
   }
 
--- a/src/registration/SuspicionReporter.ts
+++ b/src/registration/SuspicionReporter.ts
@@ -71,14 +71,14 @@
   }
 
   private async _send(): Promise<void> {
-    const { tell: send, clock } = this._options;
+    const { tell, clock } = this._options;
     this._dueAt = Number.POSITIVE_INFINITY;
     this._calledAt = clock.getMonotonicMs();
     const suspicions = this._queue.take(this._calledAt, MAX_SUSPICIONS);
     if (suspicions.length === 0) return;
     this._isCalling = true;
     try {
-      await send(suspicions);
+      await tell(suspicions);
       this._failures = 0;
     } catch (cause) {
       this._addFailure(cause, suspicions);
