--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -169,7 +169,13 @@
    * Takes over what another control process heard; resolves once departures in it are agreed.
    * @returns Instances that this leader has to be told of in full.
    */
-  async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
+  async addRelayedReports({
+    relayAddress,
+    reports,
+    signs,
+    entries,
+    suspicions,
+  }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
     const unknown = signs
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -47,7 +47,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** How long the leader may be silent while reports are still taken for it, milliseconds. */
-  readonly getReportPatienceMs: () => number;
+  readonly getReportTimeoutMs: () => number;
 }
 
 /**
@@ -163,7 +163,7 @@
   }
 
   /** Gets the newest declaration that this process knows as agreed. */
-  get agreed(): Declaration | undefined {
+  get committedDeclaration(): Declaration | undefined {
     return this._agreed.declaration;
   }
 
@@ -180,7 +180,7 @@
 
   /** Checks whether reports may be taken here: the leader is told of them in time, or there is none. */
   takesReports(): boolean {
-    const patienceMs = this._options.getReportPatienceMs();
+    const patienceMs = this._options.getReportTimeoutMs();
     const failingMs = this.sender.getFailingMs(this._options.clock.getMonotonicMs());
     return this._isShown(patienceMs) || (this._isInTouch(patienceMs) && failingMs <= MAX_UNTOLD_MS);
   }
@@ -244,7 +244,7 @@
     const now = this._options.clock.getMonotonicMs();
     if (this._noteLeadership()) return true;
     // While a majority elects a leader refusing would only have everyone ask on.
-    return this._shown.isInTouch(now, patienceMs) || this._options.driver.node.isElecting(now);
+    return this._shown.isRecent(now, patienceMs) || this._options.driver.node.isElecting(now);
   }
 
   /**
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -186,7 +186,7 @@
         signs: [...batch.signs],
         suspicions,
       });
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     const { revision } = entries;
@@ -218,7 +218,7 @@
     const call = this._call ?? new RelayCall(leader);
     this._call = call;
     try {
-      return await call.tell(request, this._timeoutMs);
+      return await call.send(request, this._timeoutMs);
     } catch (cause) {
       // The sender may already have switched to another leader.
       if (this._call === call) this._endCall("a request over the call failed");
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -15,7 +15,7 @@
 import type { CallLedger } from "./CallLedger";
 import type { FleetLeadership } from "./FleetLeadership";
 import type { ViewHub } from "./ViewHub";
-import { watchView } from "./watchers";
+import { watchView } from "./watchView";
 
 /** What the routes work with. */
 export interface FleetRouteOptions {
@@ -45,7 +45,7 @@
   const takeReport = (request: ReportRequest) => {
     const answer = guard.propose(async (leadership) => {
       await relayTurns.enter();
-      const unknownInstanceIds = await leadership.addRelayed(request);
+      const unknownInstanceIds = await leadership.addRelayedReports(request);
       return { term: leadership.term, unknownInstanceIds };
     });
     return calls.follow("relay", answer);
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -375,7 +375,7 @@
   private _isInTouch(patienceMs: number): boolean {
     const { now } = this._world.simulation;
     this._noteLeadership();
-    return this._contact.isInTouch(now, patienceMs) || this._isElecting(now);
+    return this._contact.isRecent(now, patienceMs) || this._isElecting(now);
   }
 
   /** Asked for each call: within a moment the answer stays. */
--- a/test/registration/outdated/SimulatedFleet.ts
+++ b/test/registration/outdated/SimulatedFleet.ts
@@ -15,7 +15,7 @@
 import { FleetView } from "../../../src/registration/FleetView";
 import { FollowedView } from "../../../src/registration/FollowedView";
 import { addFleetRoutes } from "../../../src/registration/fleetRoutes";
-import { KnownView } from "../../../src/registration/KnownView";
+import { PersistedView } from "../../../src/registration/PersistedView";
 import { ViewWatcher } from "../../../src/registration/ViewWatcher";
 import { TransportPool } from "../../../src/rpc";
 import { createMeter } from "../../support/createMeter";
@@ -54,7 +54,7 @@
   private readonly _index: number;
   private readonly _fleet: SimulatedFleet;
   private _relay: FleetRelay | undefined;
-  private _persistedView: KnownView | undefined;
+  private _persistedView: PersistedView | undefined;
   private _calls: CallLedger | undefined;
   private _leadership: { term: number; view: FleetView } | undefined;
   private _applied = 0;
@@ -82,7 +82,7 @@
     this._stopSignal = new AbortController();
     this._applied = 0;
     this._listeners = [];
-    const persistedView = await KnownView.open(this.address, NO_LOGGER);
+    const persistedView = await PersistedView.open(this.address, NO_LOGGER);
     this._persistedView = persistedView;
     const driver = {
       node: {
@@ -120,7 +120,7 @@
       isFirstStart: false,
       clock,
       logger: NO_LOGGER,
-      getReportPatienceMs: () => 300,
+      getReportTimeoutMs: () => 300,
     });
     this._relay = relay;
     this._calls = new CallLedger(NO_LOGGER, NO_METRICS);
@@ -141,7 +141,7 @@
     persistedView.start(
       () => relay.hub.getSource(),
       () => clock.getMonotonicMs(),
-      () => relay.agreed,
+      () => relay.committedDeclaration,
     );
   }
 
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -365,11 +365,13 @@
     const waitMs = name === leader.name ? 0 : this.overload.getWaitMs(this._now);
     const { patienceMs } = this.overload.times;
     if (waitMs === 0) {
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     if (waitMs <= patienceMs || this.overload.isTakenAnyway()) {
-      this._after(waitMs, () => (leadership.isEnded ? undefined : void leadership.addRelayed(request)));
+      this._after(waitMs, () =>
+        leadership.isEnded ? undefined : void leadership.addRelayedReports(request),
+      );
     }
     controller.tellsUntil = this._now + Math.min(waitMs, patienceMs);
     this._after(Math.min(waitMs, patienceMs), () => relay.restoreBatch(batch));
