--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -179,7 +179,7 @@
     onDeclaration: updateRoutes,
   });
   const suspicions = new SuspicionReporter({
-    tell: (told) => watcher.reportSuspicions(told),
+    send: (told) => watcher.reportSuspicions(told),
     clock,
     logger,
   });
--- a/src/registration/AgreedFacts.ts
+++ b/src/registration/CommittedFacts.ts
@@ -25,7 +25,7 @@
 const MAX_PUBLISHED_DEPARTURES = 300;
 
 /** The committed state as applied by this process. */
-export class AgreedFacts {
+export class CommittedFacts {
   private readonly _getState: () => CommittedState;
 
   /** @param getState - Gets the currently applied state; a snapshot replaces the object. */
--- a/src/registration/CallLedger.ts
+++ b/src/registration/ControlCallCounter.ts
@@ -8,18 +8,18 @@
 import type { Logger, Metrics } from "../metrics";
 
 /** The kinds of calls: entries and followers watch, relays and instances report, operators declare. */
-export type Call = "watch" | "relay" | "instance" | "declaration";
+export type CallKind = "watch" | "relay" | "instance" | "declaration";
 
 /** Minimum time between two log lines about refused calls. */
 const LOG_INTERVAL_MS = 1_000;
 
 /** The calls of one process. */
-export class CallLedger {
+export class ControlCallCounter {
   private readonly _logger: Logger;
   private readonly _metrics: Metrics;
   private readonly _timer: NodeJS.Timeout;
   private _served = 0;
-  private _refused = new Map<Call, number>();
+  private _refused = new Map<CallKind, number>();
   private _invalid = new Map<string, number>();
   private _invalidExample = "";
 
@@ -30,13 +30,13 @@
   }
 
   /** Counts a served call. */
-  addServed(call: Call): void {
+  addServed(call: CallKind): void {
     this._served += 1;
     this._metrics.increment("control_calls", 1, { call, outcome: "served" });
   }
 
   /** Counts a refused call. */
-  addRefused(call: Call): void {
+  addRefused(call: CallKind): void {
     this._refused.set(call, (this._refused.get(call) ?? 0) + 1);
     this._metrics.increment("control_calls", 1, { call, outcome: "refused" });
   }
@@ -49,7 +49,7 @@
   }
 
   /** Counts a call by its outcome: served when the promise resolves, refused when it rejects. */
-  async follow<R>(call: Call, outcome: Promise<R>): Promise<R> {
+  async track<R>(call: CallKind, outcome: Promise<R>): Promise<R> {
     try {
       const result = await outcome;
       this.addServed(call);
--- a/src/registration/CrashRegistry.ts
+++ b/src/registration/CrashRegistry.ts
@@ -47,7 +47,7 @@
   }
 
   /** Releases requests that were held back for long enough. */
-  async releaseDue(now: number): Promise<void> {
+  async releaseDueRequests(now: number): Promise<void> {
     if (now - this._checkedAt < RELEASE_CHECK_INTERVAL_MS) return;
     this._checkedAt = now;
     const { driver, clock, logger } = this._options;
--- a/src/registration/EntryRoster.ts
+++ b/src/registration/EntryRoster.ts
@@ -34,7 +34,7 @@
   }
 
   /** Records that an entry's call has ended, unless the entry has begun another one since. */
-  loseEntry(now: number, id: string, endpoint: EntryEndpoint): void {
+  disconnectEntry(now: number, id: string, endpoint: EntryEndpoint): void {
     if (this._entries.get(id)?.endpoint !== endpoint) return;
     this._entries.set(id, { endpoint, disconnectedAt: now });
   }
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -31,7 +31,7 @@
 import { LoadWatch, SuspensionWatch } from "../process";
 import { createCallCounter, TransportPool } from "../rpc";
 import type { FleetControlSettings, LiveSettings } from "../settings";
-import { CallLedger } from "./CallLedger";
+import { ControlCallCounter } from "./ControlCallCounter";
 import { FleetLeadership } from "./FleetLeadership";
 import { FleetRelay } from "./FleetRelay";
 import { addFleetRoutes } from "./fleetRoutes";
@@ -71,7 +71,7 @@
     const transports = new TransportPool(secret);
     const meter = new WorkMeter({ clock, logger, metrics: options.metrics });
     const callLedger = yield* Effect.acquireRelease(
-      Effect.sync(() => new CallLedger(logger, options.metrics)),
+      Effect.sync(() => new ControlCallCounter(logger, options.metrics)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const getSeeds = () => getRpcAddresses(options.settings.current);
@@ -243,7 +243,7 @@
     return new Registrar({
       getLeadership,
       hasDeparted: (life) => driver.machine.hasDeparted(life),
-      isInTouch: () => relay.acceptsReports(),
+      hasLeaderContact: () => relay.acceptsReports(),
       getEntries: () => relay.getEntries(),
       relay: relay.reports,
       sender: relay.sender,
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -20,16 +20,16 @@
 } from "../gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life } from "../ids";
 import type { Logger, Metrics, WorkMeter } from "../metrics";
-import { AgreedFacts } from "./AgreedFacts";
+import { CommittedFacts } from "./CommittedFacts";
 import { CrashRegistry } from "./CrashRegistry";
 import { type EntryRoster, sortEntries } from "./EntryRoster";
 import { FleetView } from "./FleetView";
-import { Hearing } from "./Hearing";
+import { HeartbeatMonitor } from "./HeartbeatMonitor";
 import type { InstanceOrders } from "./InstanceOrders";
 import {
   type AddressConflict,
+  type IncarnationEndReason,
   InstanceRegistry,
-  type LifeEnd,
   type RegisteredInstance,
 } from "./InstanceRegistry";
 import { PlanningPace } from "./PlanningPace";
@@ -73,11 +73,11 @@
   private readonly _options: FleetLeadershipOptions;
   private readonly _registry: InstanceRegistry;
   private readonly _controller: ReplicaController;
-  private readonly _committed: AgreedFacts;
+  private readonly _committed: CommittedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
   private readonly _planningInterval: PlanningPace;
-  private readonly _hearing: Hearing;
+  private readonly _hearing: HeartbeatMonitor;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
 
@@ -86,15 +86,15 @@
    */
   constructor(options: FleetLeadershipOptions) {
     this._options = options;
-    this._committed = new AgreedFacts(() => options.driver.machine);
+    this._committed = new CommittedFacts(() => options.driver.machine);
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
-    this._hearing = new Hearing(now);
+    this._hearing = new HeartbeatMonitor(now);
     this._planningInterval = new PlanningPace(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
-      onEnd: (life: Life, ground: LifeEnd) => this._logIncarnationEnd(life, ground),
+      onEnd: (life: Life, ground: IncarnationEndReason) => this._logIncarnationEnd(life, ground),
     };
     this._registry = new InstanceRegistry(listener, (instanceId) => this._getCommittedStartTime(instanceId));
     this._controller = new ReplicaController({
@@ -169,7 +169,7 @@
     return Math.max(0, ...incarnations.map(({ born }) => born));
   }
 
-  private _logIncarnationEnd({ instanceId, born }: Life, cause: LifeEnd): void {
+  private _logIncarnationEnd({ instanceId, born }: Life, cause: IncarnationEndReason): void {
     this._options.metrics.increment("instance_lives_ended", 1, { ground: cause });
     this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground: cause });
   }
@@ -188,7 +188,7 @@
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
     const unknownInstanceIds = signs
-      .filter((sign) => this._registry.addSign(now - sign.ageMs, sign) === "unknown")
+      .filter((sign) => this._registry.addHeartbeat(now - sign.ageMs, sign) === "unknown")
       .map((sign) => sign.instanceId);
     this.addSuspicions(suspicions);
     await this.addReports(reports);
@@ -285,7 +285,7 @@
     void this._releaseDueRequests(startedAt);
     if (!this._planningInterval.isDue(startedAt, this._getPlanningInputs())) return;
     this._planningInterval.addStart();
-    this._registry.removeSilent(startedAt, this._options.getTimes().presenceMs);
+    this._registry.removeExpired(startedAt, this._options.getTimes().presenceMs);
     this._updateHearing(startedAt);
     const plannedMs = await this._plan();
     const publishingAt = this._options.clock.getMonotonicMs();
@@ -305,7 +305,7 @@
 
   private async _releaseDueRequests(now: number): Promise<void> {
     try {
-      await this._crashes.releaseDue(now);
+      await this._crashes.releaseDueRequests(now);
     } catch (cause) {
       // Due requests are released at a later step, by this leader or by the next one.
       this._options.logger.warn({ event: "requests_not_released", reason: String(cause) });
@@ -335,7 +335,7 @@
     this.view.setTargets(this._createTargets(now));
     // Watchers of a complete view have only targets that this view has published.
     if (!this.view.isComplete) this.view.removeTargets(this._committed.getEndedTargetIds());
-    if (this._hearing.getListenedMs(now) > getTimes().presenceMs) this._setComplete();
+    if (this._hearing.getObservedMs(now) > getTimes().presenceMs) this._setComplete();
     this.view.setEntries(
       sortEntries([...this._options.entries.getEntries(now), ...this._relays.getEntries(now)]),
     );
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -17,7 +17,7 @@
 import type { Declaration } from "../gen/ploverstage/v1/state_pb";
 import type { Logger } from "../metrics";
 import { LeaderClient, type TransportPool } from "../rpc";
-import { AgreedFacts } from "./AgreedFacts";
+import { CommittedFacts } from "./CommittedFacts";
 import type { FleetLeadership } from "./FleetLeadership";
 import { FollowedView } from "./FollowedView";
 import { LeaderContact } from "./LeaderContact";
@@ -95,7 +95,7 @@
   /** When this process last followed a leader in consensus. */
   private _consensusContactAt = Number.NEGATIVE_INFINITY;
   private readonly _suspicions = new SuspicionQueue(SUSPICION_INTERVAL_MS);
-  private readonly _committed: AgreedFacts;
+  private readonly _committed: CommittedFacts;
   private _loggedVersion: number;
   private _isUpdateScheduled = false;
 
@@ -107,7 +107,7 @@
     const { driver, clock, logger, transports, getLeadership, getSeeds } = options;
     this._viewContact = new LeaderContact(clock.getMonotonicMs());
     if (options.recovered !== undefined) this.view.apply(options.recovered);
-    this._committed = new AgreedFacts(() => driver.machine);
+    this._committed = new CommittedFacts(() => driver.machine);
     // A restarted process applies its whole log again; it does not log a declaration again that it had
     // persisted.
     this._loggedVersion = options.recovered?.declaration?.version ?? 0;
--- a/src/registration/Hearing.ts
+++ b/src/registration/HeartbeatMonitor.ts
@@ -40,7 +40,7 @@
 }
 
 /** The time in which one leader could receive heartbeats. */
-export class Hearing {
+export class HeartbeatMonitor {
   /** When the leader's term began, in monotonic milliseconds. */
   readonly startedAt: number;
   private _gaps: Gap[] = [];
@@ -50,8 +50,8 @@
   }
 
   /** Gets how long, in milliseconds, the leader could have received reports of all instances in its term. */
-  getListenedMs(now: number): number {
-    return this.getSilentMs(now, this.startedAt);
+  getObservedMs(now: number): number {
+    return this.getMsWithoutHeartbeat(now, this.startedAt);
   }
 
   /**
@@ -60,7 +60,7 @@
    * @param reportedAt - Time of the last heartbeat. Time before the term does not count: there may have been
    * no leader to receive one.
    */
-  getSilentMs(now: number, reportedAt: number): number {
+  getMsWithoutHeartbeat(now: number, reportedAt: number): number {
     const countedFrom = Math.max(reportedAt, this.startedAt);
     const gapsMs = this._gaps.map(({ from, to }) =>
       Math.max(0, Math.min(now, to) - Math.max(from, countedFrom)),
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -61,7 +61,7 @@
    * The query goes to the address that the older incarnation reported. If a clock was set back between two
    * starts, the running incarnation has the older start time.
    */
-  checkLives(now: number): void {
+  checkIncarnations(now: number): void {
     const olderIncarnations = this._options.registry.getOlderIncarnations();
     const ids = new Set(olderIncarnations.map(({ report }) => report.instanceId));
     for (const id of this._startTimeQueriedAt.keys()) if (!ids.has(id)) this._startTimeQueriedAt.delete(id);
@@ -114,7 +114,7 @@
     const identity = await orders.identify({ instanceId, born, address }, ANSWER_TIMEOUT_MS);
     this._pendingAddresses.delete(address);
     this._queries.set(address, { count: count + 1, endedAt: clock.getMonotonicMs() });
-    if (identity === "another") registry.addEnd({ instanceId, born });
+    if (identity === "another") registry.markEnded({ instanceId, born });
     if (identity === "itself") registry.confirmInstance(now, instanceId, address);
     logger.info({
       event: "identity_checked",
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -36,14 +36,18 @@
 }
 
 /** Why the registry treats an incarnation as ended. */
-export type LifeEnd = "newerLife" | "answeredByAnother" | "olderLifeAnswered" | "olderLifeReports";
+export type IncarnationEndReason =
+  | "newerLife"
+  | "answeredByAnother"
+  | "olderLifeAnswered"
+  | "olderLifeReports";
 
 /** Receives events that do not follow from the content of a report. */
 export interface RegistryListener {
   /** Called when an instance first reports an address that another instance claims. */
   onConflict?(conflict: AddressConflict): void;
   /** Called when the registry starts to treat an incarnation as ended. */
-  onEnd?(incarnation: Life, reason: LifeEnd): void;
+  onEnd?(incarnation: Life, reason: IncarnationEndReason): void;
 }
 
 /**
@@ -156,7 +160,7 @@
    * Records a heartbeat: the instance reported again with unchanged content.
    * @param at - When the heartbeat arrived at its relay.
    */
-  addSign(at: number, heartbeat: InstanceSign): HeartbeatOutcome {
+  addHeartbeat(at: number, heartbeat: InstanceSign): HeartbeatOutcome {
     const { instanceId: id, sequence, contentSequence } = heartbeat;
     if (this._ended.has(getLifeKey(heartbeat))) return "ended";
     const current = this._instances.get(id);
@@ -176,7 +180,7 @@
   }
 
   /** Records that another instance answered at the address of an incarnation, which has therefore ended. */
-  addEnd(incarnation: Life): void {
+  markEnded(incarnation: Life): void {
     if (this._ended.has(getLifeKey(incarnation))) return;
     this._ended.add(getLifeKey(incarnation));
     this._listener.onEnd?.(incarnation, "answeredByAnother");
@@ -192,7 +196,7 @@
    */
   confirmInstance(askedAt: number, id: string, address: string): void {
     for (const { report, firstReportedAt } of this._getConflict(address).claimants) {
-      if (report.instanceId !== id && firstReportedAt <= askedAt) this.addEnd(report);
+      if (report.instanceId !== id && firstReportedAt <= askedAt) this.markEnded(report);
     }
   }
 
@@ -221,7 +225,7 @@
    * replaces the newer one once only the older one reports.
    * @param presenceMs - An instance without a heartbeat for this time is absent.
    */
-  removeSilent(now: number, presenceMs: number): void {
+  removeExpired(now: number, presenceMs: number): void {
     for (const [id, { reportedAt }] of this._instances) {
       if (now - reportedAt > EXPIRY_MS) this._remove(id);
     }
@@ -296,7 +300,7 @@
     if (isOnlyReporter) this._restoreOlderIncarnation(older, "olderLifeReports");
   }
 
-  private _restoreOlderIncarnation(older: RegisteredInstance, reason: LifeEnd): void {
+  private _restoreOlderIncarnation(older: RegisteredInstance, reason: IncarnationEndReason): void {
     const { report, reportedAt } = older;
     const newer = this._instances.get(report.instanceId);
     if (newer !== undefined) this._endIncarnation(newer.report, reason);
@@ -306,7 +310,7 @@
   }
 
   /** Only an answer shuts out an incarnation permanently; its start time or missing heartbeats do not. */
-  private _endIncarnation(incarnation: Life, reason: LifeEnd): void {
+  private _endIncarnation(incarnation: Life, reason: IncarnationEndReason): void {
     if (reason === "olderLifeAnswered") this._ended.add(getLifeKey(incarnation));
     this._remove(incarnation.instanceId);
     this._listener.onEnd?.(incarnation, reason);
--- a/src/registration/PresenceDoubts.ts
+++ b/src/registration/PresenceSuspicions.ts
@@ -6,7 +6,7 @@
  */
 
 /** The instances under suspicion. */
-export class PresenceDoubts {
+export class PresenceSuspicions {
   private readonly _suspectedAt = new Map<string, number>();
   private _revision = 0;
 
@@ -16,7 +16,7 @@
   }
 
   /** Records that an instance did not answer a query. */
-  addDoubt(now: number, instanceId: string): void {
+  addSuspicion(now: number, instanceId: string): void {
     this._suspectedAt.set(instanceId, now);
     this._revision += 1;
   }
@@ -25,7 +25,7 @@
    * Checks whether an instance is suspected to be absent.
    * @param reportedAt - Time of its last report.
    */
-  isDoubted(instanceId: string, reportedAt: number): boolean {
+  isSuspected(instanceId: string, reportedAt: number): boolean {
     const suspectedAt = this._suspectedAt.get(instanceId);
     if (suspectedAt === undefined) return false;
     if (reportedAt <= suspectedAt) return true;
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -21,10 +21,10 @@
 import type { Life } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import { CallTrace, type LeaderClient } from "../rpc";
-import type { CallLedger } from "./CallLedger";
+import type { ControlCallCounter } from "./ControlCallCounter";
 import { checkReport } from "./checkReport";
-import { getUnencodableReports } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
+import { getUnencodableReports } from "./getUnencodableReports";
 import type { ReportRelay } from "./ReportRelay";
 import type { ReportSender } from "./ReportSender";
 
@@ -38,12 +38,12 @@
    */
   readonly hasDeparted: (incarnation: Life) => boolean;
   /** Checks whether this process had contact with a leader recently enough to accept reports for it. */
-  readonly isInTouch: () => boolean;
+  readonly hasLeaderContact: () => boolean;
   /** Gets the entries that callers may use; without a current list, the last known entries. */
   readonly getEntries: () => readonly EntryEndpoint[];
   readonly relay: ReportRelay;
   readonly sender: ReportSender;
-  readonly calls: CallLedger;
+  readonly calls: ControlCallCounter;
   /** The order in which calls begin, including calls over the platform. */
   readonly callOrder: CallOrder;
   readonly client: LeaderClient<typeof FleetService>;
@@ -102,7 +102,7 @@
    */
   async addReport(report: InstanceReport): Promise<string> {
     checkReport(report);
-    return this._options.calls.follow("instance", this._addReport(report));
+    return this._options.calls.track("instance", this._addReport(report));
   }
 
   /** Counts a report that was rejected because of its content. */
@@ -121,8 +121,8 @@
   }
 
   private _relayReport(report: InstanceReport): void {
-    const { isInTouch, relay, sender, clock } = this._options;
-    if (!isInTouch()) throw this._createUnreachable("no recent contact with a leader");
+    const { hasLeaderContact, relay, sender, clock } = this._options;
+    if (!hasLeaderContact()) throw this._createUnreachable("no recent contact with a leader");
     if (relay.addReport(clock.getMonotonicMs(), report)) sender.sendSoon();
   }
 
--- a/src/registration/RelayedView.ts
+++ b/src/registration/RelayedView.ts
@@ -5,14 +5,14 @@
  * term has done so.
  */
 import type { ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
-import type { AgreedFacts } from "./AgreedFacts";
+import type { CommittedFacts } from "./CommittedFacts";
 import { FleetView, type ViewSource } from "./FleetView";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
 /** Publishes a followed view to watchers. */
 export class RelayedView {
   private readonly _followed: FollowedView;
-  private readonly _committed: AgreedFacts | undefined;
+  private readonly _committed: CommittedFacts | undefined;
   private _source: ViewSource;
 
   /**
@@ -20,7 +20,7 @@
    * @param committed - Committed state, which holds whether the leader has published it to this process or
    * not.
    */
-  constructor(followed: FollowedView, committed?: AgreedFacts) {
+  constructor(followed: FollowedView, committed?: CommittedFacts) {
     this._followed = followed;
     this._committed = committed;
     this._source = this._createSource();
--- a/src/registration/ReportRelay.ts
+++ b/src/registration/ReportRelay.ts
@@ -74,7 +74,7 @@
   }
 
   /** Checks whether any report has yet to be sent in full. */
-  hasNews(): boolean {
+  hasUpdates(): boolean {
     return [...this._incarnations.values()].some(({ sent }) => sent === undefined);
   }
 
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -17,8 +17,8 @@
 import type { Logger } from "../metrics";
 import type { LeaderClient } from "../rpc";
 import type { EntryRoster } from "./EntryRoster";
-import { getUnencodableReports } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
+import { getUnencodableReports } from "./getUnencodableReports";
 import { RelayCall } from "./RelayCall";
 import type { RelayBatch, ReportRelay } from "./ReportRelay";
 import type { SuspicionQueue } from "./SuspicionQueue";
@@ -143,7 +143,7 @@
       this._failingSince = undefined;
       this._timeoutMs = INITIAL_TIMEOUT_MS;
     }
-    this._schedule(wasSent && this._options.relay.hasNews() ? UPDATE_DELAY_MS : HEARTBEAT_INTERVAL_MS);
+    this._schedule(wasSent && this._options.relay.hasUpdates() ? UPDATE_DELAY_MS : HEARTBEAT_INTERVAL_MS);
   }
 
   private async _sendBatch(): Promise<void> {
--- a/src/registration/SuspicionReporter.ts
+++ b/src/registration/SuspicionReporter.ts
@@ -16,7 +16,7 @@
    * Sends suspicions to control.
    * @throws ConnectError - When the message may have been lost.
    */
-  readonly tell: (suspicions: readonly Suspicion[]) => Promise<void>;
+  readonly send: (suspicions: readonly Suspicion[]) => Promise<void>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -71,14 +71,14 @@
   }
 
   private async _send(): Promise<void> {
-    const { tell, clock } = this._options;
+    const { send, clock } = this._options;
     this._dueAt = Number.POSITIVE_INFINITY;
     this._calledAt = clock.getMonotonicMs();
     const suspicions = this._queue.take(this._calledAt, MAX_SUSPICIONS);
     if (suspicions.length === 0) return;
     this._isCalling = true;
     try {
-      await tell(suspicions);
+      await send(suspicions);
       this._failures = 0;
     } catch (cause) {
       this._addFailure(cause, suspicions);
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -12,7 +12,7 @@
 import type { LeaderGuard } from "../membership";
 import type { WorkMeter } from "../metrics";
 import { createLeaderRefusal } from "../rpc";
-import type { CallLedger } from "./CallLedger";
+import type { ControlCallCounter } from "./ControlCallCounter";
 import type { FleetLeadership } from "./FleetLeadership";
 import type { ViewHub } from "./ViewHub";
 import { watchView } from "./watchView";
@@ -23,7 +23,7 @@
   readonly guard: LeaderGuard<FleetLeadership>;
   readonly clock: Clock;
   readonly hub: ViewHub;
-  readonly calls: CallLedger;
+  readonly calls: ControlCallCounter;
   readonly meter: WorkMeter;
   /** Gets the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
@@ -48,7 +48,7 @@
       const unknownInstanceIds = await leadership.addRelayedReports(request);
       return { term: leadership.term, unknownInstanceIds };
     });
-    return calls.follow("relay", answer);
+    return calls.track("relay", answer);
   };
   router.service(FleetService, {
     async *watch(request, context) {
@@ -71,7 +71,7 @@
       // An outdated or repeated declaration changes nothing and is not proposed again.
       const currentVersion = driver.machine.getDeclaration()?.version ?? 0;
       if (request.version <= currentVersion)
-        return calls.follow(
+        return calls.track(
           "declaration",
           guard.run(() => ({})),
         );
@@ -88,11 +88,11 @@
         leadership.publish();
         return {};
       });
-      return calls.follow("declaration", answer);
+      return calls.track("declaration", answer);
     },
     getDeclaration() {
       const answer = guard.run(() => ({ declaration: driver.machine.getDeclaration() }));
-      return calls.follow("declaration", answer);
+      return calls.track("declaration", answer);
     },
     suspect({ suspicions }) {
       const leadership = getLeadership();
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -504,7 +504,7 @@
         else this._relay.addAnswer(answer.term, answer.unknown);
         this._patienceMs =
           answer === undefined ? Math.min(MAX_PATIENCE_MS, this._patienceMs * 2) : FIRST_PATIENCE_MS;
-        this._schedule(answer !== undefined && this._relay.hasNews() ? NEWS_MS : SIGN_MS);
+        this._schedule(answer !== undefined && this._relay.hasUpdates() ? NEWS_MS : SIGN_MS);
       },
       () => costMs,
     );
--- a/test/registration/AgreedFacts.test.ts
+++ b/test/registration/CommittedFacts.test.ts
@@ -8,12 +8,12 @@
   ReplicaSchema,
 } from "../../src/gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life, parseLifeKey } from "../../src/ids";
-import { AgreedFacts, type CommittedState } from "../../src/registration/AgreedFacts";
+import { CommittedFacts, type CommittedState } from "../../src/registration/CommittedFacts";
 
 const START_TIME = 1_700_000_000_000;
 
 /** Creates a committed state with one replica in each phase and the given departed incarnations. */
-function createFacts(departed: readonly Life[]): AgreedFacts {
+function createFacts(departed: readonly Life[]): CommittedFacts {
   const departedKeys = new Set(departed.map(getLifeKey));
   const state: CommittedState = {
     getDeclaration: () => create(DeclarationSchema, { version: 7 }),
@@ -27,7 +27,7 @@
     getDepartures: () => [...departed],
     hasDeparted: (incarnation) => departedKeys.has(getLifeKey(incarnation)),
   };
-  return new AgreedFacts(() => state);
+  return new CommittedFacts(() => state);
 }
 
 describe("CommittedFacts", () => {
--- a/test/registration/CallLedger.test.ts
+++ b/test/registration/ControlCallCounter.test.ts
@@ -1,17 +1,17 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { TextMetrics } from "../../src/metrics";
-import { CallLedger } from "../../src/registration/CallLedger";
+import { ControlCallCounter } from "../../src/registration/ControlCallCounter";
 
 describe("ControlCallCounter", () => {
   let lines: object[];
   let metrics: TextMetrics;
-  let counter: CallLedger;
+  let counter: ControlCallCounter;
 
   beforeEach(() => {
     vi.useFakeTimers();
     lines = [];
     metrics = new TextMetrics({ role: "control", name: "c" });
-    counter = new CallLedger({ info: (line: object) => lines.push(line) } as never, metrics);
+    counter = new ControlCallCounter({ info: (line: object) => lines.push(line) } as never, metrics);
   });
 
   afterEach(() => {
@@ -24,8 +24,8 @@
     vi.advanceTimersByTime(1_000);
     expect(lines).toEqual([]);
     for (let i = 0; i < 3; i++) counter.addRefused("watch");
-    await expect(counter.follow("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
-    expect(await counter.follow("relay", Promise.resolve("told"))).toBe("told");
+    await expect(counter.track("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
+    expect(await counter.track("relay", Promise.resolve("told"))).toBe("told");
     vi.advanceTimersByTime(2_000);
     expect(lines).toEqual([{ event: "calls_refused", served: 1, watch: 3, instance: 1 }]);
     const text = await metrics.getText();
--- a/test/registration/Hearing.test.ts
+++ b/test/registration/HeartbeatMonitor.test.ts
@@ -1,21 +1,21 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { Hearing } from "../../src/registration/Hearing";
+import { HeartbeatMonitor } from "../../src/registration/HeartbeatMonitor";
 
 const STARTED_AT = 10_000;
 const PRESENCE_MS = 3_000;
 
 describe("HeartbeatMonitor", () => {
-  let monitor: Hearing;
+  let monitor: HeartbeatMonitor;
 
   beforeEach(() => {
-    monitor = new Hearing(STARTED_AT);
+    monitor = new HeartbeatMonitor(STARTED_AT);
   });
 
   /** Updates the monitor with the state of the relays; returns the observed time. */
   function update(now: number, ...relays: readonly (readonly [answeredAt: number, reportedAt?: number])[]) {
     const contacts = relays.map(([answeredAt, reportedAt]) => ({ answeredAt, reportedAt }));
     monitor.update(now, contacts, PRESENCE_MS);
-    return monitor.getListenedMs(now);
+    return monitor.getObservedMs(now);
   }
 
   it("counts all the time when every relay reports, or when there is no relay", () => {
@@ -27,11 +27,11 @@
     expect(update(12_000, [11_900, 11_500], [11_900, undefined])).toBe(0);
     expect(update(12_500, [12_400, 12_300], [12_400, 12_400])).toBe(500);
     expect(update(14_000, [13_900, 13_900], [13_900, 12_400])).toBe(400);
-    expect(monitor.getSilentMs(14_000, 12_200)).toBe(200);
+    expect(monitor.getMsWithoutHeartbeat(14_000, 12_200)).toBe(200);
   });
 
   it("excludes the time before the term, when reports were refused for want of a leader", () => {
-    expect(monitor.getSilentMs(12_000, 8_000)).toBe(2_000);
+    expect(monitor.getMsWithoutHeartbeat(12_000, 8_000)).toBe(2_000);
   });
 
   it("does not treat a relay as delayed when it answers no consensus message either", () => {
@@ -49,11 +49,11 @@
 
   it("counts the time without a heartbeat before the relay's delay began", () => {
     update(22_000, [21_900, 21_900], [21_900, 18_000]);
-    expect(monitor.getSilentMs(22_000, 11_000)).toBe(7_000);
+    expect(monitor.getMsWithoutHeartbeat(22_000, 11_000)).toBe(7_000);
   });
 
   it("excludes overlapping gaps only once", () => {
     for (let now = 12_000; now <= 14_000; now += 100) update(now, [now, 11_000], [now, 10_500]);
-    expect(monitor.getListenedMs(14_000)).toBe(500);
+    expect(monitor.getObservedMs(14_000)).toBe(500);
   });
 });
--- a/test/registration/IdentityChecks.test.ts
+++ b/test/registration/IdentityChecks.test.ts
@@ -93,7 +93,7 @@
   });
 
   it("sends no query when only one instance claims an address", async () => {
-    registry.addEnd(createLife("first"));
+    registry.markEnded(createLife("first"));
     await check();
     expect(queried).toEqual([]);
   });
--- a/test/registration/PersistedView.test.ts
+++ b/test/registration/PersistedView.test.ts
@@ -6,7 +6,7 @@
 import { EntryEndpointSchema, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { DeclarationSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import type { Logger } from "../../src/metrics";
-import { AgreedFacts } from "../../src/registration/AgreedFacts";
+import { CommittedFacts } from "../../src/registration/CommittedFacts";
 import { FleetView } from "../../src/registration/FleetView";
 import { FollowedView, RECOVERED_TERM } from "../../src/registration/FollowedView";
 import { PersistedView } from "../../src/registration/PersistedView";
@@ -134,7 +134,7 @@
   recovered.complete = false;
 
   let committedVersion = 0;
-  const committed = new AgreedFacts(() => ({
+  const committed = new CommittedFacts(() => ({
     getDeclaration: () =>
       committedVersion === 0 ? undefined : create(DeclarationSchema, { version: committedVersion }),
     getReplica: () => undefined,
--- a/test/registration/lives.test.ts
+++ b/test/registration/incarnations.test.ts
@@ -9,7 +9,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { type InstanceReport, InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
-import { InstanceRegistry, type LifeEnd } from "../../src/registration/InstanceRegistry";
+import { type IncarnationEndReason, InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { ReportRelay } from "../../src/registration/ReportRelay";
 import { createLife } from "../support/createLife";
 
@@ -28,7 +28,7 @@
 
 describe("InstanceRegistry, with several incarnations of one id", () => {
   it("accepts a newer incarnation at once, whatever its sequence number, and drops the older one's place in a replica", () => {
-    const ends: [number, LifeEnd][] = [];
+    const ends: [number, IncarnationEndReason][] = [];
     const registry = new InstanceRegistry({ onEnd: ({ born }, reason) => ends.push([born, reason]) });
     registry.addReport(0, createReport(OLD_START, 100, { place: PLACE }));
     expect(registry.addReport(10, createReport(NEW_START, 1))).toBe("taken");
@@ -43,7 +43,7 @@
     const registry = new InstanceRegistry();
     registry.addReport(0, createReport(NEW_START, 1));
     expect(registry.addReport(10, createReport(OLD_START, 500, { place: PLACE }))).toBe("older");
-    expect(registry.addSign(20, { ...createHeartbeat(OLD_START, 501, 500) })).toBe("older");
+    expect(registry.addHeartbeat(20, { ...createHeartbeat(OLD_START, 501, 500) })).toBe("older");
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, reportedAt: 0 });
     registry.confirmIncarnation(30, createLife("i", NEW_START));
     expect(registry.getOlderIncarnations()).toEqual([]);
@@ -73,7 +73,7 @@
     registry.addReport(0, createReport(NEW_START, 500));
     for (let sequence = 1; sequence <= 5; sequence++) {
       registry.addReport(sequence * 1_200, createReport(OLD_START, sequence));
-      registry.removeSilent(sequence * 1_200, PRESENCE_MS);
+      registry.removeExpired(sequence * 1_200, PRESENCE_MS);
     }
     expect(registry.getInstance("i")?.report.born).toBe(OLD_START);
     expect(registry.addReport(6_100, createReport(NEW_START, 501))).toBe("taken");
--- a/test/registration/outdated/SimulatedFleet.ts
+++ b/test/registration/outdated/SimulatedFleet.ts
@@ -10,7 +10,7 @@
 import { EntryEndpointSchema, type WatchRequest } from "../../../src/gen/ploverstage/v1/fleet_pb";
 import { type Declaration, DeclarationSchema } from "../../../src/gen/ploverstage/v1/state_pb";
 import { orderByAffinity } from "../../../src/registration";
-import { CallLedger } from "../../../src/registration/CallLedger";
+import { ControlCallCounter } from "../../../src/registration/ControlCallCounter";
 import { FleetRelay } from "../../../src/registration/FleetRelay";
 import { FleetView } from "../../../src/registration/FleetView";
 import { FollowedView } from "../../../src/registration/FollowedView";
@@ -55,7 +55,7 @@
   private readonly _fleet: SimulatedFleet;
   private _relay: FleetRelay | undefined;
   private _persistedView: PersistedView | undefined;
-  private _calls: CallLedger | undefined;
+  private _calls: ControlCallCounter | undefined;
   private _leadership: { term: number; view: FleetView } | undefined;
   private _applied = 0;
   private _listeners: (() => void)[] = [];
@@ -123,7 +123,7 @@
       getReportTimeoutMs: () => 300,
     });
     this._relay = relay;
-    this._calls = new CallLedger(NO_LOGGER, NO_METRICS);
+    this._calls = new ControlCallCounter(NO_LOGGER, NO_METRICS);
     const router = { service: (_: unknown, routes: never) => (this._routes = routes) };
     addFleetRoutes(router as never, {
       driver,
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -347,7 +347,7 @@
     if (leader?.leadership === undefined) return;
     for (const controller of this._controllers) {
       if (controller.tellsUntil > this._now) continue;
-      if (!controller.relay.hasNews() && this._now % RELAY_MS !== 0) continue;
+      if (!controller.relay.hasUpdates() && this._now % RELAY_MS !== 0) continue;
       await this._tell(controller, leader);
     }
   }
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -4,7 +4,7 @@
 import { type Replica, ReplicaPhase, ReplicaSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { LoadLimiter } from "../../src/registration/LoadLimiter";
-import { PresenceDoubts } from "../../src/registration/PresenceDoubts";
+import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import { ReplicaCloser } from "../../src/registration/ReplicaCloser";
 import { createLife } from "../support/createLife";
 
@@ -43,7 +43,7 @@
     const registry = createRegistryWithConflict();
     expect(registry.isInConflict("a") && registry.isInConflict("b")).toBe(true);
     expect(registry.hasEnded(createLife("a")) || registry.hasEnded(createLife("b"))).toBe(false);
-    registry.addEnd(createLife("a"));
+    registry.markEnded(createLife("a"));
     expect(registry.hasEnded(createLife("a"))).toBe(true);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.addReport(2, createReport("a", 2, { address }))).toBe("ended");
@@ -67,13 +67,13 @@
   it("removes a claimant without heartbeats where no query was answered, without marking it as ended", () => {
     const registry = createRegistryWithConflict();
     const presenceMs = 3_000;
-    registry.removeSilent(1_000, presenceMs);
+    registry.removeExpired(1_000, presenceMs);
     for (let sequence = 2; sequence < 5; sequence++) {
       registry.addReport(sequence * 1_200, createReport("b", sequence, { address }));
     }
-    registry.removeSilent(3_900, presenceMs);
+    registry.removeExpired(3_900, presenceMs);
     expect(registry.getInstance("a")).toBeDefined();
-    registry.removeSilent(4_100, presenceMs);
+    registry.removeExpired(4_100, presenceMs);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.hasEnded(createLife("a"))).toBe(false);
     expect(registry.isInConflict("b")).toBe(false);
@@ -118,11 +118,11 @@
 
 describe("PresenceSuspicions", () => {
   it("suspects an instance until it reports again", () => {
-    const suspicions = new PresenceDoubts();
-    suspicions.addDoubt(100, "a");
-    expect(suspicions.isDoubted("a", 90)).toBe(true);
-    expect(suspicions.isDoubted("a", 110)).toBe(false);
-    expect(suspicions.isDoubted("b", 0)).toBe(false);
+    const suspicions = new PresenceSuspicions();
+    suspicions.addSuspicion(100, "a");
+    expect(suspicions.isSuspected("a", 90)).toBe(true);
+    expect(suspicions.isSuspected("a", 110)).toBe(false);
+    expect(suspicions.isSuspected("b", 0)).toBe(false);
   });
 });
 
@@ -172,7 +172,7 @@
     broken.report("head", 2, PlaceState.BROKEN);
     expect(broken.closer.isOver(10, replica, TIMES)).toBe(true);
     const ended = setUp(false);
-    ended.registry.addEnd(createLife("head"));
+    ended.registry.markEnded(createLife("head"));
     expect(ended.closer.isOver(10, replica, TIMES)).toBe(true);
   });
 
--- a/test/registration/relays.test.ts
+++ b/test/registration/relays.test.ts
@@ -47,9 +47,9 @@
     const [first, second] = [createEntry("a:1"), createEntry("a:1")];
     roster.addEntry("x", first);
     roster.addEntry("x", second);
-    roster.loseEntry(0, "x", first);
+    roster.disconnectEntry(0, "x", first);
     expect(roster.getEntries(5_000)).toHaveLength(1);
-    roster.loseEntry(5_000, "x", second);
+    roster.disconnectEntry(5_000, "x", second);
     expect(roster.getEntries(5_300)).toHaveLength(1);
     const { revision } = roster;
     expect(roster.getEntries(5_301)).toHaveLength(0);
