--- a/src/registration/FirstFormation.ts
+++ b/src/registration/FirstFormation.ts
@@ -1,40 +1,42 @@
 /**
- * Tells whether the system is still forming the first replicas of its life.
+ * Tracks whether the system is still forming its first replicas.
  *
- * The weight store doesn't count loads before there is work, and they are short: the sooner
- * all of them have begun, the better. It is over for good once nothing loads any more, or
- * once a replica had to be given up. Pure.
+ * The weight store does not count loads before there are requests, and loads are short then, so all of them
+ * should begin as early as possible. The first formation ends permanently once nothing loads any more or once
+ * a replica had to be retired. Pure.
  */
 import { ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { InstanceFacts, PlanningFacts } from "../planner";
 
-/** The first formation, as one leader sees it. */
+/** The first formation as seen by one leader. */
 export class FirstFormation {
-  private _isUnderWay: boolean;
+  private _isInProgress: boolean;
   private _hasLoaded = false;
-  private _hasLooked = false;
+  private _isUpdated = false;
 
   /**
-   * @param isFirstStart - Whether this process was started with the whole system, for the first time.
+   * @param isFirstStart - Whether this process was started together with the whole system, for the first
+   * time.
    */
   constructor(isFirstStart: boolean) {
-    this._isUnderWay = isFirstStart;
+    this._isInProgress = isFirstStart;
   }
 
-  /** Gets whether first replicas are being formed. */
-  get isUnderWay(): boolean {
-    return this._isUnderWay;
+  /** Checks whether the first replicas are being formed. */
+  get isInProgress(): boolean {
+    return this._isInProgress;
   }
 
-  /** Looks at the facts of this moment. */
+  /** Updates the state from the current facts. */
   update({ instances, replicas }: PlanningFacts): void {
-    // What serves already was formed under an earlier leader: how far that got isn't known here.
-    const isInherited = !this._hasLooked && replicas.some((replica) => !isForming(replica));
-    this._hasLooked = true;
+    // Replicas that already serve were formed under an earlier leader, and their progress is not available
+    // here.
+    const isInherited = !this._isUpdated && replicas.some((replica) => !isForming(replica));
+    this._isUpdated = true;
     const isLoading = instances.some(readsWeights) || replicas.some(isForming);
     this._hasLoaded ||= isLoading;
-    const hasGivenUp = replicas.some((replica) => replica.phase === ReplicaPhase.RETIRING);
-    if (isInherited || hasGivenUp || (this._hasLoaded && !isLoading)) this._isUnderWay = false;
+    const hasRetired = replicas.some((replica) => replica.phase === ReplicaPhase.RETIRING);
+    if (isInherited || hasRetired || (this._hasLoaded && !isLoading)) this._isInProgress = false;
   }
 }
 
--- a/src/registration/GivenUpPlaces.ts
+++ b/src/registration/GivenUpPlaces.ts
@@ -1,91 +1,100 @@
 /**
- * Which instances answered themselves that they are out of the replica that they were in last.
+ * Tracks which instances have confirmed that they left their last replica.
  *
- * An instance that takes a place in a replica while it is still in another one, whose head may be open,
- * is in two at once. What else is known of a replica is no proof that its head takes no requests: orders to
- * leave, join and open it may be carried out late, and a head that is to break may break later. So each
- * instance is asked to leave by itself, and takes its next place only once it has answered. Its answer also
- * speaks for an instance that started again under its id: it holds no place. Pure: times are monotonic
- * milliseconds given by the caller.
+ * An instance that joins a replica while it is still in another one, whose head may be open, is in two
+ * replicas at once. Nothing else proves that the head of the earlier replica accepts no requests: delayed
+ * orders to leave, join and open it may still be executed, and a head that is about to break may break later
+ * than expected. Therefore each instance is ordered to leave, and joins its next replica only after it has
+ * confirmed. A confirmation also holds for an instance that restarted under its id, since it is then in no
+ * replica. Pure: times are monotonic milliseconds given by the caller.
  */
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { StateMachine } from "../state";
 import type { InstanceRegistry } from "./InstanceRegistry";
 
-/** A place that an instance holds as far as is known. */
-export interface HeldPlace {
+/** The place in a replica that an instance may still occupy. */
+export interface OccupiedPlace {
   readonly replicaId: string;
   readonly epoch: number;
 }
 
-interface GivenUp {
+interface Leave {
   readonly epoch: number;
   readonly at: number;
 }
 
-/** The answers to one leader. */
+/** The leave confirmations that one leader received. */
 export class GivenUpPlaces {
   private readonly _registry: InstanceRegistry;
   private readonly _getMachine: () => StateMachine;
-  private readonly _givenUp = new Map<string, GivenUp>();
-  /** By instance: the newest replica that gave it a place and served, but for those that still stand. */
+  private readonly _leaves = new Map<string, Leave>();
+  /** By instance: its newest replica that has served and been released. */
   private _released = new Map<string, Replica>();
   private _assignmentIndex = -1;
 
   /**
-   * @param registry - What instances say of their places.
-   * @param getMachine - Gives the agreed state.
+   * @param registry - The latest reports of instances.
+   * @param getMachine - Gets the committed state.
    */
   constructor(registry: InstanceRegistry, getMachine: () => StateMachine) {
     this._registry = registry;
     this._getMachine = getMachine;
   }
 
-  /** Notes that an instance answered that it is not in the replica of an epoch. */
+  /** Adds the confirmation of an instance that it is not in the replica of an epoch. */
   addLeave(now: number, instanceId: string, epoch: number): void {
-    const known = this._givenUp.get(instanceId);
-    if (known === undefined || epoch >= known.epoch) this._givenUp.set(instanceId, { epoch, at: now });
+    const newest = this._leaves.get(instanceId);
+    if (newest === undefined || epoch >= newest.epoch) this._leaves.set(instanceId, { epoch, at: now });
   }
 
-  /** Gets when an instance answered last that it is out of a replica; `undefined` if it never told this leader. */
-  getAnsweredAt(instanceId: string): number | undefined {
-    return this._givenUp.get(instanceId)?.at;
+  /**
+   * Gets when an instance last confirmed that it left a replica; `undefined` if it never did to this leader.
+   */
+  getLeftAt(instanceId: string): number | undefined {
+    return this._leaves.get(instanceId)?.at;
   }
 
   /**
-   * Gets the place that an instance has to leave before it takes another one.
+   * Gets the place that an instance has to leave before it joins another replica.
    * @param next - The replica that it is to join.
-   * @returns `undefined` when it is in none whose head may be open.
+   * @returns `undefined` when the instance is in no other replica whose head may be open.
    */
-  getHeldPlace(instanceId: string, next: Replica): HeldPlace | undefined {
-    const agreed = this._getReleased(instanceId);
-    const reported = this._getReported(instanceId, next);
-    const held = (reported?.epoch ?? 0) >= (agreed?.epoch ?? 0) ? reported : agreed;
-    if (held === undefined || held.epoch >= next.epoch || this._neverServed(held)) return undefined;
-    return this._hasLeft(instanceId, held) ? undefined : held;
+  getHeldPlace(instanceId: string, next: Replica): OccupiedPlace | undefined {
+    const committed = this._getReleasedPlace(instanceId);
+    const reported = this._getReportedPlace(instanceId, next);
+    const occupied = (reported?.epoch ?? 0) >= (committed?.epoch ?? 0) ? reported : committed;
+    if (occupied === undefined || occupied.epoch >= next.epoch || this._neverServed(occupied))
+      return undefined;
+    return this._hasLeft(instanceId, occupied) ? undefined : occupied;
   }
 
-  /** A place that it reports after its answer was taken again by an order that was carried out late. */
-  private _hasLeft(instanceId: string, { epoch }: HeldPlace): boolean {
-    const givenUp = this._givenUp.get(instanceId);
-    if (givenUp === undefined || givenUp.epoch < epoch) return false;
+  /**
+   * Checks whether an instance confirmed its leave and has not rejoined since. A report after the
+   * confirmation that still names the place means that a delayed order made the instance rejoin.
+   */
+  private _hasLeft(instanceId: string, { epoch }: OccupiedPlace): boolean {
+    const leave = this._leaves.get(instanceId);
+    if (leave === undefined || leave.epoch < epoch) return false;
     const instance = this._registry.getInstance(instanceId);
-    const isBack = instance?.report.place?.epoch === epoch && instance.reportedAt > givenUp.at;
-    return !isBack;
+    const hasRejoined = instance?.report.place?.epoch === epoch && instance.reportedAt > leave.at;
+    return !hasRejoined;
   }
 
-  private _getReported(instanceId: string, next: Replica): HeldPlace | undefined {
+  private _getReportedPlace(instanceId: string, next: Replica): OccupiedPlace | undefined {
     const place = this._registry.getInstance(instanceId)?.report.place;
     if (place === undefined || place.replicaId === next.id) return undefined;
     return { replicaId: place.replicaId, epoch: place.epoch };
   }
 
-  /** What never served was never ordered to open; what is not known here may have been. */
-  private _neverServed({ replicaId }: HeldPlace): boolean {
+  /**
+   * Checks whether a replica never served, and so never received an order to open. A replica that is missing
+   * here may have served.
+   */
+  private _neverServed({ replicaId }: OccupiedPlace): boolean {
     return this._getMachine().getReplica(replicaId)?.servedAtIndex === 0;
   }
 
-  private _getReleased(instanceId: string): HeldPlace | undefined {
+  private _getReleasedPlace(instanceId: string): OccupiedPlace | undefined {
     const machine = this._getMachine();
     if (machine.assignmentIndex !== this._assignmentIndex) {
       this._assignmentIndex = machine.assignmentIndex;
--- a/src/registration/InstanceOrders.ts
+++ b/src/registration/InstanceOrders.ts
@@ -1,13 +1,13 @@
-/** Orders to the instances of replicas. */
+/** Orders from the leader to the instances of replicas. */
 import type { Life } from "../ids";
 
-/** Whom an order goes to; engines tell lives apart by nothing but their address and id. */
+/** The receiver of an order. An engine distinguishes incarnations only by address and id. */
 export interface OrderReceiver extends Life {
   /** host:port */
   readonly address: string;
 }
 
-/** Takes a place in a replica; loads the model where it has to. */
+/** Makes the instance join a replica and load the model if its host does not have it yet. */
 export interface JoinOrder {
   readonly kind: "join";
   readonly replicaId: string;
@@ -17,28 +17,28 @@
   readonly members: readonly string[];
 }
 
-/** Lets the head of a replica take requests. */
+/** Makes the head of a replica accept requests. */
 export interface OpenOrder {
   readonly kind: "open";
   readonly replicaId: string;
   readonly epoch: number;
 }
 
-/** Ends new requests at the head of a replica; those under way may end. */
+/** Makes the head of a replica reject new requests; requests in progress may finish. */
 export interface CloseOrder {
   readonly kind: "close";
   readonly replicaId: string;
   readonly epoch: number;
 }
 
-/** Gives a place in a replica up at once. */
+/** Makes the instance leave a replica immediately. */
 export interface LeaveOrder {
   readonly kind: "leave";
   readonly replicaId: string;
   readonly epoch: number;
 }
 
-/** Loads a model onto the instance's host, ahead of need. */
+/** Loads a model onto the instance's host before a replica needs it. */
 export interface StageOrder {
   readonly kind: "stage";
   readonly model: string;
@@ -48,36 +48,39 @@
 export type InstanceOrder = JoinOrder | OpenOrder | CloseOrder | LeaveOrder | StageOrder;
 
 /**
- * What an order came to: `begun` or `done`; `unfit` for the instance's state; `stale`
- * against a newer epoch or fencing token; `elsewhere` when another life has the address; `absent` when
- * nothing listens there; `unanswered` when it may be carried out yet, even much later.
+ * The result of an order.
+ *
+ * `begun` and `done`: the instance accepted it. `unfit`: it does not apply in the instance's state. `stale`:
+ * the instance has already seen a newer epoch or fencing token. `elsewhere`: another incarnation listens at
+ * the address. `absent`: no process listens there. `unanswered`: no answer came, and the instance may still
+ * execute the order, even much later.
  */
 export type OrderOutcome = "begun" | "done" | "unfit" | "stale" | "elsewhere" | "absent" | "unanswered";
 
 /**
- * Which instance answered at an address: the one that was asked for, or another one, which proves that
- * the one asked for has ended; `unknown` when there was no clear answer.
+ * Which instance answered at an address: the expected one, or another one, which proves that the expected one
+ * has ended. `unknown`: there was no clear answer.
  */
 export type Identity = "itself" | "another" | "unknown";
 
-/** What asking an instance for a sign of life came to. */
+/** The result of probing an instance for a heartbeat. */
 export type ProbeOutcome = "present" | "silent" | "absent";
 
-/** Gives orders, and asks for a sign of life. */
+/** Sends orders and probes to instances. */
 export interface InstanceOrders {
-  /** Asks at an address whether this instance runs there; never throws. */
+  /** Checks whether the given instance listens at its address. Never throws. */
   identify(receiver: OrderReceiver, timeoutMs: number): Promise<Identity>;
   /**
-   * Asks whoever listens at an address when it started; never throws.
-   * @returns The start of that life, 0 when it does not tell it; `undefined` when there was no clear answer.
+   * Gets the start time of the incarnation that listens at an address. Never throws.
+   * @returns 0 when the instance does not report its start time; `undefined` when there was no clear answer.
    */
   askBorn(receiver: OrderReceiver, timeoutMs: number): Promise<number | undefined>;
-  /** Asks whether any instance answers at an address; never throws. */
+  /** Checks whether any instance answers at an address. Never throws. */
   probe(receiver: OrderReceiver, timeoutMs: number): Promise<ProbeOutcome>;
   /**
-   * Sends one order; never throws.
-   * @param fence - Fencing token: an engine that checks tokens refuses one below the highest that it has
-   * seen as `stale`.
+   * Sends one order. Never throws.
+   * @param fence - Fencing token. An engine that checks tokens answers `stale` to a token below the highest
+   * one that it has received.
    */
   send(receiver: OrderReceiver, order: InstanceOrder, fence: number): Promise<OrderOutcome>;
 }
--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -1,19 +1,20 @@
-/** Keeps the loads that begin within a sliding window to the weight store's limit. Pure. */
+/** Limits the loads that begin within a sliding window. Pure. */
 
-/** The limit. */
+/** A limit on loads. */
 export interface LoadLimit {
   /** Loads that may begin within the window. */
   readonly loads: number;
   readonly windowMs: number;
 }
 
-/** Counts loads that began lately. */
+/** Counts the loads that began within the sliding window. */
 export class LoadLimiter {
   private _startedAt: number[] = [];
 
   /**
-   * Takes one load if the window has room for it.
-   * @param limit - `undefined` while there is none; what begins then counts once there is one.
+   * Adds one load if the window has capacity for it.
+   * @param limit - `undefined` while there is none; loads that begin then count once there is a limit.
+   * @returns Whether the load may begin.
    */
   takeLoad(now: number, limit: LoadLimit | undefined): boolean {
     if (limit !== undefined) {
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Sends orders, one at a time to each instance, again after a while where no clear answer
- * came, and no more loads than the weight store bears.
+ * Sends orders to instances: one at a time to each instance, again after a delay if there was no clear
+ * answer, and with no more model loads than the weight store can serve.
  */
 import { type Clock, TurnQueue } from "../clock";
 import { getLifeKey, type Life, type LifeKey } from "../ids";
@@ -8,7 +8,7 @@
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import { type LoadLimit, LoadLimiter } from "./LoadLimiter";
 
-/** What a dispatcher works with. */
+/** Dependencies of an order dispatcher. */
 export interface OrderDispatcherOptions {
   /** The leader's term. */
   readonly term: number;
@@ -16,79 +16,82 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called with a life that has ended: another instance answered at its address. */
+  /** Called with an incarnation that has ended: another instance answered at its address. */
   readonly onEnd: (life: Life) => void;
-  /** Gives the limit in force; `undefined` while the weight store counts no loads. */
+  /** Gets the limit in force; `undefined` while the weight store does not count loads. */
   readonly getLoadLimit: () => LoadLimit | undefined;
 }
 
-/** A load ordered ahead of need, that goes on as far as is known. */
+/** A model load that was ordered in advance and may still be running. */
 interface Staging {
   readonly model: string;
   readonly until: number;
 }
 
-/** An order without a clear answer is sent again after this time. */
-const RESEND_MS = 700;
-/** An instance says that it loads by then, if it took the order. */
-const LOAD_REPORTED_MS = 1_500;
-/** A load ordered ahead of need is taken as going on from its order on, for so long at most. */
-const STAGING_MS = 40_000;
+/** Delay before an order without a clear answer is sent again. */
+const RESEND_DELAY_MS = 700;
+/** An instance that accepted an order to load reports the load within this time. */
+const MAX_LOAD_REPORT_DELAY_MS = 1_500;
+/** A load ordered in advance counts as running from its order on, for at most this time. */
+const MAX_STAGING_MS = 40_000;
 
 /**
- * Orders that are begun in one turn of the event loop. Forming the first replicas is an order to each
- * instance: begun at once they would keep a new leader on a small core from its heartbeats, and it would be
- * voted out.
+ * Orders that are started in one turn of the event loop. Forming the first replicas takes one order to each
+ * instance. If a new leader on a small CPU core started all of them in one turn, it would delay its
+ * heartbeats and be voted out.
  */
 const ORDERS_PER_TURN = 8;
 
 /**
- * Orders that a term has fencing tokens for: far beyond what it ever sends, and tokens stay exact as
- * doubles for two million terms.
+ * Fencing tokens reserved for one term: far more than a term ever sends. Tokens remain exact as doubles for
+ * two million terms.
  */
 const FENCES_PER_TERM = 2 ** 32;
 
-/** Sends the orders of one term. */
+/** Sends the orders of one leadership term. */
 export class OrderDispatcher {
   private readonly _options: OrderDispatcherOptions;
   private readonly _limiter = new LoadLimiter();
   private readonly _turns = new TurnQueue(ORDERS_PER_TURN);
-  /** When an order of this content was sent to this instance last. */
+  /** When an order with the same content was last sent to the same instance. */
   private readonly _sentAt = new Map<string, number>();
-  /** What an earlier life of an instance was told, the next one knows nothing of. */
+  /**
+   * Keyed by incarnation: an instance that restarted has not received the orders of its earlier incarnation.
+   */
   private readonly _busy = new Set<LifeKey>();
   private readonly _staging = new Map<LifeKey, Staging>();
-  /** When an instance was last told to load. */
-  private readonly _toldToLoadAt = new Map<LifeKey, number>();
-  private _answerCount = 0;
+  /** When an instance was last ordered to load a model. */
+  private readonly _loadOrderedAt = new Map<LifeKey, number>();
+  private _completedCount = 0;
   private _fence: number;
 
-  /**
-   * @param options - Orders, clock and the limit on loads.
-   */
   constructor(options: OrderDispatcherOptions) {
     this._options = options;
     this._fence = options.term * FENCES_PER_TERM;
   }
 
-  /** Gets how many orders have come to an end, answered or not. */
-  get answerCount(): number {
-    return this._answerCount;
+  /** Gets the number of orders that have completed, answered or not. */
+  get completedCount(): number {
+    return this._completedCount;
   }
 
-  /** Checks whether an order to an instance is under way. */
+  /** Checks whether an order to an instance is in progress. */
   isBusy(life: Life): boolean {
     return this._busy.has(getLifeKey(life));
   }
 
-  /** Checks whether an instance was told to load so lately that it may not have said so yet. */
-  isToldToLoad(now: number, life: Life): boolean {
-    return now - (this._toldToLoadAt.get(getLifeKey(life)) ?? Number.NEGATIVE_INFINITY) < LOAD_REPORTED_MS;
+  /**
+   * Checks whether an instance was ordered to load so recently that it may not have reported the load yet.
+   */
+  hasRecentLoadOrder(now: number, life: Life): boolean {
+    return (
+      now - (this._loadOrderedAt.get(getLifeKey(life)) ?? Number.NEGATIVE_INFINITY) < MAX_LOAD_REPORT_DELAY_MS
+    );
   }
 
   /**
-   * Gets the model that an instance is loading ahead of need.
-   * @param staged - Models that it says it holds.
+   * Gets the model that an instance is loading in advance.
+   * @param staged - Models that the instance reports as staged.
    */
   getStagingModel(now: number, life: Life, staged: readonly string[]): string | undefined {
     const staging = this._staging.get(getLifeKey(life));
@@ -97,8 +100,9 @@
   }
 
   /**
-   * Sends an order unless one is under way, or the same was sent a moment ago.
-   * @returns `undefined` when it was not sent.
+   * Sends an order unless one to the same instance is in progress or the same order was sent less than 700 ms
+   * ago.
+   * @returns `undefined` when the order was not sent.
    */
   async send(receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome | undefined> {
     const now = this._options.clock.getMonotonicMs();
@@ -107,17 +111,17 @@
   }
 
   /**
-   * Sends an order that makes its receiver load, if the weight store bears one more.
-   * @returns `undefined` when it was not sent.
+   * Sends an order that makes its receiver load a model, if the weight store can serve one more load.
+   * @returns `undefined` when the order was not sent.
    */
   async sendLoad(receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome | undefined> {
     const now = this._options.clock.getMonotonicMs();
     if (!this._isDue(now, receiver, order)) return undefined;
     if (!this._limiter.takeLoad(now, this._options.getLoadLimit())) return undefined;
     const key = getLifeKey(receiver);
-    this._toldToLoadAt.set(key, now);
+    this._loadOrderedAt.set(key, now);
     if (order.kind !== "stage") return this._send(now, receiver, order);
-    this._staging.set(key, { model: order.model, until: now + STAGING_MS });
+    this._staging.set(key, { model: order.model, until: now + MAX_STAGING_MS });
     const outcome = await this._send(now, receiver, order);
     if (outcome !== "begun" && outcome !== "done") this._staging.delete(key);
     return outcome;
@@ -126,7 +130,7 @@
   private _isDue(now: number, life: Life, order: InstanceOrder): boolean {
     if (this.isBusy(life)) return false;
     const sentAt = this._sentAt.get(getOrderKey(life, order));
-    return sentAt === undefined || now - sentAt >= RESEND_MS;
+    return sentAt === undefined || now - sentAt >= RESEND_DELAY_MS;
   }
 
   private async _send(now: number, receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome> {
@@ -135,13 +139,14 @@
     const key = getLifeKey(receiver);
     this._busy.add(key);
     this._sentAt.set(getOrderKey(receiver, order), now);
-    // Rises with each order and term: what is carried out late, or sent by a deposed leader, is refused.
+    // The token increases with each order and term, so that engines refuse orders that arrive late or come
+    // from a deposed leader.
     this._fence += 1;
     const fence = this._fence;
     await this._turns.enter();
     const outcome = await orders.send(receiver, order, fence);
     this._busy.delete(key);
-    this._answerCount += 1;
+    this._completedCount += 1;
     if (outcome === "elsewhere") this._options.onEnd(receiver);
     const tookMs = Math.round(clock.getMonotonicMs() - now);
     metrics.increment("instance_orders", 1, { order: order.kind, outcome });
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -1,4 +1,4 @@
-/** Makes the planner's facts out of what instances say of themselves and what was agreed on. */
+/** Creates the facts for the planner from the reports of instances and the committed state. */
 import { PlaceState } from "../gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import { InstanceId } from "../ids";
@@ -10,70 +10,69 @@
 import type { PresenceDoubts } from "./PresenceDoubts";
 import { LOADED_VERSION } from "./planningConfiguration";
 
-/** What facts are made of. */
+/** Dependencies of a facts source. */
 export interface PlanningFactsOptions {
   readonly machine: () => StateMachine;
   readonly registry: InstanceRegistry;
   readonly dispatcher: OrderDispatcher;
-  readonly doubts: PresenceDoubts;
-  /** How long silence says something. */
+  readonly suspicions: PresenceDoubts;
+  /**
+   * Measures for how long an instance has not reported, counting only time in which its reports could arrive.
+   */
   readonly hearing: Hearing;
 }
 
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** States of a member that has taken its place. */
+/** States of a member that has joined its replica. */
 export const READY_STATES: ReadonlySet<PlaceState> = new Set([PlaceState.READY, PlaceState.OPEN]);
 
-/** Makes facts. */
+/** Creates the facts for the planner. */
 export class PlanningFactsSource {
   private readonly _options: PlanningFactsOptions;
 
-  /**
-   * @param options - Agreed state, reports, orders and doubts.
-   */
   constructor(options: PlanningFactsOptions) {
     this._options = options;
   }
 
   /**
-   * Gets the facts of this moment.
-   * @param presenceMs - An instance silent for so long is absent.
+   * Creates the facts at a point in time.
+   * @param presenceMs - An instance that has not reported for this time is absent.
    */
   createFacts(
     now: number,
     serviceName: string,
     replicas: readonly Replica[],
-    over: ReadonlySet<string>,
+    ended: ReadonlySet<string>,
     presenceMs: number,
   ): PlanningFacts {
     const instances = this._options.registry
       .getInstances()
       .filter((instance) => instance.report.service === serviceName)
       .map((instance) => this._createInstanceFacts(now, instance, replicas, presenceMs));
-    instances.push(...this._createUnheardFacts(now, replicas));
+    instances.push(...this._createUnreportedFacts(now, replicas));
     return {
       instances,
       replicas,
       isClear: true,
-      retiredInForce: over,
-      drained: over,
+      retiredInForce: ended,
+      drained: ended,
       inFlight: new Map(),
       absences: [],
     };
   }
 
   /**
-   * Members that have not reported in this term are taken for there, as they were agreed
-   * on, until they have been silent for as long as any other.
+   * Creates facts for members that have not reported in this term. They count as present, as committed in the
+   * state, until they have sent no report for as long as any other absent instance.
    */
-  private _createUnheardFacts(now: number, replicas: readonly Replica[]): InstanceFacts[] {
+  private _createUnreportedFacts(now: number, replicas: readonly Replica[]): InstanceFacts[] {
     const { registry, machine, hearing } = this._options;
     return replicas.flatMap((replica) => {
-      const unheard = replica.members.filter((member) => {
+      const unreported = replica.members.filter((member) => {
         return registry.getInstance(member.instanceId) === undefined && !registry.hasEnded(member);
       });
-      return unheard.map((member) => ({
+      return unreported.map((member) => ({
         id: InstanceId(member.instanceId),
         born: member.born,
         address: member.address,
@@ -83,7 +82,7 @@
         checksOrders: true,
         answeredAt: this._getAnsweredAt(now, member.instanceId, hearing.startedAt),
         epoch: replica.epoch,
-        // Only what served was seen whole.
+        // Only a replica whose members were all ready has served.
         isReady: replica.phase === ReplicaPhase.SERVING,
         model: replica.model,
         modelVersion: LOADED_VERSION,
@@ -95,16 +94,17 @@
   }
 
   /**
-   * Silence that nobody could hear says nothing against an instance that serves, nor anything for one
-   * that is to be chosen: ended ones, last heard of 8 s before a term began, were chosen in it.
+   * Checks whether an instance is too uncertain to be chosen. While reports cannot arrive, a missing report
+   * does not count against a serving instance, but it does not make an instance eligible either: without this
+   * rule, ended instances that had last reported 8 s before a term began were chosen in it.
    */
   private _isUncertain(now: number, { report, reportedAt }: RegisteredInstance, presenceMs: number): boolean {
     return now - reportedAt > presenceMs || this._options.registry.isInConflict(report.instanceId);
   }
 
-  /** Only the time in which an instance could have been heard counts against it. */
+  /** Gets when an instance last answered. Only time in which its reports could arrive counts against it. */
   private _getAnsweredAt(now: number, instanceId: string, reportedAt: number): number {
-    const { doubts, hearing } = this._options;
+    const { suspicions: doubts, hearing } = this._options;
     return doubts.isDoubted(instanceId, reportedAt) ? NEVER : now - hearing.getSilentMs(now, reportedAt);
   }
 
@@ -139,7 +139,7 @@
       model,
       modelVersion: model === "" ? "" : LOADED_VERSION,
       isLoading: dispatcher.isBusy(report) || joined !== undefined || stagingModel !== undefined,
-      readsWeights: joinsCold || stagingModel !== undefined || dispatcher.isToldToLoad(now, report),
+      readsWeights: joinsCold || stagingModel !== undefined || dispatcher.hasRecentLoadOrder(now, report),
       stagingModel,
       isUncertain: this._isUncertain(now, instance, presenceMs),
       losses: [],
--- a/src/registration/ReplicaCloser.ts
+++ b/src/registration/ReplicaCloser.ts
@@ -1,10 +1,10 @@
 /**
- * Closes retiring replicas, and tells when they are over.
+ * Closes retiring replicas and decides when they have ended.
  *
- * A replica whose head may still take requests stands: it has to be known as closed, broken or gone
- * first. Its members are told to leave together with it, so that each has answered for itself by the time
- * it is given another place (`GivenUpPlaces`), and a head that answers no order breaks without them.
- * Pure: it decides, the controller sends.
+ * A replica whose head may still accept requests has not ended: the head first has to be confirmed as closed,
+ * broken or ended. The other members are ordered to leave at the same time, so that each of them has
+ * confirmed its own leave before it joins another replica (see `LeaveConfirmations`), and so that a head that
+ * answers no order breaks for lack of members. Pure: this class decides, the controller sends.
  */
 import { PlaceState } from "../gen/ploverstage/v1/fleet_pb";
 import type { Replica } from "../gen/ploverstage/v1/state_pb";
@@ -17,67 +17,70 @@
   readonly order: InstanceOrder;
 }
 
-/** Bounds on closing. */
+/** Time limits for closing a replica. */
 export interface ClosingTimes {
-  /** How long a head may work on what it has, once closed. */
+  /** Maximum time that a closed head may spend on requests in progress. */
   readonly drainMs: number;
-  /** How long a replica stands still before it breaks. */
+  /** How long a replica stalls before it breaks. */
   readonly stallMs: number;
 }
 
 /**
- * Why a retiring replica is over: its head has left it, has ended, is broken, is in a newer replica, or must
- * have broken since a member left; or all members that are there have left a head that does not answer,
- * which is asked itself before it is given another place.
+ * Why a retiring replica has ended. Its head left it, ended, is broken or is in a newer replica; or the head
+ * must have broken since a member left (`memberLeft`); or all members that are present left a head that does
+ * not answer (`membersLeft`). Such a head has to confirm its own leave before it joins another replica.
  */
-export type EndGround = "headLeft" | "headEnded" | "headBroken" | "headMoved" | "membersLeft" | "memberLeft";
+export type EndReason = "headLeft" | "headEnded" | "headBroken" | "headMoved" | "membersLeft" | "memberLeft";
 
 interface Closing {
   readonly since: number;
-  /** Whether requests under way may end first. */
+  /** Whether requests in progress may finish first. */
   readonly drains: boolean;
   isClosed: boolean;
   hasLeft: boolean;
-  leaveAsks: number;
-  /** Members that an order to leave has come back from, answered or not. */
-  readonly askedMembers: Set<string>;
-  /** Members that answered that they have left. */
+  leaveAttempts: number;
+  /** Members whose order to leave has completed, answered or not. */
+  readonly orderedMembers: Set<string>;
+  /** Members that confirmed that they left. */
   readonly leftMembers: Set<string>;
-  /** Whether a member that is there has not answered so yet, as far as was looked at. */
-  awaitsMembers: boolean;
-  isHeadLost: boolean;
-  /** When a member left a head that does not answer. */
+  /** Whether a present member had not confirmed its leave when orders were last computed. */
+  isAwaitingMembers: boolean;
+  isHeadUnreachable: boolean;
+  /** When the first member left a head that does not answer. */
   memberLeftAt: number | undefined;
 }
 
-/** Orders to leave that a head may miss before a member is taken out instead. */
-const HEAD_PATIENCE_ASKS = 1;
-/** Clocks of instances differ a little in rate. */
+/**
+ * Unanswered orders to leave after which a head counts as unreachable and a member is ordered to leave
+ * instead.
+ */
+const MAX_HEAD_LEAVE_ATTEMPTS = 1;
+/** The clocks of instances run at slightly different rates. */
 const BREAK_MARGIN_MS = 700;
 
 /**
- * Outcomes after which the instance is certainly not in the replica that the order named. A refused
- * connection is none of them: a partition that resets connections looks the same from here, while
- * entries go on reaching the head, and instances released then were in two replicas. Nor is a refused
- * fencing token: it tells of a newer leader, not of the instance's place.
+ * Outcomes that prove that the instance is not in the replica that the order named.
+ *
+ * A refused connection is not one of them: a partition that resets connections looks the same to control,
+ * while entries still reach the head. Instances that were released on a refused connection were then in two
+ * replicas. A refused fencing token is not one either: it shows that there is a newer leader, but not where
+ * the instance is.
  */
 export const LEFT_OUTCOMES: ReadonlySet<OrderOutcome> = new Set(["done", "begun", "unfit", "elsewhere"]);
 
-/** The retiring replicas of one term. */
+/** The retiring replicas of one leadership term. */
 export class ReplicaCloser {
   private readonly _registry: InstanceRegistry;
   private readonly _closings = new Map<string, Closing>();
 
-  /**
-   * @param registry - What instances say of themselves.
-   */
+  /** @param registry - The latest reports of instances. */
   constructor(registry: InstanceRegistry) {
     this._registry = registry;
   }
 
   /**
-   * Notes the retiring replicas.
-   * @param drains - Whether a replica may end its work first.
+   * Sets the retiring replicas.
+   * @param drains - Whether a replica may finish its requests in progress first.
    */
   setRetiring(now: number, retiring: readonly Replica[], drains: (replica: Replica) => boolean): void {
     const ids = new Set(retiring.map((replica) => replica.id));
@@ -89,91 +92,97 @@
         drains: drains(replica),
         isClosed: false,
         hasLeft: false,
-        leaveAsks: 0,
-        askedMembers: new Set(),
+        leaveAttempts: 0,
+        orderedMembers: new Set(),
         leftMembers: new Set(),
-        awaitsMembers: true,
-        isHeadLost: false,
+        isAwaitingMembers: true,
+        isHeadUnreachable: false,
         memberLeftAt: undefined,
       });
     }
   }
 
-  /** Checks whether a retiring replica is over: its instances may be chosen again. */
+  /** Checks whether a retiring replica has ended, so that its instances may be chosen again. */
   isOver(now: number, replica: Replica, times: ClosingTimes): boolean {
     return this.getEndGround(now, replica, times) !== undefined;
   }
 
   /**
-   * Gets the ground on which a retiring replica is over.
-   * @returns `undefined` while it is not.
+   * Gets the reason why a retiring replica has ended.
+   * @returns `undefined` while it has not ended.
    */
-  getEndGround(now: number, replica: Replica, times: ClosingTimes): EndGround | undefined {
+  getEndGround(now: number, replica: Replica, times: ClosingTimes): EndReason | undefined {
     const closing = this._closings.get(replica.id);
     if (closing === undefined) return undefined;
     const head = replica.members[0]!;
     if (closing.hasLeft) return "headLeft";
-    // Another instance answered at its address, or it started again and holds nothing of before.
+    // Another instance answered at the head's address, or the head restarted and lost its state.
     if (this._registry.hasEnded(head)) return "headEnded";
     const place = this._registry.getInstance(head.instanceId)?.report.place;
     const isOwn = place?.replicaId === replica.id && place.epoch === replica.epoch;
     if (isOwn && place.state === PlaceState.BROKEN) return "headBroken";
     if (place !== undefined && place.epoch > replica.epoch) return "headMoved";
-    // A head that had crashed held the others for 4.7 s: as long as they might still take requests with it.
-    const { memberLeftAt, leftMembers, awaitsMembers, isHeadLost } = closing;
+    // Without this rule a crashed head blocked the other instances for 4.7 s, the time for which they might
+    // still have accepted requests with it.
+    const {
+      memberLeftAt,
+      leftMembers,
+      isAwaitingMembers: awaitsMembers,
+      isHeadUnreachable: isHeadLost,
+    } = closing;
     if (isHeadLost && leftMembers.size > 0 && !awaitsMembers) return "membersLeft";
     const mustBeBroken = memberLeftAt !== undefined && now - memberLeftAt > times.stallMs + BREAK_MARGIN_MS;
     return mustBeBroken ? "memberLeft" : undefined;
   }
 
   /**
-   * Gets the orders that a retiring replica needs now, if it is not over.
-   * @param isSilent - Whether an instance is taken for absent. Where that is the head, nothing
-   * is waited for: what it said last of its work is out of date, and the time until it breaks
-   * is long. Its other instances were idle for 14.6 and 18.8 s in two repairs that waited.
+   * Gets the orders that are due for a retiring replica, if it has not ended.
+   * @param isAbsent - Whether an instance counts as absent. An absent head is not waited for: its last
+   * reported state is out of date, and it takes long to break. In two repairs that waited, the other
+   * instances were idle for 14.6 and 18.8 s.
    */
   getDueOrders(
     now: number,
     replica: Replica,
     times: ClosingTimes,
-    isSilent: (instanceId: string) => boolean,
+    isAbsent: (instanceId: string) => boolean,
   ): DueOrder[] {
     const closing = this._closings.get(replica.id);
     if (closing === undefined || this.isOver(now, replica, times)) return [];
     const { id: replicaId, epoch } = replica;
     const head = replica.members[0]!;
-    const isHeadSilent = isSilent(head.instanceId);
-    if (closing.drains && !closing.isClosed && !isHeadSilent) {
+    const isHeadAbsent = isAbsent(head.instanceId);
+    if (closing.drains && !closing.isClosed && !isHeadAbsent) {
       return [{ receiver: head, order: { kind: "close", replicaId, epoch } }];
     }
-    if (!isHeadSilent && this._isDraining(now, replica, closing, times)) return [];
-    closing.isHeadLost = isHeadSilent || closing.leaveAsks >= HEAD_PATIENCE_ASKS;
+    if (!isHeadAbsent && this._isDraining(now, replica, closing, times)) return [];
+    closing.isHeadUnreachable = isHeadAbsent || closing.leaveAttempts >= MAX_HEAD_LEAVE_ATTEMPTS;
     const receivers = new Set<OrderReceiver>();
-    // Once a member has left, the head breaks by itself.
+    // Once a member has left, the head breaks without an order.
     if (closing.memberLeftAt === undefined) receivers.add(head);
     const awaited = replica.members
       .slice(1)
-      .filter(({ instanceId }) => !closing.leftMembers.has(instanceId) && !isSilent(instanceId));
-    closing.awaitsMembers = awaited.length > 0;
+      .filter(({ instanceId }) => !closing.leftMembers.has(instanceId) && !isAbsent(instanceId));
+    closing.isAwaitingMembers = awaited.length > 0;
     for (const member of awaited) if (isDueMember(closing, member)) receivers.add(member);
-    const reachable = closing.isHeadLost ? this._getReachableMember(replica) : undefined;
+    const reachable = closing.isHeadUnreachable ? this._getReachableMember(replica) : undefined;
     if (closing.memberLeftAt === undefined && reachable !== undefined) receivers.add(reachable);
     return [...receivers].map((receiver) => ({ receiver, order: { kind: "leave", replicaId, epoch } }));
   }
 
-  /** Notes what an order came to. */
+  /** Adds the outcome of an order. */
   addOutcome(now: number, replica: Replica, due: DueOrder, outcome: OrderOutcome): void {
     const closing = this._closings.get(replica.id);
     if (closing === undefined) return;
     const isHead = due.receiver.instanceId === replica.members[0]!.instanceId;
     if (due.order.kind === "close") {
-      // A head that can't be closed is left at once.
+      // If the close order fails, the head is ordered to leave next.
       closing.isClosed = true;
       if (outcome === "elsewhere") closing.hasLeft = true;
       return;
     }
-    if (isHead) closing.leaveAsks += 1;
-    else closing.askedMembers.add(due.receiver.instanceId);
+    if (isHead) closing.leaveAttempts += 1;
+    else closing.orderedMembers.add(due.receiver.instanceId);
     if (!LEFT_OUTCOMES.has(outcome)) return;
     if (isHead) {
       closing.hasLeft = true;
@@ -183,7 +192,9 @@
     closing.memberLeftAt ??= now;
   }
 
-  /** A closed head is ready again once its work is over. */
+  /**
+   * Checks whether a head still has requests in progress. A closed head reports ready once they are finished.
+   */
   private _isDraining(now: number, replica: Replica, closing: Closing, times: ClosingTimes): boolean {
     if (!closing.drains || now - closing.since > times.drainMs) return false;
     const place = this._registry.getInstance(replica.members[0]!.instanceId)?.report.place;
@@ -191,7 +202,7 @@
     return isOwn && (place.state === PlaceState.OPEN || place.state === PlaceState.CLOSING);
   }
 
-  /** The member that reported last is the likeliest to answer. */
+  /** Gets the member that reported last, which is the most likely one to answer. */
   private _getReachableMember(replica: Replica): OrderReceiver | undefined {
     const members = replica.members.slice(1).filter((member) => {
       const place = this._registry.getInstance(member.instanceId)?.report.place;
@@ -204,9 +215,13 @@
 }
 
 /**
- * Members are asked once: who does not answer is asked again before it takes another place, or when all of
- * them wait for its answer since their head is lost.
+ * Checks whether a member is due for an order to leave. Each member receives one order. A member that did not
+ * answer receives another one before it joins another replica, or when the head is unreachable and all
+ * members wait for its answer.
  */
-function isDueMember({ isHeadLost, askedMembers }: Closing, { instanceId }: OrderReceiver): boolean {
+function isDueMember(
+  { isHeadUnreachable: isHeadLost, orderedMembers: askedMembers }: Closing,
+  { instanceId }: OrderReceiver,
+): boolean {
   return isHeadLost || !askedMembers.has(instanceId);
 }
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps replicas as the planner wants them: one run of planning a tick, its decisions
- * carried out through the log and by orders to instances.
+ * Keeps the replicas in the state that the planner computes: each step runs the planner once and executes its
+ * decisions through the log and by orders to instances.
  *
- * Held only while leading. What it knows of instances are their reports.
+ * Exists only while this process leads. All data on instances comes from their reports.
  */
 import type { Clock, LoopLag } from "../clock";
 import type { ConsensusDriver } from "../consensus";
@@ -11,7 +11,7 @@
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
 import { type Action, type InstanceFacts, REASON } from "../planner";
-import { GivenUpPlaces, type HeldPlace } from "./GivenUpPlaces";
+import { GivenUpPlaces, type OccupiedPlace } from "./GivenUpPlaces";
 import type { Hearing } from "./Hearing";
 import { IdentityChecks } from "./IdentityChecks";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
@@ -22,7 +22,7 @@
 import { PlanningFactsSource, READY_STATES } from "./PlanningFactsSource";
 import { PresenceDoubts } from "./PresenceDoubts";
 import { LOADED_VERSION } from "./planningConfiguration";
-import { type ClosingTimes, type EndGround, LEFT_OUTCOMES, ReplicaCloser } from "./ReplicaCloser";
+import { type ClosingTimes, type EndReason, LEFT_OUTCOMES, ReplicaCloser } from "./ReplicaCloser";
 import {
   divideReplicas,
   type EngineService,
@@ -32,10 +32,10 @@
 } from "./ServicePlanner";
 import { StrayHeads } from "./StrayHeads";
 
-/** Times and bounds of the replicas' control, milliseconds. */
+/** Times and limits of replica control, milliseconds. */
 export interface ReplicaTimes extends ClosingTimes, PlanningTimes {}
 
-/** What a controller works with. */
+/** Dependencies of a replica controller. */
 export interface ReplicaControllerOptions {
   readonly driver: ConsensusDriver;
   readonly registry: InstanceRegistry;
@@ -44,48 +44,45 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** How late this process runs. */
+  /** Measures how late the timers of this process run. */
   readonly lag: LoopLag;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process was started together with the whole system, for the first time. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
   readonly getRoutes: () => RouteTable | undefined;
 }
 
-/** A replica's members are asked for a sign of life no more often than this. */
-const PROBE_PAUSE_MS = 1_000;
+/** Minimum interval between two probes of the members of one replica. */
+const PROBE_INTERVAL_MS = 1_000;
 const PROBE_TIMEOUT_MS = 250;
-/** Probes, one after the other, until an instance has been silent for long enough. */
+/** Consecutive probes of one instance until its last report is old enough to suspect it. */
 const MAX_PROBES = 4;
-/** An instance that reported so lately is there, whatever a probe came to. */
-const MIN_SILENCE_MS = 600;
-/** A process that runs its timers so late can't tell who is silent. */
-const MAX_LAG_MS = 120;
+/** An instance whose last report is more recent than this counts as present, whatever a probe returns. */
+const MIN_REPORT_AGE_MS = 600;
+/** A process whose timers run this late cannot tell which instances are unresponsive. */
+const MAX_TIMER_LAG_MS = 120;
 
-/** Controls the replicas of one term. */
+/** Controls the replicas of one leadership term. */
 export class ReplicaController {
   private readonly _options: ReplicaControllerOptions;
   private readonly _planners = new Map<string, ServicePlanner>();
   private readonly _closer: ReplicaCloser;
   private readonly _dispatcher: OrderDispatcher;
   private readonly _facts: PlanningFactsSource;
-  private readonly _doubts = new PresenceDoubts();
+  private readonly _suspicions = new PresenceDoubts();
   private readonly _identities: IdentityChecks;
-  private readonly _strays: StrayHeads;
-  private readonly _givenUp: GivenUpPlaces;
+  private readonly _orphanHeads: StrayHeads;
+  private readonly _leaveConfirmations: GivenUpPlaces;
   private readonly _probedAt = new Map<string, number>();
   private _isStepping = false;
 
-  /**
-   * @param options - Driver, registry, orders and times.
-   */
   constructor(options: ReplicaControllerOptions) {
     this._options = options;
     const { registry, hearing, driver } = options;
     this._closer = new ReplicaCloser(registry);
     this._identities = new IdentityChecks(options);
-    this._strays = new StrayHeads(registry, () => driver.machine, hearing.startedAt);
-    this._givenUp = new GivenUpPlaces(registry, () => driver.machine);
+    this._orphanHeads = new StrayHeads(registry, () => driver.machine, hearing.startedAt);
+    this._leaveConfirmations = new GivenUpPlaces(registry, () => driver.machine);
     this._dispatcher = new OrderDispatcher({
       ...options,
       term: driver.node.term,
@@ -96,19 +93,20 @@
       machine: () => driver.machine,
       registry,
       dispatcher: this._dispatcher,
-      doubts: this._doubts,
+      suspicions: this._suspicions,
       hearing,
     });
   }
 
-  /** Gets a number that rises whenever an instance was taken for lost or an order was answered. */
+  /** Gets a number that increases whenever an instance is suspected or an order completes. */
   get revision(): number {
-    return this._doubts.revision + this._dispatcher.answerCount;
+    return this._suspicions.revision + this._dispatcher.completedCount;
   }
 
   /**
-   * Plans once and begins what was decided; a run while another goes on does nothing.
-   * @returns How long it computed, milliseconds, without what it waited for.
+   * Runs the planner once and starts to execute its decisions. Does nothing while an earlier run is in
+   * progress.
+   * @returns The computing time in milliseconds, without the time spent waiting.
    */
   async step(): Promise<number> {
     if (this._isStepping) return 0;
@@ -118,29 +116,29 @@
     try {
       const actions = this._decide(startedAt);
       const computedMs = clock.getMonotonicMs() - startedAt;
-      await Promise.all(actions.map((action) => this._act(action)));
+      await Promise.all(actions.map((action) => this._execute(action)));
       return computedMs;
     } finally {
       this._isStepping = false;
     }
   }
 
-  /** Checks whether a replica takes requests now, as far as its instances say. */
+  /** Checks whether a replica accepts requests now, according to the reports of its instances. */
   isOpen(now: number, replica: Replica): boolean {
-    const head = this._getPlace(replica, replica.members[0]!.instanceId);
+    const head = this._getPlaceState(replica, replica.members[0]!.instanceId);
     if (replica.phase !== ReplicaPhase.SERVING || head !== PlaceState.OPEN) return false;
     return replica.members.every((member) => this._isPresent(now, member.instanceId));
   }
 
   /**
-   * Asks the members of a replica that an entry saw stand still for a sign of life.
-   * @returns Whether they are asked now; not so if they were a moment ago.
+   * Probes the members of a replica that an entry reported as stalled.
+   * @returns Whether probes were sent. `false` if the replica was probed less than 1 s ago or is not serving.
    */
   checkReplica(replicaId: string): boolean {
     const now = this._options.clock.getMonotonicMs();
     const replica = this._options.driver.machine.getReplica(replicaId);
     if (replica?.phase !== ReplicaPhase.SERVING) return false;
-    if (now - (this._probedAt.get(replicaId) ?? Number.NEGATIVE_INFINITY) < PROBE_PAUSE_MS) return false;
+    if (now - (this._probedAt.get(replicaId) ?? Number.NEGATIVE_INFINITY) < PROBE_INTERVAL_MS) return false;
     this._probedAt.set(replicaId, now);
     for (const member of replica.members) void this._probeMember(replica, member);
     return true;
@@ -150,35 +148,38 @@
     const { orders, clock, logger, lag } = this._options;
     for (let probe = 0; probe < MAX_PROBES; probe++) {
       const sentAt = clock.getMonotonicMs();
-      const outcome = await orders.probe(this._locate(member), PROBE_TIMEOUT_MS);
+      const outcome = await orders.probe(this._resolveReceiver(member), PROBE_TIMEOUT_MS);
       if (outcome === "present") return;
-      const isCertain = outcome === "absent" || lag.getWorstMs() < MAX_LAG_MS;
+      const isCertain = outcome === "absent" || lag.getWorstMs() < MAX_TIMER_LAG_MS;
       if (!isCertain) return;
-      // Too soon after its last report: it is asked once more instead of after the next suspicion.
-      if (this._getUnheardMs(member.instanceId) < MIN_SILENCE_MS) continue;
-      this._doubts.addDoubt(sentAt, member.instanceId);
+      // The last report is too recent: probe again now instead of after the next suspicion.
+      if (this._getUnreportedMs(member.instanceId) < MIN_REPORT_AGE_MS) continue;
+      this._suspicions.addDoubt(sentAt, member.instanceId);
       logger.info({ event: "instance_doubted", instance: member.instanceId, replica: replica.id, outcome });
       return;
     }
   }
 
-  /** Nobody can have been heard before the term began. */
-  private _getUnheardMs(instanceId: string): number {
+  /**
+   * Gets the time without a report from an instance in this term. The time before the term began does not
+   * count, since this leader received no reports then.
+   */
+  private _getUnreportedMs(instanceId: string): number {
     const { clock, hearing, registry } = this._options;
-    const heardAt = registry.getInstance(instanceId)?.reportedAt ?? hearing.startedAt;
-    return clock.getMonotonicMs() - Math.max(heardAt, hearing.startedAt);
+    const reportedAt = registry.getInstance(instanceId)?.reportedAt ?? hearing.startedAt;
+    return clock.getMonotonicMs() - Math.max(reportedAt, hearing.startedAt);
   }
 
-  private _getSilentMs(instanceId: string): number {
+  private _getReportAgeMs(instanceId: string): number {
     const reportedAt = this._options.registry.getInstance(instanceId)?.reportedAt;
     return this._options.clock.getMonotonicMs() - (reportedAt ?? Number.NEGATIVE_INFINITY);
   }
 
   private _isPresent(now: number, instanceId: string): boolean {
     const instance = this._options.registry.getInstance(instanceId);
-    if (instance === undefined || this._doubts.isDoubted(instanceId, instance.reportedAt)) return false;
-    const silentMs = this._options.hearing.getSilentMs(now, instance.reportedAt);
-    return silentMs <= this._options.getTimes().presenceMs;
+    if (instance === undefined || this._suspicions.isDoubted(instanceId, instance.reportedAt)) return false;
+    const unreportedMs = this._options.hearing.getSilentMs(now, instance.reportedAt);
+    return unreportedMs <= this._options.getTimes().presenceMs;
   }
 
   private _decide(now: number): Action[] {
@@ -186,7 +187,7 @@
     if (services.length === 0) return [];
     const { driver, getTimes } = this._options;
     const times = getTimes();
-    for (const replica of this._strays.getReplicas()) this._expelHead(replica);
+    for (const replica of this._orphanHeads.getReplicas()) this._removeOrphanHead(replica);
     const replicas = driver.machine.getReplicas();
     this._identities.checkLives(now);
     this._identities.checkConflicts(
@@ -198,14 +199,14 @@
     this._closer.setRetiring(now, retiring, (replica) => replica.reason !== REASON.lost);
     for (const replica of retiring) this._closeReplica(now, replica);
     for (const replica of replicas) this._openIfReady(replica);
-    const over = new Set(
+    const ended = new Set(
       retiring
         .filter((replica) => this._wasNeverOpened(replica) || this._closer.isOver(now, replica, times))
         .map((replica) => replica.id),
     );
     const byService = divideReplicas(services, replicas);
     return services.flatMap((service) =>
-      this._getPlanner(service.name).plan(now, service, byService.get(service.name)!, over, times),
+      this._getPlanner(service.name).plan(now, service, byService.get(service.name)!, ended, times),
     );
   }
 
@@ -222,7 +223,7 @@
     return planner;
   }
 
-  private async _act(action: Action): Promise<void> {
+  private async _execute(action: Action): Promise<void> {
     switch (action.kind) {
       case "formReplica":
         return this._formReplica(action.group, action.members, action.reason);
@@ -271,7 +272,7 @@
     });
     const replica = result?.kind === "changedReplica" ? result.replica.id : "";
     const instances = members.map((member) => member.id);
-    const reportedMsAgo = members.map((member) => Math.round(this._getSilentMs(member.id)));
+    const reportedMsAgo = members.map((member) => Math.round(this._getReportAgeMs(member.id)));
     this._options.logger.info({
       event: "replica_formed",
       replica,
@@ -295,7 +296,7 @@
       },
     });
     if (phase === ReplicaPhase.RELEASED) {
-      this._strays.addRelease(this._options.clock.getMonotonicMs(), replica.id);
+      this._orphanHeads.addRelease(this._options.clock.getMonotonicMs(), replica.id);
     }
     const places = replica.members.map((member) => this._describePlace(replica, member.instanceId));
     this._options.metrics.increment("replica_moves", 1, { phase: ReplicaPhase[phase], reason });
@@ -304,12 +305,12 @@
       replica: replica.id,
       phase: ReplicaPhase[phase],
       reason,
-      ground: phase === ReplicaPhase.RELEASED ? this._describeGround(replica) : undefined,
+      ground: phase === ReplicaPhase.RELEASED ? this._getReleaseReason(replica) : undefined,
       places,
     });
   }
 
-  private _describeGround(replica: Replica): EndGround | "neverOpened" | undefined {
+  private _getReleaseReason(replica: Replica): EndReason | "neverOpened" | undefined {
     if (this._wasNeverOpened(replica)) return "neverOpened";
     const { clock, getTimes } = this._options;
     return this._closer.getEndGround(clock.getMonotonicMs(), replica, getTimes());
@@ -319,18 +320,21 @@
     const now = this._options.clock.getMonotonicMs();
     const instance = this._options.registry.getInstance(instanceId);
     if (instance === undefined) return `${instanceId}: unknown`;
-    const state = PlaceState[this._getPlace(replica, instanceId) ?? PlaceState.UNSPECIFIED];
+    const state = PlaceState[this._getPlaceState(replica, instanceId) ?? PlaceState.UNSPECIFIED];
     return `${instanceId}: ${state}, reported ${Math.round(now - instance.reportedAt)} ms ago`;
   }
 
-  /** Whoever may still be in a replica whose head takes requests answers first that it has left it. */
+  /**
+   * Sends a join order. An instance that may still be in another replica whose head is open has to confirm
+   * first that it left it.
+   */
   private _joinInstance(replica: Replica, instance: InstanceFacts): void {
-    const held = this._givenUp.getHeldPlace(instance.id, replica);
-    if (held === undefined) {
+    const occupied = this._leaveConfirmations.getHeldPlace(instance.id, replica);
+    if (occupied === undefined) {
       void this._sendJoin(replica, instance);
       return;
     }
-    void this._leave(getReceiver(instance), held).then((hasLeft) => {
+    void this._leave(getReceiver(instance), occupied).then((hasLeft) => {
       const isWanted = this._options.driver.machine.getReplica(replica.id)?.phase === ReplicaPhase.FORMING;
       if (hasLeft && isWanted) void this._sendJoin(replica, instance);
     });
@@ -341,7 +345,7 @@
     const { id: replicaId, epoch, model } = replica;
     const order: InstanceOrder = { kind: "join", replicaId, epoch, model, members };
     const receiver = getReceiver(instance);
-    const leftAt = this._givenUp.getAnsweredAt(instance.id);
+    const leftAt = this._leaveConfirmations.getLeftAt(instance.id);
     const sentAt = this._options.clock.getMonotonicMs();
     const outcome = await (instance.model === model
       ? this._dispatcher.send(receiver, order)
@@ -356,67 +360,71 @@
     });
   }
 
-  /** The head is opened only after every member was seen ready in this epoch. */
+  /** Opens the head of a serving replica once every member has reported ready in this epoch. */
   private _openIfReady(replica: Replica): void {
     if (replica.phase !== ReplicaPhase.SERVING) return;
     const head = replica.members[0]!;
-    if (this._getPlace(replica, head.instanceId) !== PlaceState.READY) return;
+    if (this._getPlaceState(replica, head.instanceId) !== PlaceState.READY) return;
     const isWhole = replica.members.every((member) => {
-      const place = this._getPlace(replica, member.instanceId);
+      const place = this._getPlaceState(replica, member.instanceId);
       return place !== undefined && READY_STATES.has(place);
     });
     const order: InstanceOrder = { kind: "open", replicaId: replica.id, epoch: replica.epoch };
-    if (isWhole) void this._dispatcher.send(this._locate(head), order);
+    if (isWhole) void this._dispatcher.send(this._resolveReceiver(head), order);
   }
 
-  /** A replica that never served was never ordered to open. */
+  /** A replica that never served never received an order to open. */
   private _wasNeverOpened(replica: Replica): boolean {
     return replica.servedAtIndex === 0;
   }
 
   private _closeReplica(now: number, replica: Replica): void {
     if (this._wasNeverOpened(replica)) return;
-    const isSilent = (instanceId: string) => !this._isPresent(now, instanceId);
-    for (const due of this._closer.getDueOrders(now, replica, this._options.getTimes(), isSilent)) {
-      void this._dispatcher.send(this._locate(due.receiver), due.order).then((outcome) => {
+    const isAbsent = (instanceId: string) => !this._isPresent(now, instanceId);
+    for (const due of this._closer.getDueOrders(now, replica, this._options.getTimes(), isAbsent)) {
+      void this._dispatcher.send(this._resolveReceiver(due.receiver), due.order).then((outcome) => {
         if (outcome === undefined) return;
         const endedAt = this._options.clock.getMonotonicMs();
         this._closer.addOutcome(endedAt, replica, due, outcome);
-        if (due.order.kind === "leave") this._noteLeave(due.receiver, replica, outcome);
+        if (due.order.kind === "leave") this._addLeave(due.receiver, replica, outcome);
       });
     }
   }
 
   /**
-   * Has an instance leave a replica.
-   * @returns Whether it answered that it is out of it.
+   * Orders an instance to leave a replica.
+   * @returns Whether the instance confirmed that it is no longer in the replica.
    */
-  private async _leave(receiver: OrderReceiver, { replicaId, epoch }: HeldPlace): Promise<boolean> {
+  private async _leave(receiver: OrderReceiver, { replicaId, epoch }: OccupiedPlace): Promise<boolean> {
     const outcome = await this._dispatcher.send(receiver, { kind: "leave", replicaId, epoch });
     if (outcome === undefined) return false;
-    this._noteLeave(receiver, { id: replicaId, epoch }, outcome);
+    this._addLeave(receiver, { id: replicaId, epoch }, outcome);
     return LEFT_OUTCOMES.has(outcome);
   }
 
-  /** A head that is in a released replica again has to leave it again. */
-  private _expelHead(replica: Replica): void {
-    void this._leave(this._locate(replica.members[0]!), { replicaId: replica.id, epoch: replica.epoch });
+  /** Orders the head of a released replica to leave again if it rejoined. */
+  private _removeOrphanHead(replica: Replica): void {
+    void this._leave(this._resolveReceiver(replica.members[0]!), {
+      replicaId: replica.id,
+      epoch: replica.epoch,
+    });
   }
 
-  private _noteLeave(
+  private _addLeave(
     { instanceId }: OrderReceiver,
     { id, epoch }: Pick<Replica, "id" | "epoch">,
     outcome: OrderOutcome,
   ): void {
     if (!LEFT_OUTCOMES.has(outcome)) return;
     const now = this._options.clock.getMonotonicMs();
-    this._givenUp.addLeave(now, instanceId, epoch);
-    this._strays.addLeave(now, instanceId, id);
+    this._leaveConfirmations.addLeave(now, instanceId, epoch);
+    this._orphanHeads.addLeave(now, instanceId, id);
   }
 
   /**
-   * All services load from one store: it bears what the strictest of them declares. Only a
-   * service that has it for itself bounds its first loads by their number at a time.
+   * Gets the limit on loads. All services load from one store, so the lowest declared limit applies. During
+   * the first formation of a single service there is no limit per window; the number of concurrent first
+   * loads bounds them instead.
    */
   private _getLoadLimit(): LoadLimit | undefined {
     const planners = [...this._planners.values()];
@@ -427,15 +435,18 @@
     return limits.sort((a, b) => a.loads - b.loads)[0];
   }
 
-  /** An instance that started again under its id may listen elsewhere than when it was chosen. */
-  private _locate(member: OrderReceiver): OrderReceiver {
+  /**
+   * Gets the current address of an instance, which may have restarted under its id at another address since
+   * it was chosen.
+   */
+  private _resolveReceiver(member: OrderReceiver): OrderReceiver {
     const report = this._options.registry.getInstance(member.instanceId)?.report;
     if (report === undefined) return member;
     const { instanceId, born, address } = report;
     return { instanceId, born, address };
   }
 
-  private _getPlace(replica: Replica, instanceId: string): PlaceState | undefined {
+  private _getPlaceState(replica: Replica, instanceId: string): PlaceState | undefined {
     const place = this._options.registry.getInstance(instanceId)?.report.place;
     const isOwn = place?.replicaId === replica.id && place.epoch === replica.epoch;
     return isOwn ? place.state : undefined;
--- a/src/registration/ServicePlanner.ts
+++ b/src/registration/ServicePlanner.ts
@@ -1,4 +1,4 @@
-/** Plans the replicas of one service with engines. */
+/** Plans the replicas of one service that has engines. */
 import type { DeclaredService, EngineProfile } from "../declaration";
 import type { Replica } from "../gen/ploverstage/v1/state_pb";
 import type { Logger } from "../metrics";
@@ -11,70 +11,67 @@
 /** A service whose instances form replicas. */
 export type EngineService = DeclaredService & { readonly engine: EngineProfile };
 
-/** Bounds of planning. */
+/** Limits of planning. */
 export interface PlanningTimes extends LoadWindow {
-  /** An instance silent for so long is absent, milliseconds. */
+  /** An instance that has not reported for this time is absent; milliseconds. */
   readonly presenceMs: number;
   /** Instances kept free in each fabric domain for repairs. */
   readonly reserve: number;
 }
 
-/** What a service's planner works with. */
+/** Dependencies of a service planner. */
 export interface ServicePlannerOptions {
   readonly facts: PlanningFactsSource;
   readonly logger: Logger;
-  /** Whether this process was started with the whole system, for the first time. */
+  /** Whether this process was started together with the whole system, for the first time. */
   readonly isFirstStart: boolean;
 }
 
-/** The planner of one service in one term. */
+/** The planner of one service in one leadership term. */
 export class ServicePlanner {
   private readonly _options: ServicePlannerOptions;
   private readonly _planner = new Planner(new ImmediateRepair(true));
   private readonly _firstFormation: FirstFormation;
-  private _sizing = "";
+  private _loggedSizing = "";
 
-  /**
-   * @param options - Facts and log.
-   */
   constructor(options: ServicePlannerOptions) {
     this._options = options;
     this._firstFormation = new FirstFormation(options.isFirstStart);
   }
 
-  /** Gets whether the service's first replicas are being formed. */
+  /** Checks whether the service's first replicas are being formed. */
   get isFirstFormation(): boolean {
-    return this._firstFormation.isUnderWay;
+    return this._firstFormation.isInProgress;
   }
 
   /**
-   * Decides what to do now.
-   * @param replicas - The service's own.
-   * @param over - Ids of retiring replicas in which no request can begin any more.
+   * Computes the actions that are due now.
+   * @param replicas - The replicas of this service.
+   * @param ended - Ids of retiring replicas that can start no more requests.
    */
   plan(
     now: number,
     service: EngineService,
     replicas: readonly Replica[],
-    over: ReadonlySet<string>,
+    ended: ReadonlySet<string>,
     times: PlanningTimes,
   ): Action[] {
-    const facts = this._options.facts.createFacts(now, service.name, replicas, over, times.presenceMs);
+    const facts = this._options.facts.createFacts(now, service.name, replicas, ended, times.presenceMs);
     this._firstFormation.update(facts);
     const { configuration, summary } = createPlanningConfiguration(now, service.engine, facts, {
       ...times,
-      isFirstFormation: this._firstFormation.isUnderWay,
+      isFirstFormation: this._firstFormation.isInProgress,
       loadLimit: createLoadLimit(service.engine, times),
     });
     this._logSizing(service.name, summary);
     return this._planner.plan(now, facts, configuration);
   }
 
-  /** One line for each change of what is wanted. */
+  /** Logs the sizing whenever it changes. */
   private _logSizing(service: string, sizing: object): void {
     const text = JSON.stringify(sizing);
-    if (text === this._sizing) return;
-    this._sizing = text;
+    if (text === this._loggedSizing) return;
+    this._loggedSizing = text;
     this._options.logger.info({ event: "groups_sized", service, ...sizing });
   }
 }
@@ -87,7 +84,7 @@
 /**
  * Divides replicas among services by their models.
  *
- * One of a model that no service declares any more goes to the first service, whose planner
+ * A replica whose model is no longer declared by any service is assigned to the first service, whose planner
  * retires it.
  */
 export function divideReplicas(
--- a/src/registration/affinity.ts
+++ b/src/registration/affinity.ts
@@ -1,10 +1,12 @@
-/** Rendezvous hashing: who of several serves whom, alike wherever it is asked. Pure. */
+/**
+ * Rendezvous hashing: assigns a key to one of several addresses with the same result in every process. Pure.
+ */
 import { createHash } from "node:crypto";
 
 /**
- * Orders addresses by their affinity to a key.
+ * Sorts addresses by their affinity to a key, the preferred address first.
  *
- * Keys are spread evenly; when an address goes, only its own keys move.
+ * Keys are spread evenly over the addresses. When an address is removed, only its own keys move.
  */
 export function orderByAffinity(key: string, addresses: readonly string[]): string[] {
   const weights = new Map(addresses.map((address) => [address, getWeight(key, address)]));
--- a/src/registration/loadLimits.ts
+++ b/src/registration/loadLimits.ts
@@ -1,21 +1,22 @@
-/** Bounds on loads from the weight store, worked out from what a service declares. Pure. */
+/** Limits on loads from the weight store, computed from a service's declaration. Pure. */
 import type { EngineProfile } from "../declaration";
 import type { LoadLimit } from "./LoadLimiter";
 
-/** The weight store's window. */
+/** The sliding window of the weight store. */
 export interface LoadWindow {
   readonly loadWindowMs: number;
-  /** Factor by which the declared rate may be overrun within a window. */
+  /** Factor by which loads may exceed the declared rate within a window. */
   readonly loadOverrun: number;
 }
 
 /**
- * Loads at a time while the first replicas form, against those that run at full speed: they are
- * short then, and each must begin before there is work. Later ones would only slow each other.
+ * Ratio of concurrent loads during the first formation to the loads that run at full speed. First loads are
+ * short and all of them should begin before there are requests. More concurrent loads later would only slow
+ * each other down.
  */
 const FIRST_LOAD_OVERLAP = 2;
 
-/** Gets how many loads may begin within the weight store's window. */
+/** Gets how many loads may begin within the weight store's window; at least one. */
 export function createLoadLimit(
   engine: EngineProfile | undefined,
   { loadWindowMs, loadOverrun }: LoadWindow,
@@ -26,15 +27,15 @@
 }
 
 /**
- * Counts the loads that may go on at a time while the first replicas form.
+ * Counts the concurrent loads allowed during the first formation.
  *
- * Loads are not counted before there is work, but nobody tells when work begins. From then on
- * each of these may be followed by others of full length, and those of one window have to keep
- * within the limit.
+ * The weight store counts no loads until there are requests, but it is not known in advance when they start.
+ * From then on each of these loads may be followed by others of full length, and the loads that begin within
+ * one window have to stay within the limit.
  */
 export function countFirstLoads(engine: EngineProfile, limit: LoadLimit): number {
   const shortestMs = Math.min(...engine.models.map((model) => model.loadMs));
-  const turns = 1 + Math.floor(limit.windowMs / shortestMs);
-  const bearable = Math.max(1, Math.floor(limit.loads / turns));
-  return Math.min(Math.ceil(engine.concurrentLoads * FIRST_LOAD_OVERLAP), bearable);
+  const rounds = 1 + Math.floor(limit.windowMs / shortestMs);
+  const allowed = Math.max(1, Math.floor(limit.loads / rounds));
+  return Math.min(Math.ceil(engine.concurrentLoads * FIRST_LOAD_OVERLAP), allowed);
 }
--- a/src/registration/planningConfiguration.ts
+++ b/src/registration/planningConfiguration.ts
@@ -1,4 +1,4 @@
-/** Makes the planner's configuration out of a service's declaration and the instances that are there. Pure. */
+/** Creates the planner's configuration from a service's declaration and the present instances. Pure. */
 import type { EngineProfile } from "../declaration";
 import { ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { InstanceFacts, PlanningConfiguration, PlanningFacts } from "../planner";
@@ -6,29 +6,29 @@
 import { countFirstLoads } from "./loadLimits";
 import { sizeGroups } from "./sizeGroups";
 
-/** Bounds of planning. */
+/** Limits of planning. */
 export interface PlanningBounds {
-  /** An instance silent for so long is absent; milliseconds. */
+  /** An instance that has not reported for this time is absent; milliseconds. */
   readonly presenceMs: number;
   /** Instances kept free in each fabric domain for repairs. */
   readonly reserve: number;
-  /** Whether the system forms its first replicas. */
+  /** Whether the system is forming its first replicas. */
   readonly isFirstFormation: boolean;
-  /** Loads that the weight store bears within a window. */
+  /** Loads that the weight store can serve within a window. */
   readonly loadLimit: LoadLimit;
 }
 
-/** What is wanted, in short, for the log. */
+/** A summary of the wanted replicas for the log. */
 export interface SizingSummary {
   readonly replicas: Readonly<Record<string, number>>;
   readonly instances: Readonly<Record<string, number>>;
   readonly models: Readonly<Record<string, string>>;
 }
 
-/** Declared models have one version as far as the planner is concerned. */
+/** The planner treats declared models as having a single version. */
 export const LOADED_VERSION = "1";
 
-/** Makes the configuration of this moment. */
+/** Creates the configuration for the current facts. */
 export function createPlanningConfiguration(
   now: number,
   engine: EngineProfile,
@@ -62,7 +62,8 @@
       load: model.loadMs,
       acceleratorsPerInstance: 1,
     })),
-    // Instances come and go: a replica that serves is kept although fewer are wanted now.
+    // The number of present instances varies: a serving replica is kept even if fewer replicas are wanted
+    // now.
     groups: groups.map((group) => ({
       ...group,
       replicas: Math.max(group.replicas, servingByModel.get(group.model) ?? 0),
@@ -81,7 +82,10 @@
   return { configuration, summary };
 }
 
-/** Of instances that claim the same address only one runs. */
+/**
+ * Counts the instances of each fabric domain. Only one of several instances that report the same address is
+ * running.
+ */
 function countByDomain(instances: readonly InstanceFacts[]): Map<string, number> {
   const addresses = new Map<string, Set<string>>();
   for (const { fabricDomain, address } of instances) {
@@ -91,10 +95,10 @@
 }
 
 /**
- * Gets the model that most instances of each fabric domain hold or are about to.
+ * Gets the model that most instances of each fabric domain have staged or are loading.
  *
- * Free holders count as well: what is left of lost replicas waits for few loads, and another
- * model would need as many as it has instances.
+ * Free instances count as well: the remaining instances of lost replicas need few loads to form a replica of
+ * their model, whereas another model would need one load for each instance.
  */
 function getPresentModels(now: number, facts: PlanningFacts, presenceMs: number): Map<string, string> {
   const counts = new Map<string, Map<string, number>>();
@@ -111,28 +115,29 @@
     }
   }
   for (const instance of facts.instances) {
-    const isAway = instance.isLeaving || now - instance.answeredAt > presenceMs;
+    const isAbsent = instance.isLeaving || now - instance.answeredAt > presenceMs;
     const model = instance.stagingModel ?? instance.model;
-    if (!isAway && !placed.has(instance.id) && model !== "") addHolder(instance.fabricDomain, model);
+    if (!isAbsent && !placed.has(instance.id) && model !== "") addHolder(instance.fabricDomain, model);
   }
-  const getMost = (models: ReadonlyMap<string, number>) => [...models].sort((a, b) => b[1] - a[1])[0]![0];
-  return new Map([...counts].map(([domain, models]) => [domain, getMost(models)]));
+  const getMostCommon = (models: ReadonlyMap<string, number>) =>
+    [...models].sort((a, b) => b[1] - a[1])[0]![0];
+  return new Map([...counts].map(([domain, models]) => [domain, getMostCommon(models)]));
 }
 
-/** Gets models that enough free instances of one fabric domain hold. */
+/** Gets the models that enough free instances of one fabric domain have staged to form a replica. */
 function getWarmModels(
   now: number,
   engine: EngineProfile,
   facts: PlanningFacts,
   presenceMs: number,
 ): Set<string> {
-  const held = new Set(
+  const placed = new Set(
     facts.replicas.flatMap((replica) => replica.members.map((member) => member.instanceId)),
   );
   const counts = new Map<string, number>();
   for (const instance of facts.instances) {
-    const isAway = now - instance.answeredAt > presenceMs || instance.isLeaving || instance.isLoading;
-    if (held.has(instance.id) || isAway) continue;
+    const isUnavailable = now - instance.answeredAt > presenceMs || instance.isLeaving || instance.isLoading;
+    if (placed.has(instance.id) || isUnavailable) continue;
     const key = `${instance.fabricDomain}/${instance.model}`;
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
--- a/src/registration/sizeGroups.ts
+++ b/src/registration/sizeGroups.ts
@@ -1,37 +1,40 @@
 /**
- * Decides how many replicas of each model the registered instances are to form, and in
- * which fabric domains. Pure.
+ * Computes how many replicas of each model the registered instances are to form, and in which fabric domains.
+ * Pure.
  *
- * Where there are domains enough, each has replicas of one model: what is left of a
- * replica that lost an instance then completes the next one without a load.
+ * If there are enough domains, each domain has replicas of a single model: the remaining instances of a
+ * replica that lost an instance then complete the next replica without a load.
  */
 import type { Group } from "../configuration";
 import type { DeclaredModel, EngineProfile } from "../declaration";
 
-/** What sizing looks at. */
+/** The input of the sizing. */
 export interface SizingFacts {
   readonly engine: EngineProfile;
-  /** Present instances that stay, by fabric domain. */
+  /** Present instances that are not leaving, by fabric domain. */
   readonly instancesByDomain: ReadonlyMap<string, number>;
   /** Instances to keep free in each fabric domain for repairs. */
   readonly reserve: number;
-  /** The model that most replicas of a fabric domain have now, or soon. */
+  /** The model of most replicas in each fabric domain, now or in the near future. */
   readonly presentModels: ReadonlyMap<string, string>;
-  /** Replicas that each model has now, or soon. */
+  /** The number of replicas of each model, now or in the near future. */
   readonly servingByModel: ReadonlyMap<string, number>;
-  /** Models of which a replica could be formed now without a load. */
+  /** Models for which a replica could be formed now without a load. */
   readonly warmModels: ReadonlySet<string>;
 }
 
-/** What was decided. */
+/** The result of the sizing. */
 export interface Sizing {
-  /** Groups: first those that can grow without a load, then the one that is shortest of its size. */
+  /**
+   * Groups, sorted: first those that can grow without a load, then those with the lowest ratio of existing to
+   * wanted replicas.
+   */
   readonly groups: readonly Group[];
-  /** The model of each fabric domain; empty where there are too few domains for that. */
+  /** The model of each fabric domain; empty if there are too few domains to give each model one. */
   readonly modelByDomain: ReadonlyMap<string, string>;
 }
 
-/** Sizes one group for each model, so that each has instances in proportion to its work. */
+/** Sizes one group for each model, in proportion to the model's share of the work. */
 export function sizeGroups(facts: SizingFacts): Sizing {
   const { engine, servingByModel, warmModels } = facts;
   const modelByDomain = assignDomains(facts);
@@ -41,12 +44,15 @@
     .sort(
       (a, b) =>
         Number(warmModels.has(b.model)) - Number(warmModels.has(a.model)) ||
-        getFilled(a, servingByModel) - getFilled(b, servingByModel),
+        getFillRatio(a, servingByModel) - getFillRatio(b, servingByModel),
     );
   return { groups, modelByDomain };
 }
 
-/** Leaves each domain its model; gives the others to the model with the most work for each domain it has. */
+/**
+ * Keeps the model of each domain that has one. Assigns each remaining domain to the model with the most work
+ * per domain.
+ */
 function assignDomains({ engine, instancesByDomain, presentModels }: SizingFacts): Map<string, string> {
   const { models } = engine;
   const assigned = new Map<string, string>();
@@ -78,7 +84,10 @@
   return counts;
 }
 
-/** With fewer domains than models would need, domains have replicas of several models. */
+/**
+ * Counts replicas when there are fewer domains than models would need: domains then have replicas of several
+ * models.
+ */
 function countMixed({ engine, instancesByDomain, reserve }: SizingFacts): Map<string, number> {
   const free = [...instancesByDomain.values()].map((count) => count - reserve);
   const counts = new Map<string, number>(engine.models.map((model) => [model.name, 0]));
@@ -104,6 +113,6 @@
   };
 }
 
-function getFilled(group: Group, servingByModel: ReadonlyMap<string, number>): number {
+function getFillRatio(group: Group, servingByModel: ReadonlyMap<string, number>): number {
   return group.replicas === 0 ? 1 : (servingByModel.get(group.model) ?? 0) / group.replicas;
 }
--- a/test/registration/FirstFormation.test.ts
+++ b/test/registration/FirstFormation.test.ts
@@ -9,30 +9,30 @@
 const loading = createInstances(1, { isLoading: true });
 
 describe("FirstFormation", () => {
-  it("is under way from the first start until nothing loads any more, and never again", () => {
+  it("is in progress from the first start until nothing loads any more, and never again", () => {
     const formation = new FirstFormation(true);
     formation.update(createFacts({}));
-    expect(formation.isUnderWay).toBe(true);
+    expect(formation.isInProgress).toBe(true);
     formation.update(createFacts({ replicas: [forming], instances: loading }));
     formation.update(createFacts({ replicas: [serving], instances: loading }));
-    expect(formation.isUnderWay).toBe(true);
+    expect(formation.isInProgress).toBe(true);
     formation.update(createFacts({ replicas: [serving] }));
-    expect(formation.isUnderWay).toBe(false);
+    expect(formation.isInProgress).toBe(false);
     formation.update(createFacts({ replicas: [serving], instances: loading }));
-    expect(formation.isUnderWay).toBe(false);
+    expect(formation.isInProgress).toBe(false);
   });
 
-  it("is over once a replica is given up", () => {
+  it("ends once a replica is retired", () => {
     const formation = new FirstFormation(true);
     formation.update(createFacts({ replicas: [forming], instances: loading }));
     formation.update(createFacts({ replicas: [retiring], instances: loading }));
-    expect(formation.isUnderWay).toBe(false);
+    expect(formation.isInProgress).toBe(false);
   });
 
-  it("is over for a leader that found replicas serving, and for a process that was restarted", () => {
+  it("has ended for a leader that found serving replicas, and for a restarted process", () => {
     const formation = new FirstFormation(true);
     formation.update(createFacts({ replicas: [serving], instances: loading }));
-    expect(formation.isUnderWay).toBe(false);
-    expect(new FirstFormation(false).isUnderWay).toBe(false);
+    expect(formation.isInProgress).toBe(false);
+    expect(new FirstFormation(false).isInProgress).toBe(false);
   });
 });
--- a/test/registration/GivenUpPlaces.test.ts
+++ b/test/registration/GivenUpPlaces.test.ts
@@ -1,8 +1,8 @@
 /**
- * A head was given another place while it was open in its earlier one: its only member had been taken out,
- * and the time was over after which it must have broken. Its own report, half a second old, said that it
- * was open (soak seed 41000: one of six runs). In the model of a fleet it was open anew, since orders to
- * leave, join and open it had been carried out late (`ownership`, seed 1097).
+ * Guards against assigning a head to another replica while its earlier one is still open. The only other
+ * member had left and the time had passed after which the head must have broken, but the head's own report,
+ * half a second old, still showed it open (soak seed 41000: one of six runs). In the fleet model delayed
+ * orders to leave, join and open had opened it again (`ownership`, seed 1097).
  */
 import { create } from "@bufbuild/protobuf";
 import { beforeEach, describe, expect, it } from "vitest";
@@ -15,7 +15,7 @@
 
 const RELEASED_AT = 1_000;
 
-describe("GivenUpPlaces", () => {
+describe("LeaveConfirmations", () => {
   let known: Replica[];
   let registry: InstanceRegistry;
   let places: GivenUpPlaces;
@@ -45,7 +45,7 @@
     registry.addReport(at, said);
   }
 
-  it("holds an instance in the replica that served last, whatever it reports, until it answers", () => {
+  it("returns the instance's last served replica, whatever it reports, until it confirms its leave", () => {
     const held = { replicaId: "g-3", epoch: 3 };
     expect(places.getHeldPlace("f0", next)).toEqual(held);
     report(RELEASED_AT, undefined);
@@ -55,14 +55,14 @@
     expect(places.getHeldPlace("f1", next)).toEqual(held);
   });
 
-  it("tells when an instance answered last that it is out of a replica", () => {
-    expect(places.getAnsweredAt("f0")).toBeUndefined();
+  it("returns the time of the instance's latest leave confirmation", () => {
+    expect(places.getLeftAt("f0")).toBeUndefined();
     places.addLeave(RELEASED_AT, "f0", 3);
     places.addLeave(RELEASED_AT + 700, "f0", 3);
-    expect(places.getAnsweredAt("f0")).toBe(RELEASED_AT + 700);
+    expect(places.getLeftAt("f0")).toBe(RELEASED_AT + 700);
   });
 
-  it("holds it again once it reports that place after its answer", () => {
+  it("returns the place again once the instance reports it after its confirmation", () => {
     report(RELEASED_AT - 10, 3);
     places.addLeave(RELEASED_AT, "f0", 3);
     expect(places.getHeldPlace("f0", next)).toBeUndefined();
@@ -72,7 +72,7 @@
     expect(places.getHeldPlace("f0", next)).toBeUndefined();
   });
 
-  it("heeds a place that it reports in a replica that is not known here, and no answer about an older one", () => {
+  it("returns a reported place in an unknown replica, and ignores a confirmation for an older one", () => {
     report(RELEASED_AT, 5);
     places.addLeave(RELEASED_AT, "f0", 3);
     expect(places.getHeldPlace("f0", next)).toEqual({ replicaId: "g-5", epoch: 5 });
@@ -80,7 +80,7 @@
     expect(places.getHeldPlace("f0", next)).toBeUndefined();
   });
 
-  it("asks nobody to leave what never served, nor what it is to join", () => {
+  it("returns no place for a replica that never served, nor for the replica to join", () => {
     known = [{ ...known[0]!, servedAtIndex: 0 }];
     report(RELEASED_AT, 3);
     expect(places.getHeldPlace("f0", next)).toBeUndefined();
--- a/test/registration/OrderDispatcher.test.ts
+++ b/test/registration/OrderDispatcher.test.ts
@@ -6,7 +6,7 @@
 import { createLife } from "../support/createLife";
 
 const INSTANCES = 200;
-/** What a turn may hold up heartbeats for: an order takes about a millisecond to begin. */
+/** Bounds how long one turn may delay heartbeats: an order takes about a millisecond to start. */
 const MAX_PER_TURN = 20;
 const RECEIVER = { ...createLife("i"), address: "i:1" };
 const JOIN: JoinOrder = { kind: "join", replicaId: "r", epoch: 1, model: "m", members: [] };
@@ -32,7 +32,7 @@
     });
   }
 
-  it("begins the orders of a large fleet a few a turn, and every one of them", async () => {
+  it("starts all orders of a large fleet, at most 20 in each turn of the event loop", async () => {
     let begun = 0;
     const dispatcher = createDispatcher(() => {
       begun += 1;
@@ -51,7 +51,7 @@
     expect(await Promise.all(sent)).toEqual(sent.map(() => "begun"));
   });
 
-  it("gives each order a higher fencing token, and those of a later term higher ones still", async () => {
+  it("increases the fencing token with each order and each term", async () => {
     const fences: number[] = [];
     for (const term of [1, 2]) {
       const dispatcher = createDispatcher(
@@ -70,7 +70,7 @@
     expect([...fences].sort((a, b) => a - b)).toEqual(fences);
   });
 
-  it("notes an instance for ended when another one answers in its place", async () => {
+  it("reports an instance as ended when another one answers at its address", async () => {
     const ended: string[] = [];
     const onEnd = ({ instanceId }: Life) => ended.push(instanceId);
     const dispatcher = createDispatcher(() => Promise.resolve("elsewhere"), { onEnd });
--- a/test/registration/PlanningFactsSource.test.ts
+++ b/test/registration/PlanningFactsSource.test.ts
@@ -41,7 +41,7 @@
       machine: () => ({ hasDeparted: () => false }) as unknown as StateMachine,
       registry,
       dispatcher,
-      doubts: new PresenceDoubts(),
+      suspicions: new PresenceDoubts(),
       hearing: new Hearing(0),
     });
   });
@@ -57,17 +57,17 @@
     return Object.fromEntries(instances.map((instance) => [instance.id, instance.readsWeights]));
   }
 
-  it("takes a member that joins for one that reads weights only where it holds none", () => {
+  it("counts a joining member as reading weights only if it has not staged the model", () => {
     addReport("f0", [replica.model], PlaceState.JOINING);
     addReport("f1", [], PlaceState.JOINING);
     expect(getReadsWeights()).toEqual({ f0: false, f1: true });
   });
 
-  it("takes no member that was never heard of for one that reads weights", () => {
+  it("does not count a member that never reported as reading weights", () => {
     expect(getReadsWeights()).toEqual({ f0: false, f1: false });
   });
 
-  it("counts an instance that was just told to load, though it hasn't said so yet", async () => {
+  it("counts an instance that was just ordered to load, before it reports the load", async () => {
     addReport("f0", [], PlaceState.UNSPECIFIED);
     addReport("f1", [], PlaceState.UNSPECIFIED);
     await dispatcher.sendLoad(
--- a/test/registration/PlanningPace.test.ts
+++ b/test/registration/PlanningPace.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { PlanningPace } from "../../src/registration/PlanningPace";
 
-/** The leadership has lasted for long. */
+/** The leadership began long before the test. */
 const LONG_AGO = -10_000;
 
 function run(pace: PlanningPace, endedAt: number, busyMs: number): void {
@@ -9,14 +9,14 @@
   pace.addEnd(endedAt, busyMs);
 }
 
-describe("PlanningPace", () => {
-  it("leaves a term's first moments to followers that are shown the view and orders that wait", () => {
+describe("PlanningSchedule", () => {
+  it("delays the first run of a term by 300 ms, for publishing to followers and for queued orders", () => {
     const pace = new PlanningPace(1_000);
     expect(pace.isDue(1_299, "a")).toBe(false);
     expect(pace.isDue(1_300, "a")).toBe(true);
   });
 
-  it("plans at once after a change and seldom without one", () => {
+  it("plans 15 ms after a change, and 300 ms after the last run without one", () => {
     const pace = new PlanningPace(LONG_AGO);
     expect(pace.isDue(0, "a")).toBe(true);
     run(pace, 1, 1);
@@ -26,7 +26,7 @@
     expect(pace.isDue(301, "a")).toBe(true);
   });
 
-  it("takes no more than its part of the processor, however long it computes", () => {
+  it("pauses for twice the computing time of a run, at most 500 ms", () => {
     const pace = new PlanningPace(LONG_AGO);
     pace.isDue(0, "a");
     run(pace, 80, 80);
@@ -37,7 +37,7 @@
     expect(pace.isDue(3_500, "c")).toBe(true);
   });
 
-  it("is not put off by what a run waited for, and sees a change that came meanwhile", () => {
+  it("ignores the waiting time of a run, and notices a change during the run", () => {
     const pace = new PlanningPace(LONG_AGO);
     pace.isDue(0, "a");
     pace.addStart();
--- a/test/registration/ReplicaController.test.ts
+++ b/test/registration/ReplicaController.test.ts
@@ -9,7 +9,7 @@
 import { createInstances, createReplica } from "../support/planning";
 import { waitUntil } from "../support/waitUntil";
 
-/** How long the stand-in's probes take; both are silent for that long. */
+/** Duration of the fake's probes. Neither instance reports during a probe. */
 const PROBE_MS = 250;
 
 describe("ReplicaController", () => {
@@ -61,27 +61,27 @@
     });
   }
 
-  it("asks a silent member again at once, until it has been silent for long enough", async () => {
+  it("probes an unresponsive member again at once, until its last report is old enough to suspect it", async () => {
     outcomes = ["silent", "silent", "silent"];
     controller.checkReplica(replica.id);
-    await waitUntil("it is doubted", () => events.includes("instance_doubted f1"));
+    await waitUntil("the member is suspected", () => events.includes("instance_doubted f1"));
     expect(events).toEqual(["instance_doubted f1"]);
     expect(outcomes.length).toBe(0);
   });
 
-  it("doubts nobody that answers the second time", async () => {
+  it("does not suspect a member that answers the second probe", async () => {
     outcomes = ["silent", "present", "silent"];
     controller.checkReplica(replica.id);
-    await waitUntil("both probes are over", () => outcomes.length === 1);
+    await waitUntil("both probes have ended", () => outcomes.length === 1);
     expect(events).toEqual([]);
   });
 
-  it("doubts nobody that it has not heard in its term after one question without an answer", async () => {
+  it("does not suspect a member without a report in this term after one unanswered probe", async () => {
     registry = new InstanceRegistry();
     controller = createController();
     outcomes = ["silent", "present", "silent"];
     controller.checkReplica(replica.id);
-    await waitUntil("both probes are over", () => outcomes.length === 1);
+    await waitUntil("both probes have ended", () => outcomes.length === 1);
     expect(events).toEqual([]);
   });
 });
--- a/test/registration/ServicePlanner.test.ts
+++ b/test/registration/ServicePlanner.test.ts
@@ -17,7 +17,7 @@
 const SERVICES = [createService("s", "M"), { name: "plain" } as never, createService("t", "N")];
 
 describe("divideReplicas", () => {
-  it("gives each service the replicas of its models, and the first one those of no service", () => {
+  it("assigns replicas to services by model, and those of undeclared models to the first service", () => {
     const engines = getEngineServices(SERVICES);
     const [m, n, old] = ["M", "N", "gone"].map((model, i) => ({
       ...createReplica(i + 1, createInstances(2)).replica,
@@ -31,7 +31,7 @@
 });
 
 describe("ReplicaController", () => {
-  it("forms replicas of every service that has engines", async () => {
+  it("forms replicas for every service that has engines", async () => {
     const registry = new InstanceRegistry();
     const formed: string[] = [];
     const driver = {
--- a/test/registration/StrayHeads.test.ts
+++ b/test/registration/StrayHeads.test.ts
@@ -9,7 +9,7 @@
 
 const LEFT_AT = 1_000;
 
-describe("StrayHeads", () => {
+describe("OrphanHeads", () => {
   let replica: Replica;
   let registry: InstanceRegistry;
   let strays: StrayHeads;
@@ -37,11 +37,11 @@
     expect(strays.getReplicas()).toEqual(isStray ? [replica] : []);
   }
 
-  it("takes no head for stray by what it said before it left", () => {
+  it("ignores what a head reported before it left", () => {
     expectStray(false);
   });
 
-  it("takes no head for stray that was not heard since its replica's release, nor since this term began", () => {
+  it("ignores a head without a report since its replica's release and since the term began", () => {
     const other = new StrayHeads(
       registry,
       () => ({ getReplica: () => replica }) as unknown as StateMachine,
@@ -54,7 +54,7 @@
     expect(other.getReplicas()).toEqual([]);
   });
 
-  it("finds a head that says it is in its released replica again, until it answers that it left", () => {
+  it("finds a head that reports its released replica again, until the replica is released again", () => {
     for (const state of [PlaceState.JOINING, PlaceState.READY, PlaceState.OPEN, PlaceState.CLOSING]) {
       report(LEFT_AT + 100 * state, "f0", state);
       expectStray(true);
@@ -63,14 +63,14 @@
     expectStray(false);
   });
 
-  it("minds neither a broken head nor one in another epoch", () => {
+  it("ignores a broken head and a head in another epoch", () => {
     report(LEFT_AT + 100, "f0", PlaceState.BROKEN);
     expectStray(false);
     report(LEFT_AT + 200, "f0", PlaceState.OPEN, replica.epoch + 1);
     expectStray(false);
   });
 
-  it("minds no other member, no replica that never served, and none that is not known here", () => {
+  it("ignores other members, and replicas that never served, still serve or are unknown", () => {
     report(LEFT_AT + 100, "f1", PlaceState.READY);
     expectStray(false);
     report(LEFT_AT + 200, "f0", PlaceState.READY);
--- a/test/registration/loadLimits.test.ts
+++ b/test/registration/loadLimits.test.ts
@@ -9,7 +9,10 @@
   return { slots: 18, models: [model], loadsPerSecond: 4, concurrentLoads };
 }
 
-/** Plays loads that begin as soon as one ends; work begins, and loads last for long, at `workAt`. */
+/**
+ * Simulates loads where each starts as soon as one ends. Requests start at `workAt`, and loads take ten times
+ * as long from then on. Counts the most loads that begin within one window.
+ */
 function countMostInWindow(concurrent: number, loadMs: number, workAt: number): number {
   const begun: number[] = [];
   const ends: number[] = Array.from({ length: concurrent }, () => 0);
@@ -24,18 +27,18 @@
 }
 
 describe("loadLimits", () => {
-  it("gives the loads of a window, at least one", () => {
+  it("computes the loads allowed in a window, at least one", () => {
     const times = { loadWindowMs: 5_000, loadOverrun: 1.1 };
     expect(createLoadLimit(createEngine(16_000), times)).toEqual(LIMIT);
     expect(createLoadLimit(undefined, times)).toEqual({ loads: 1, windowMs: 5_000 });
   });
 
-  it("overlaps first loads where they are long against the window", () => {
+  it("doubles the concurrent first loads if a load is longer than the window", () => {
     expect(countFirstLoads(createEngine(16_000), LIMIT)).toBe(12);
     expect(countFirstLoads(createEngine(16_000, 1), LIMIT)).toBe(2);
   });
 
-  it("begins no more first loads than the window bears, whenever work begins", () => {
+  it("allows no more first loads than the window's limit, whenever requests start", () => {
     for (const loadMs of [500, 1_000, 2_000, 4_900, 5_000, 16_000]) {
       const concurrent = countFirstLoads(createEngine(loadMs, 27), LIMIT);
       expect(concurrent).toBeGreaterThan(0);
@@ -45,7 +48,7 @@
     }
   });
 
-  it("counts unlimited loads against the limit that follows them", () => {
+  it("counts loads that began without a limit against a later limit", () => {
     const limiter = new LoadLimiter();
     for (let load = 0; load < 30; load++) expect(limiter.takeLoad(0, undefined)).toBe(true);
     expect(limiter.takeLoad(100, LIMIT)).toBe(false);
--- a/test/registration/orders.test.ts
+++ b/test/registration/orders.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe("an operator's declaration", () => {
-  it("joins the one that is on its way when it comes again, and no other", async () => {
+  it("shares the call in progress for the same declaration, and no other", async () => {
     const answers: (() => void)[] = [];
     let parsed = 0;
     const registrar = new Registrar({
@@ -35,7 +35,7 @@
     expect([parsed, answers.length]).toEqual([3, 3]);
   });
 
-  it("is confirmed without being agreed on once more when it was overtaken", async () => {
+  it("is confirmed without another proposal if its version is not newer than the committed one", async () => {
     let proposed = 0;
     let confirmed = 0;
     let put: (request: PutDeclarationRequest) => Promise<object> = async () => ({});
--- a/test/registration/ownership/InstanceModel.ts
+++ b/test/registration/ownership/InstanceModel.ts
@@ -1,8 +1,8 @@
 /**
- * An instance as it keeps the rules of replicas: takes places, gives them up, and as the head of a
- * replica stalls and then breaks once it has lost a member.
+ * Simulates an instance that follows the rules of replicas: it joins and leaves them, and as the head of a
+ * replica it stalls and then breaks after it has lost a member.
  *
- * A test of our own code: time is simulated, and everything is an argument.
+ * Time is simulated, and everything is an argument.
  */
 import { PlaceState } from "../../../src/gen/ploverstage/v1/fleet_pb";
 import type { Life } from "../../../src/ids";
@@ -10,11 +10,11 @@
 
 /** Times of an instance, milliseconds. */
 export const INSTANCE_TIMES = {
-  /** Taking a place with weights that the host holds. */
+  /** Time to join with weights that are staged on the host. */
   joinMs: 600,
   loadMs: 1_000,
   openMs: 300,
-  /** How long a head that lost a member stalls before it is broken. */
+  /** How long a head that lost a member stalls before it breaks. */
   stallMs: 4_000,
 } as const;
 
@@ -24,36 +24,35 @@
   readonly epoch: number;
   readonly members: readonly string[];
   state: PlaceState;
-  /** When the state changes next, and to what. */
+  /** The next change of the state. */
   next: { readonly at: number; readonly state: PlaceState } | undefined;
-  /** As a head: when it will be broken, because it lost a member. */
+  /** For a head: when it breaks because it lost a member. */
   brokenAt: number | undefined;
 }
 
-/** What a host keeps over restarts of its instances. */
+/** The state that a host keeps when its instances restart. */
 export interface Host {
   readonly name: string;
-  /** Of the life that runs there, or ran last. */
+  /** The address of the current incarnation, or of the last one. */
   address: string;
   readonly fabricDomain: string;
-  /** How far its clock is from the true time, milliseconds. */
+  /** The offset of the host's clock from the true time, milliseconds. */
   clockErrorMs: number;
   staged: string | undefined;
 }
 
-/** States in which a head takes requests. */
+/** States in which a head accepts requests. */
 const TAKING = new Set([PlaceState.OPEN, PlaceState.CLOSING]);
 
-/** One life of an instance. */
+/** One incarnation of an instance. */
 export class InstanceModel {
   readonly id: string;
-  /** When it started, by its host's clock; 0 where it does not tell. */
+  /** Start time by the host's clock; 0 if the instance does not report it. */
   readonly born: number;
   readonly host: Host;
-  /** Where it listens. */
   readonly address: string;
   isAlive = true;
-  /** Whether control and the instance can't reach each other, while everyone else can. */
+  /** Whether the network between control and the instance is partitioned. All other connections work. */
   isCut = false;
   sequence = 0;
   place: Place | undefined;
@@ -70,14 +69,14 @@
     this._checksFences = checksFences;
   }
 
-  /** Checks whether requests may begin in the replica of which it is the head. */
+  /** Checks whether requests can start in a replica of which this instance is the head. */
   takesRequestsOf(place: Place): boolean {
     const { place: own } = this;
     if (!this.isAlive || own?.replicaId !== place.replicaId || own.epoch !== place.epoch) return false;
     return TAKING.has(own.state);
   }
 
-  /** Lets what is under way end. */
+  /** Completes the state changes that are due. */
   advance(now: number): void {
     const { place } = this;
     if (place === undefined) return;
@@ -91,14 +90,14 @@
     }
   }
 
-  /** Notes, as a head, that a member is lost or took another place. */
+  /** Marks, on the head, that a member was lost or joined another replica. */
   loseMember(now: number): void {
     if (this.place !== undefined) this.place.brokenAt ??= now + INSTANCE_TIMES.stallMs;
   }
 
   /**
-   * Carries an order out.
-   * @param onPlaceGivenUp - Called with the place that it had until now.
+   * Executes an order.
+   * @param onPlaceLeft - Called with the place that the instance had until now.
    */
   take(
     now: number,
--- a/test/registration/ownership/OrderModel.ts
+++ b/test/registration/ownership/OrderModel.ts
@@ -1,8 +1,8 @@
 /**
- * Orders on their way to the instances of a model: they arrive, are lost, lose their answer, or are
- * carried out seconds later, after newer ones.
+ * Simulates the network between the leader and the instances: orders arrive, are lost, lose their answer, or
+ * are executed seconds later, after newer ones.
  *
- * A test of our own code: time is simulated.
+ * Time is simulated.
  */
 import type { RandomSource } from "../../../src/consensus";
 import type {
@@ -15,48 +15,48 @@
 } from "../../../src/registration";
 import type { InstanceModel, Place } from "./InstanceModel";
 
-/** What may happen to an order, as parts of all orders. */
+/** Probabilities of faults, as fractions of all orders. */
 export interface OrderFaults {
-  /** It is not carried out. */
+  /** The order is not executed. */
   readonly lost: number;
-  /** It is carried out, and its answer is lost. */
+  /** The order is executed, and its answer is lost. */
   readonly unanswered: number;
-  /** It gets no answer and is carried out seconds later, after newer ones. */
+  /** The order gets no answer and is executed seconds later, after newer ones. */
   readonly late: number;
-  /** An order, and its answer, are under way for up to so long beyond the usual, milliseconds. */
+  /** Maximum extra delay of an order, and of its answer, milliseconds. */
   readonly slowMs?: number;
 }
 
-/** Orders that arrive and are answered. */
+/** No faults: all orders arrive and are answered. */
 export const RELIABLE: OrderFaults = { lost: 0, unanswered: 0, late: 0 };
 
-/** The instances that orders go to. */
+/** Access to the simulated fleet. */
 export interface OrderModelOptions {
   readonly random: RandomSource;
   readonly getNow: () => number;
-  /** Gets who listens at an address. */
+  /** Gets the instance that listens at an address. */
   readonly getListener: (address: string) => InstanceModel | undefined;
-  /** Gets all lives of an instance, ended or not. */
+  /** Gets all incarnations of an instance, ended or not. */
   readonly getLives: (id: string) => readonly InstanceModel[];
   readonly runAfter: (milliseconds: number, run: () => void) => void;
-  /** Called when an instance gives a place up. */
+  /** Called when an instance leaves a place. */
   readonly onPlaceGivenUp: (place: Place, instanceId: string) => void;
 }
 
-/** An order that gets no answer is waited for so long, milliseconds. */
+/** Timeout of an order that gets no answer, milliseconds. */
 const ANSWER_MS = 1_000;
-/** An order and its answer travel for so long, milliseconds. */
+/** Travel time of an order and its answer, milliseconds. */
 const ORDER_MS = 10;
-/** Orders that are carried out late wait for so long at the least and at the most, milliseconds. */
+/** Minimum and maximum delay of orders that are executed late, milliseconds. */
 const LATE_MS = [2_000, 12_000] as const;
 
-/** Orders, and what they came to. */
+/** Orders to simulated instances, with faults. */
 export class OrderModel implements InstanceOrders {
-  /** What happens to orders from now on. */
+  /** The faults of orders from now on. */
   faults: OrderFaults = RELIABLE;
-  /** A defect on purpose: orders to leave are answered and not carried out. */
+  /** A deliberate defect: orders to leave are answered but not executed. */
   ignoresLeaves = false;
-  /** Instances that took a place while the head of their earlier one took requests. */
+  /** Instances that joined a replica while the head of their earlier one accepted requests. */
   readonly shared: string[] = [];
   private readonly _options: OrderModelOptions;
 
@@ -64,7 +64,6 @@
     this._options = options;
   }
 
-  /** Sends one order. */
   async send(receiver: OrderReceiver, order: InstanceOrder, fence: number): Promise<OrderOutcome> {
     const { random, getListener, runAfter } = this._options;
     const drawn = random.next();
@@ -89,7 +88,7 @@
     return outcome;
   }
 
-  /** Asks by an order, which may be lost as any other. */
+  /** Checks which instance answers, by an order that may be lost like any other. */
   async identify({ instanceId, address }: OrderReceiver, timeoutMs: number): Promise<Identity> {
     const { lost, unanswered, late } = this.faults;
     const isLost = this._options.random.next() < lost + unanswered + late;
@@ -101,7 +100,7 @@
     return listener.id === instanceId ? "itself" : "another";
   }
 
-  /** Asks which life of an instance answers. */
+  /** Gets the start time of the incarnation that answers. */
   async askBorn({ instanceId, address }: OrderReceiver, timeoutMs: number): Promise<number | undefined> {
     await wait(ORDER_MS);
     const listener = this._options.getListener(address);
@@ -109,7 +108,7 @@
     return listener?.id === instanceId && !listener.isCut ? listener.born : undefined;
   }
 
-  /** Asks for a sign of life. */
+  /** Probes an instance. */
   async probe({ address }: OrderReceiver, timeoutMs: number): Promise<ProbeOutcome> {
     await wait(ORDER_MS);
     const { slowMs = 0 } = this.faults;
--- a/test/registration/ownership/OverloadModel.ts
+++ b/test/registration/ownership/OverloadModel.ts
@@ -1,44 +1,45 @@
 /**
- * When a leader that has more to do than it can takes what is sent to it.
+ * Simulates when an overloaded leader processes the calls that it receives.
  *
- * A test of our own code: time is simulated.
+ * Time is simulated.
  */
 import type { RandomSource } from "../../../src/consensus";
 
-/** What an overloaded control does to what goes through it, milliseconds. */
+/** Times of an overloaded control process, milliseconds. */
 export interface OverloadTimes {
-  /** A leader takes nothing for so long at the most; what arrives meanwhile is taken all at once. */
+  /**
+   * Maximum duration of a stall. The leader processes no calls during a stall, and all calls that arrived
+   * meanwhile at its end.
+   */
   readonly deafMs: number;
-  /** Between two such times it takes everything, for so long at the most. */
+  /** Maximum time between two stalls, in which the leader processes each call at once. */
   readonly hearingMs: number;
-  /** A process that tells the leader something gives the call up after this time, and tells it again. */
+  /** Timeout after which a caller abandons a call to the leader and sends its content again. */
   readonly patienceMs: number;
 }
 
-/** What goes through a control that is not overloaded. */
+/** Times of a control process that is not overloaded. */
 export const CALM: OverloadTimes = { deafMs: 0, hearingMs: 0, patienceMs: 0 };
 
-/** What is taken at once comes in any order within this time, milliseconds. */
+/** Calls that are processed at the end of a stall come in any order within this time, milliseconds. */
 const BURST_MS = 200;
-/** Part of the calls given up that are carried out all the same. */
+/** Fraction of abandoned calls that the leader processes all the same. */
 const TAKEN_SHARE = 0.5;
 
-/** A leader that answers nothing for seconds, now and then. */
+/** A leader that repeatedly stalls for seconds. */
 export class OverloadModel {
-  /** What the overload is like from now on. */
+  /** The overload from now on. */
   times: OverloadTimes = CALM;
   private readonly _random: RandomSource;
   private _deafUntil = 0;
   private _hearsUntil = 0;
 
-  /**
-   * @param random - Draws how long it lasts.
-   */
+  /** @param random - Draws the durations of stalls. */
   constructor(random: RandomSource) {
     this._random = random;
   }
 
-  /** Gets how long a call waits until the leader takes it; 0 when it does at once. */
+  /** Gets how long a call waits until the leader processes it; 0 if the leader does so at once. */
   getWaitMs(now: number): number {
     if (this.times.deafMs === 0) return 0;
     if (now >= this._hearsUntil) this._drawTimes(now);
@@ -46,7 +47,7 @@
     return this._deafUntil - now + this._random.next() * BURST_MS;
   }
 
-  /** Draws whether a call that its caller gave up is carried out all the same. */
+  /** Draws whether the leader processes a call that its caller abandoned. */
   isTakenAnyway(): boolean {
     return this._random.next() < TAKEN_SHARE;
   }
--- a/test/registration/ownership/playFleet.ts
+++ b/test/registration/ownership/playFleet.ts
@@ -1,27 +1,27 @@
-/** Plays a fleet in trouble with many seeds. */
+/** Simulates a fleet under faults with many seeds. */
 import { FleetModel, type FleetOptions } from "./FleetModel";
 import { RELIABLE } from "./OrderModel";
 import { CALM } from "./OverloadModel";
 
-/** The first of the seeds, and how many: others are tried by hand. */
+/** The first seed and the number of seeds, which can be set for manual runs. */
 const [FIRST_SEED = 1, SEED_COUNT = 40] = process.env.PLOVERSTAGE_MODEL_SEEDS?.split(",").map(Number) ?? [];
-/** Seeds of what goes wrong, and when. */
+/** Seeds for the kinds and times of faults. */
 export const SEEDS = Array.from({ length: SEED_COUNT }, (_, i) => FIRST_SEED + i);
 export const FORMATION_MS = 6_000;
-/** Long enough for a head without its members to break, and for replicas to be formed again. */
+/** Long enough for a head without its members to break and for replicas to be formed again. */
 const RECOVERY_MS = 15_000;
-/** Two fabric domains of seven instances, replicas of three. */
+/** Two fabric domains of seven instances each, replicas of three. */
 export const WANTED_REPLICAS = 4;
 
-/** What many seeds came to. */
+/** The result of a simulation with many seeds. */
 export interface Outcome {
-  /** Instances that were in two replicas. */
+  /** Instances that were in two replicas at once. */
   readonly shared: string[];
-  /** Seeds whose replicas did not come back. */
+  /** Seeds whose replicas did not recover. */
   readonly unrecovered: number[];
 }
 
-/** Plays one kind of trouble with each seed. */
+/** Injects one kind of fault with each seed. */
 export async function playFleet(
   seeds: readonly number[],
   trouble: (fleet: FleetModel) => Promise<void>,
--- a/test/registration/planningConfiguration.test.ts
+++ b/test/registration/planningConfiguration.test.ts
@@ -31,7 +31,7 @@
 }
 
 describe("createPlanningConfiguration", () => {
-  it("leaves a domain that lost all its replicas the model that its instances hold", () => {
+  it("keeps the model staged by its instances for a domain that lost all replicas", () => {
     const left = createInstances(3, { fabricDomain: "a", model: "m", modelVersion: "1" });
     const cold = createInstances(5, { fabricDomain: "a" }).map((instance, i) => ({
       ...instance,
@@ -46,7 +46,7 @@
     expect(getModels([...swapped, ...held]).models).toEqual({ a: "n", b: "m" });
   });
 
-  it("counts what loads ahead of need, and nobody who is gone or whose replica retires", () => {
+  it("counts instances that load in advance, but not absent ones or those of retiring replicas", () => {
     const gone = createInstances(5, { fabricDomain: "a", model: "n", answeredAt: NOW - 60_000 });
     const staging = createInstances(1, { fabricDomain: "a", stagingModel: "m", isLoading: true });
     const other = createInstances(3, { fabricDomain: "b", model: "n", modelVersion: "1" });
@@ -55,7 +55,7 @@
     expect(getModels(instances, false, { replicas: [replica] }).models).toEqual({ a: "m", b: "n" });
   });
 
-  it("keeps to the loads that run at full speed, but for the first formation", () => {
+  it("limits loads to those that run at full speed, except in the first formation", () => {
     expect(getModels(createInstances(4)).concurrentLoads).toBe(6);
     expect(getModels(createInstances(4), true).concurrentLoads).toBe(12);
   });
--- a/test/registration/sizeGroups.test.ts
+++ b/test/registration/sizeGroups.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("sizeGroups", () => {
-  it("gives each fabric domain one model, in proportion to the work", () => {
+  it("assigns one model to each fabric domain, in proportion to the work", () => {
     const { counts, modelByDomain } = size(
       [createModel("a", 4, 0.57), createModel("b", 3, 0.43)],
       [9, 9, 9, 9, 9, 9],
@@ -34,7 +34,7 @@
     expect([...modelByDomain.values()].sort()).toEqual(["a", "a", "a", "b", "b", "b"]);
   });
 
-  it("leaves a domain its model, however the others are given out", () => {
+  it("keeps the model of a domain that has one, and distributes the other domains", () => {
     const models = [createModel("a", 4, 0.57), createModel("b", 3, 0.43)];
     const present = new Map([
       ["d0", "b"],
@@ -44,14 +44,14 @@
     expect(Object.fromEntries(modelByDomain)).toEqual({ d0: "b", d1: "b", d2: "a", d3: "a" });
   });
 
-  it("mixes models where there are too few domains, and leaves none without a replica", () => {
+  it("mixes models if there are too few domains, and gives each model a replica", () => {
     expect(size([createModel("a", 4, 0.57), createModel("b", 3, 0.43)], [9]).counts).toEqual({ a: 1, b: 1 });
     const skewed = size([createModel("a", 2, 0.95), createModel("b", 2, 0.05)], [8, 8]);
     expect(skewed.modelByDomain.size).toBe(0);
     expect(skewed.counts.a).toBeGreaterThan(skewed.counts.b!);
   });
 
-  it("keeps a reserve in every domain, and forms nothing where instances are too few", () => {
+  it("keeps a reserve in every domain, and forms no replica if there are too few instances", () => {
     expect(size([createModel("a", 4, 1)], [9, 9], 2).counts).toEqual({ a: 2 });
     expect(size([createModel("a", 16, 1)], [9, 9]).counts).toEqual({ a: 0 });
     expect(size([createModel("a", 4, 1)], []).counts).toEqual({ a: 0 });
