--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -104,8 +104,8 @@
 
   /** Gets when an instance last answered. Only time in which its reports could arrive counts against it. */
   private _getAnsweredAt(now: number, instanceId: string, reportedAt: number): number {
-    const { suspicions: doubts, hearing } = this._options;
-    return doubts.isDoubted(instanceId, reportedAt) ? NEVER : now - hearing.getSilentMs(now, reportedAt);
+    const { suspicions, hearing } = this._options;
+    return suspicions.isDoubted(instanceId, reportedAt) ? NEVER : now - hearing.getSilentMs(now, reportedAt);
   }
 
   private _createInstanceFacts(
--- a/src/registration/ReplicaCloser.ts
+++ b/src/registration/ReplicaCloser.ts
@@ -124,13 +124,8 @@
     if (place !== undefined && place.epoch > replica.epoch) return "headMoved";
     // Without this rule a crashed head blocked the other instances for 4.7 s, the time for which they might
     // still have accepted requests with it.
-    const {
-      memberLeftAt,
-      leftMembers,
-      isAwaitingMembers: awaitsMembers,
-      isHeadUnreachable: isHeadLost,
-    } = closing;
-    if (isHeadLost && leftMembers.size > 0 && !awaitsMembers) return "membersLeft";
+    const { memberLeftAt, leftMembers, isAwaitingMembers, isHeadUnreachable } = closing;
+    if (isHeadUnreachable && leftMembers.size > 0 && !isAwaitingMembers) return "membersLeft";
     const mustBeBroken = memberLeftAt !== undefined && now - memberLeftAt > times.stallMs + BREAK_MARGIN_MS;
     return mustBeBroken ? "memberLeft" : undefined;
   }
@@ -219,9 +214,6 @@
  * answer receives another one before it joins another replica, or when the head is unreachable and all
  * members wait for its answer.
  */
-function isDueMember(
-  { isHeadUnreachable: isHeadLost, orderedMembers: askedMembers }: Closing,
-  { instanceId }: OrderReceiver,
-): boolean {
-  return isHeadLost || !askedMembers.has(instanceId);
+function isDueMember({ isHeadUnreachable, orderedMembers }: Closing, { instanceId }: OrderReceiver): boolean {
+  return isHeadUnreachable || !orderedMembers.has(instanceId);
 }
--- a/test/registration/GivenUpPlaces.test.ts
+++ b/test/registration/GivenUpPlaces.test.ts
@@ -41,18 +41,23 @@
     sequence += 1;
     const place =
       epoch === undefined ? undefined : { replicaId: `g-${epoch}`, epoch, state: PlaceState.OPEN };
-    const said = create(InstanceReportSchema, { instanceId: "f0", sequence, address: "f0:1", place });
-    registry.addReport(at, said);
+    const instanceReport = create(InstanceReportSchema, {
+      instanceId: "f0",
+      sequence,
+      address: "f0:1",
+      place,
+    });
+    registry.addReport(at, instanceReport);
   }
 
   it("returns the instance's last served replica, whatever it reports, until it confirms its leave", () => {
-    const held = { replicaId: "g-3", epoch: 3 };
-    expect(places.getHeldPlace("f0", next)).toEqual(held);
+    const occupied = { replicaId: "g-3", epoch: 3 };
+    expect(places.getHeldPlace("f0", next)).toEqual(occupied);
     report(RELEASED_AT, undefined);
-    expect(places.getHeldPlace("f0", next)).toEqual(held);
+    expect(places.getHeldPlace("f0", next)).toEqual(occupied);
     places.addLeave(RELEASED_AT, "f0", 3);
     expect(places.getHeldPlace("f0", next)).toBeUndefined();
-    expect(places.getHeldPlace("f1", next)).toEqual(held);
+    expect(places.getHeldPlace("f1", next)).toEqual(occupied);
   });
 
   it("returns the time of the instance's latest leave confirmation", () => {
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -251,11 +251,11 @@
   }
 
   private _startIncarnation(host: Host): InstanceModel {
-    const { keepsIds, checksFences = false, omitsStartTimes: hidesStarts } = this._options;
+    const { keepsIds, checksFences = false, omitsStartTimes } = this._options;
     this._incarnationCount += 1;
     const incarnation = {
       instanceId: keepsIds ? host.name : `${host.name}-${this._incarnationCount}`,
-      born: hidesStarts ? 0 : this._now + host.clockErrorMs,
+      born: omitsStartTimes ? 0 : this._now + host.clockErrorMs,
     };
     const instance = new InstanceModel(incarnation, host, checksFences);
     this._instances.push(instance);
@@ -278,8 +278,8 @@
 
   /** Draws which attributes of a host change when its instance restarts. */
   private _changeHost(host: Host): void {
-    const { changesAddress: moves, setsClocksBack } = this._options;
-    if (moves && this._random.next() < 0.5) host.address = `${host.name}:${this._incarnationCount}`;
+    const { changesAddress, setsClocksBack } = this._options;
+    if (changesAddress && this._random.next() < 0.5) host.address = `${host.name}:${this._incarnationCount}`;
     if (setsClocksBack && this._random.next() < 0.5) host.clockErrorMs -= CLOCK_STEP_MS;
   }
 
--- a/test/registration/ownership/OrderModel.ts
+++ b/test/registration/ownership/OrderModel.ts
@@ -124,19 +124,17 @@
   }
 
   private _execute(receiver: OrderReceiver, order: InstanceOrder, fence: number): OrderOutcome {
-    const { getNow, getListener, onPlaceLeft: onPlaceGivenUp } = this._options;
+    const { getNow, getListener, onPlaceLeft } = this._options;
     const listener = getListener(receiver.address);
     if (listener === undefined) return "absent";
     if (listener.id !== receiver.instanceId) return "elsewhere";
     if (order.kind === "leave" && this.ignoresLeaves) return "done";
     const previous = listener.place;
     const wasAccepting = previous !== undefined && this._acceptsRequests(previous);
-    const outcome = listener.execute(getNow(), order, fence, (place) => onPlaceGivenUp(place, listener.id));
+    const outcome = listener.execute(getNow(), order, fence, (place) => onPlaceLeft(place, listener.id));
     const { place } = listener;
     if (wasAccepting && place !== undefined && place.replicaId !== previous.replicaId) {
-      this.shared.push(
-        `${listener.id} took a place in ${place.replicaId} while ${previous.replicaId} was open`,
-      );
+      this.shared.push(`${listener.id} joined ${place.replicaId} while ${previous.replicaId} was open`);
     }
     return outcome;
   }
--- a/test/registration/ownership/ownership.test.ts
+++ b/test/registration/ownership/ownership.test.ts
@@ -146,12 +146,12 @@
         await fleet.run(2_500);
       }
     }
-    const MOVING = { keepsIds: true, moves: true };
+    const CHANGING_ADDRESS = { keepsIds: true, changesAddress: true };
     const kinds: readonly [string, FleetOptions][] = [
       ["at their addresses", { keepsIds: true }],
-      ["at other addresses", MOVING],
-      ["with clocks that are set back", { ...MOVING, setsClocksBack: true }],
-      ["and check fencing tokens", { ...MOVING, setsClocksBack: true, checksFences: true }],
+      ["at other addresses", CHANGING_ADDRESS],
+      ["with clocks that are set back", { ...CHANGING_ADDRESS, setsClocksBack: true }],
+      ["and check fencing tokens", { ...CHANGING_ADDRESS, setsClocksBack: true, checksFences: true }],
     ];
 
     it.each(kinds)("are in one replica at a time, %s", async (_, options) => {
@@ -166,8 +166,11 @@
         for (let i = 0; i < 8; i++) fleet.restartInstance(300);
       };
       const seeds = SEEDS.slice(0, 5);
-      expect(await simulateFleets(seeds, restartMany, MOVING)).toEqual({ shared: [], unrecovered: [] });
-      const hidden = await simulateFleets(seeds, restartMany, { ...MOVING, omitsStartTimes: true });
+      expect(await simulateFleets(seeds, restartMany, CHANGING_ADDRESS)).toEqual({
+        shared: [],
+        unrecovered: [],
+      });
+      const hidden = await simulateFleets(seeds, restartMany, { ...CHANGING_ADDRESS, omitsStartTimes: true });
       expect(hidden.unrecovered.length).toBeGreaterThan(0);
     });
   });
