--- a/src/registration/GivenUpPlaces.ts
+++ b/src/registration/GivenUpPlaces.ts
@@ -24,7 +24,7 @@
 }
 
 /** The leave confirmations that one leader received. */
-export class GivenUpPlaces {
+export class LeaveConfirmations {
   private readonly _registry: InstanceRegistry;
   private readonly _getMachine: () => StateMachine;
   private readonly _leaves = new Map<string, Leave>();
@@ -59,7 +59,7 @@
    * @param next - The replica that it is to join.
    * @returns `undefined` when the instance is in no other replica whose head may be open.
    */
-  getHeldPlace(instanceId: string, next: Replica): OccupiedPlace | undefined {
+  getOccupiedPlace(instanceId: string, next: Replica): OccupiedPlace | undefined {
     const committed = this._getReleasedPlace(instanceId);
     const reported = this._getReportedPlace(instanceId, next);
     const occupied = (reported?.epoch ?? 0) >= (committed?.epoch ?? 0) ? reported : committed;
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Creates facts for members that have not reported in this term. They count as present, as committed in the
-   * state, until they have sent no report for as long as any other absent instance.
+   * Creates facts for members that have not reported in this term. Since they are committed members, they
+   * count as present until the same timeout expires as for any other instance that sends no reports.
    */
   private _createUnreportedFacts(now: number, replicas: readonly Replica[]): InstanceFacts[] {
     const { registry, machine, hearing } = this._options;
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -11,7 +11,7 @@
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
 import { type Action, type InstanceFacts, REASON } from "../planner";
-import { GivenUpPlaces, type OccupiedPlace } from "./GivenUpPlaces";
+import { LeaveConfirmations, type OccupiedPlace } from "./GivenUpPlaces";
 import type { Hearing } from "./Hearing";
 import { IdentityChecks } from "./IdentityChecks";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
@@ -30,7 +30,7 @@
   type PlanningTimes,
   ServicePlanner,
 } from "./ServicePlanner";
-import { StrayHeads } from "./StrayHeads";
+import { OrphanHeads } from "./StrayHeads";
 
 /** Times and limits of replica control, milliseconds. */
 export interface ReplicaTimes extends ClosingTimes, PlanningTimes {}
@@ -71,8 +71,8 @@
   private readonly _facts: PlanningFactsSource;
   private readonly _suspicions = new PresenceDoubts();
   private readonly _identities: IdentityChecks;
-  private readonly _orphanHeads: StrayHeads;
-  private readonly _leaveConfirmations: GivenUpPlaces;
+  private readonly _orphanHeads: OrphanHeads;
+  private readonly _leaveConfirmations: LeaveConfirmations;
   private readonly _probedAt = new Map<string, number>();
   private _isStepping = false;
 
@@ -81,8 +81,8 @@
     const { registry, hearing, driver } = options;
     this._closer = new ReplicaCloser(registry);
     this._identities = new IdentityChecks(options);
-    this._orphanHeads = new StrayHeads(registry, () => driver.machine, hearing.startedAt);
-    this._leaveConfirmations = new GivenUpPlaces(registry, () => driver.machine);
+    this._orphanHeads = new OrphanHeads(registry, () => driver.machine, hearing.startedAt);
+    this._leaveConfirmations = new LeaveConfirmations(registry, () => driver.machine);
     this._dispatcher = new OrderDispatcher({
       ...options,
       term: driver.node.term,
@@ -329,7 +329,7 @@
    * first that it left it.
    */
   private _joinInstance(replica: Replica, instance: InstanceFacts): void {
-    const occupied = this._leaveConfirmations.getHeldPlace(instance.id, replica);
+    const occupied = this._leaveConfirmations.getOccupiedPlace(instance.id, replica);
     if (occupied === undefined) {
       void this._sendJoin(replica, instance);
       return;
--- a/src/registration/StrayHeads.ts
+++ b/src/registration/StrayHeads.ts
@@ -16,7 +16,7 @@
 const ACTIVE_STATES = new Set([PlaceState.JOINING, PlaceState.READY, PlaceState.OPEN, PlaceState.CLOSING]);
 
 /** The orphan heads of one leadership term. */
-export class StrayHeads {
+export class OrphanHeads {
   private readonly _registry: InstanceRegistry;
   private readonly _getMachine: () => StateMachine;
   private readonly _startedAt: number;
--- a/test/registration/GivenUpPlaces.test.ts
+++ b/test/registration/GivenUpPlaces.test.ts
@@ -8,7 +8,7 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { GivenUpPlaces } from "../../src/registration/GivenUpPlaces";
+import { LeaveConfirmations } from "../../src/registration/GivenUpPlaces";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import type { StateMachine } from "../../src/state";
 import { createInstances, createReplica } from "../support/planning";
@@ -18,7 +18,7 @@
 describe("LeaveConfirmations", () => {
   let known: Replica[];
   let registry: InstanceRegistry;
-  let places: GivenUpPlaces;
+  let places: LeaveConfirmations;
   let sequence: number;
   const { replica: next } = createReplica(9, createInstances(3), { phase: ReplicaPhase.FORMING });
 
@@ -34,7 +34,7 @@
       getKnownReplicas: () => known,
       getReplica: (id: string) => known.find((replica) => replica.id === id),
     };
-    places = new GivenUpPlaces(registry, () => machine as unknown as StateMachine);
+    places = new LeaveConfirmations(registry, () => machine as unknown as StateMachine);
   });
 
   function report(at: number, epoch: number | undefined): void {
@@ -52,12 +52,12 @@
 
   it("returns the instance's last served replica, whatever it reports, until it confirms its leave", () => {
     const occupied = { replicaId: "g-3", epoch: 3 };
-    expect(places.getHeldPlace("f0", next)).toEqual(occupied);
+    expect(places.getOccupiedPlace("f0", next)).toEqual(occupied);
     report(RELEASED_AT, undefined);
-    expect(places.getHeldPlace("f0", next)).toEqual(occupied);
+    expect(places.getOccupiedPlace("f0", next)).toEqual(occupied);
     places.addLeave(RELEASED_AT, "f0", 3);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
-    expect(places.getHeldPlace("f1", next)).toEqual(occupied);
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f1", next)).toEqual(occupied);
   });
 
   it("returns the time of the instance's latest leave confirmation", () => {
@@ -70,27 +70,27 @@
   it("returns the place again once the instance reports it after its confirmation", () => {
     report(RELEASED_AT - 10, 3);
     places.addLeave(RELEASED_AT, "f0", 3);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
     report(RELEASED_AT + 10, 3);
-    expect(places.getHeldPlace("f0", next)).toEqual({ replicaId: "g-3", epoch: 3 });
+    expect(places.getOccupiedPlace("f0", next)).toEqual({ replicaId: "g-3", epoch: 3 });
     places.addLeave(RELEASED_AT + 20, "f0", 3);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
   });
 
   it("returns a reported place in an unknown replica, and ignores a confirmation for an older one", () => {
     report(RELEASED_AT, 5);
     places.addLeave(RELEASED_AT, "f0", 3);
-    expect(places.getHeldPlace("f0", next)).toEqual({ replicaId: "g-5", epoch: 5 });
+    expect(places.getOccupiedPlace("f0", next)).toEqual({ replicaId: "g-5", epoch: 5 });
     places.addLeave(RELEASED_AT + 1, "f0", 5);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
   });
 
   it("returns no place for a replica that never served, nor for the replica to join", () => {
     known = [{ ...known[0]!, servedAtIndex: 0 }];
     report(RELEASED_AT, 3);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
     report(RELEASED_AT, 9);
-    expect(places.getHeldPlace("f0", next)).toBeUndefined();
-    expect(places.getHeldPlace("f7", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f0", next)).toBeUndefined();
+    expect(places.getOccupiedPlace("f7", next)).toBeUndefined();
   });
 });
--- a/test/registration/StrayHeads.test.ts
+++ b/test/registration/StrayHeads.test.ts
@@ -3,7 +3,7 @@
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
-import { StrayHeads } from "../../src/registration/StrayHeads";
+import { OrphanHeads } from "../../src/registration/StrayHeads";
 import type { StateMachine } from "../../src/state";
 import { createInstances, createReplica } from "../support/planning";
 
@@ -12,7 +12,7 @@
 describe("OrphanHeads", () => {
   let replica: Replica;
   let registry: InstanceRegistry;
-  let orphanHeads: StrayHeads;
+  let orphanHeads: OrphanHeads;
   let sequence: number;
 
   beforeEach(() => {
@@ -21,7 +21,7 @@
     registry = new InstanceRegistry();
     sequence = 0;
     const getReplica = (id: string) => (id === replica.id ? replica : undefined);
-    orphanHeads = new StrayHeads(registry, () => ({ getReplica }) as unknown as StateMachine, 0);
+    orphanHeads = new OrphanHeads(registry, () => ({ getReplica }) as unknown as StateMachine, 0);
     for (const { instanceId } of replica.members) report(LEFT_AT - 100, instanceId, PlaceState.READY);
     orphanHeads.addRelease(LEFT_AT, replica.id);
   });
@@ -42,7 +42,7 @@
   });
 
   it("ignores a head without a report since its replica's release and since the term began", () => {
-    const other = new StrayHeads(
+    const other = new OrphanHeads(
       registry,
       () => ({ getReplica: () => replica }) as unknown as StateMachine,
       LEFT_AT,
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -166,11 +166,11 @@
    * Deposes the leader by a partition. Another control process leads at once, while the deposed leader
    * continues until it notices.
    */
-  deposeLeader(continuesMs: number): void {
+  deposeLeader(noticeMs: number): void {
     const deposed = this._controlProcesses.find(({ leadership }) => leadership !== undefined)!;
     const { leadership } = deposed;
     deposed.leadership = undefined;
-    this._runAfter(continuesMs, () => leadership?.end());
+    this._runAfter(noticeMs, () => leadership?.end());
     this._startLeadership(this._draw(this._controlProcesses.filter((controller) => controller !== deposed)));
   }
 
--- a/test/registration/ownership/overload.test.ts
+++ b/test/registration/ownership/overload.test.ts
@@ -7,7 +7,7 @@
 import { SeededRandom } from "../../../src/consensus";
 import { type Replica, ReplicaPhase } from "../../../src/gen/ploverstage/v1/state_pb";
 import type { OrderReceiver } from "../../../src/registration";
-import { GivenUpPlaces } from "../../../src/registration/GivenUpPlaces";
+import { LeaveConfirmations } from "../../../src/registration/GivenUpPlaces";
 import { InstanceRegistry } from "../../../src/registration/InstanceRegistry";
 import type { StateMachine } from "../../../src/state";
 import { createInstances, createReplica } from "../../support/planning";
@@ -132,7 +132,7 @@
       runAfter: () => {},
       onPlaceLeft: () => head.loseMember(now),
     });
-    const places = new GivenUpPlaces(new InstanceRegistry(), () => createMachine(before));
+    const places = new LeaveConfirmations(new InstanceRegistry(), () => createMachine(before));
     async function send(receiver: OrderReceiver, kind: "join" | "open" | "leave", { id, epoch }: Replica) {
       const order = {
         kind,
@@ -156,13 +156,13 @@
     places.addLeave(now, second.instanceId, before.epoch);
     // The leader has received no report from the instance.
     await send(second, "join", before);
-    if (places.getHeldPlace(second.instanceId, next) !== undefined) await send(second, "leave", before);
+    if (places.getOccupiedPlace(second.instanceId, next) !== undefined) await send(second, "leave", before);
     await send(second, "join", next);
     expect(orders.shared).toEqual([]);
   });
 
   it("are detected in two replicas if they are not ordered to leave themselves (deliberate defect)", async () => {
-    vi.spyOn(GivenUpPlaces.prototype, "getHeldPlace").mockReturnValue(undefined);
+    vi.spyOn(LeaveConfirmations.prototype, "getHeldPlace").mockReturnValue(undefined);
     const { shared } = await simulateFleets(SEEDS.slice(0, 10), changeLeaders);
     expect(shared.length).toBeGreaterThan(0);
   });
