--- a/test/registration/ownership/overload.test.ts
+++ b/test/registration/ownership/overload.test.ts
@@ -162,7 +162,7 @@
   });
 
   it("are detected in two replicas if they are not ordered to leave themselves (deliberate defect)", async () => {
-    vi.spyOn(LeaveConfirmations.prototype, "getHeldPlace").mockReturnValue(undefined);
+    vi.spyOn(LeaveConfirmations.prototype, "getOccupiedPlace").mockReturnValue(undefined);
     const { shared } = await simulateFleets(SEEDS.slice(0, 10), changeLeaders);
     expect(shared.length).toBeGreaterThan(0);
   });
