--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -9,7 +9,7 @@
 
 /** Counts the loads that began within the sliding window. */
 export class LoadLimiter {
-  private _startedAt: number[] = [];
+  private _startTimes: number[] = [];
 
   /**
    * Adds one load if the window has capacity for it.
@@ -18,10 +18,10 @@
    */
   takeLoad(now: number, limit: LoadLimit | undefined): boolean {
     if (limit !== undefined) {
-      this._startedAt = this._startedAt.filter((startedAt) => now - startedAt < limit.windowMs);
-      if (this._startedAt.length >= limit.loads) return false;
+      this._startTimes = this._startTimes.filter((startedAt) => now - startedAt < limit.windowMs);
+      if (this._startTimes.length >= limit.loads) return false;
     }
-    this._startedAt.push(now);
+    this._startTimes.push(now);
     return true;
   }
 }
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -156,6 +156,6 @@
 }
 
 function getOrderKey(life: Life, order: InstanceOrder): string {
-  const about = order.kind === "stage" ? order.model : `${order.replicaId}/${order.epoch}`;
-  return `${getLifeKey(life)}/${order.kind}/${about}`;
+  const subject = order.kind === "stage" ? order.model : `${order.replicaId}/${order.epoch}`;
+  return `${getLifeKey(life)}/${order.kind}/${subject}`;
 }
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -123,7 +123,7 @@
       place?.state === PlaceState.JOINING
         ? replicas.find((replica) => replica.id === place.replicaId)
         : undefined;
-    const joinsCold = joined !== undefined && !report.stagedModels.includes(joined.model);
+    const loadsToJoin = joined !== undefined && !report.stagedModels.includes(joined.model);
     return {
       id: InstanceId(instanceId),
       born: report.born,
@@ -139,7 +139,7 @@
       model,
       modelVersion: model === "" ? "" : LOADED_VERSION,
       isLoading: dispatcher.isBusy(report) || joined !== undefined || stagingModel !== undefined,
-      readsWeights: joinsCold || stagingModel !== undefined || dispatcher.hasRecentLoadOrder(now, report),
+      readsWeights: loadsToJoin || stagingModel !== undefined || dispatcher.hasRecentLoadOrder(now, report),
       stagingModel,
       isUncertain: this._isUncertain(now, instance, presenceMs),
       losses: [],
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -2,7 +2,7 @@
  * Keeps the replicas in the state that the planner computes: each step runs the planner once and executes its
  * decisions through the log and by orders to instances.
  *
- * Exists only while this process leads. All data on instances comes from their reports.
+ * A controller exists only while this process leads. It receives all data on instances from their reports.
  */
 import type { Clock, LoopLag } from "../clock";
 import type { ConsensusDriver } from "../consensus";
@@ -55,7 +55,7 @@
 /** Minimum interval between two probes of the members of one replica. */
 const PROBE_INTERVAL_MS = 1_000;
 const PROBE_TIMEOUT_MS = 250;
-/** Consecutive probes of one instance until its last report is old enough to suspect it. */
+/** Maximum number of consecutive probes of an instance whose last report is still too recent to suspect it. */
 const MAX_PROBES = 4;
 /** An instance whose last report is more recent than this counts as present, whatever a probe returns. */
 const MIN_REPORT_AGE_MS = 600;
@@ -335,8 +335,8 @@
       return;
     }
     void this._leave(getReceiver(instance), occupied).then((hasLeft) => {
-      const isWanted = this._options.driver.machine.getReplica(replica.id)?.phase === ReplicaPhase.FORMING;
-      if (hasLeft && isWanted) void this._sendJoin(replica, instance);
+      const isForming = this._options.driver.machine.getReplica(replica.id)?.phase === ReplicaPhase.FORMING;
+      if (hasLeft && isForming) void this._sendJoin(replica, instance);
     });
   }
 
--- a/test/registration/ownership/overload.test.ts
+++ b/test/registration/ownership/overload.test.ts
@@ -33,7 +33,7 @@
 const LATE_JOIN_LEADER_SEEDS = [9, 400, 443, 507, 635];
 /** The seed with the same fault for instances that restart under their ids. */
 const LATE_JOIN_ID_SEED = 200;
-const SHARED_IDS: FleetOptions = { keepsIds: true, changesAddress: true, setsClocksBack: true };
+const KEPT_ID_OPTIONS: FleetOptions = { keepsIds: true, changesAddress: true, setsClocksBack: true };
 /** A quarter of the seeds: other tests cover incarnations that share an id. */
 const ID_SEEDS = SEEDS.filter((seed) => seed % 4 === 0);
 
@@ -101,7 +101,7 @@
       shared: [],
       unrecovered: [],
     });
-    expect(await simulateFleets([LATE_JOIN_ID_SEED], changeLeaders, SHARED_IDS)).toEqual({
+    expect(await simulateFleets([LATE_JOIN_ID_SEED], changeLeaders, KEPT_ID_OPTIONS)).toEqual({
       shared: [],
       unrecovered: [],
     });
@@ -113,7 +113,7 @@
   });
 
   it("are in one replica at a time though they restart under their ids", async () => {
-    expect(await simulateFleets(ID_SEEDS, changeLeaders, SHARED_IDS)).toEqual({
+    expect(await simulateFleets(ID_SEEDS, changeLeaders, KEPT_ID_OPTIONS)).toEqual({
       shared: [],
       unrecovered: [],
     });
--- a/test/registration/ownership/ownership.test.ts
+++ b/test/registration/ownership/ownership.test.ts
@@ -161,7 +161,7 @@
       });
     });
 
-    it("are not replaced if they do not report their start times (deliberate defect)", async () => {
+    it("do not return to service if they do not report their start times (deliberate defect)", async () => {
       const restartMany = async (fleet: FleetModel) => {
         for (let i = 0; i < 8; i++) fleet.restartInstance(300);
       };
--- a/test/registration/planningConfiguration.test.ts
+++ b/test/registration/planningConfiguration.test.ts
@@ -32,26 +32,26 @@
 
 describe("createPlanningConfiguration", () => {
   it("keeps the model staged by its instances for a domain that lost all replicas", () => {
-    const left = createInstances(3, { fabricDomain: "a", model: "m", modelVersion: "1" });
-    const cold = createInstances(5, { fabricDomain: "a" }).map((instance, i) => ({
+    const remaining = createInstances(3, { fabricDomain: "a", model: "m", modelVersion: "1" });
+    const unstaged = createInstances(5, { fabricDomain: "a" }).map((instance, i) => ({
       ...instance,
       id: `cold${i}` as InstanceFacts["id"],
     }));
     const other = createInstances(8, { fabricDomain: "b", model: "n", modelVersion: "1" });
-    expect(getModels([...left, ...cold, ...other]).models).toEqual({ a: "m", b: "n" });
-    const swapped = [...left, ...cold].map((instance) =>
+    expect(getModels([...remaining, ...unstaged, ...other]).models).toEqual({ a: "m", b: "n" });
+    const swapped = [...remaining, ...unstaged].map((instance) =>
       instance.model === "m" ? { ...instance, model: "n" } : instance,
     );
-    const held = other.map((instance) => ({ ...instance, model: "m" }));
-    expect(getModels([...swapped, ...held]).models).toEqual({ a: "n", b: "m" });
+    const reversed = other.map((instance) => ({ ...instance, model: "m" }));
+    expect(getModels([...swapped, ...reversed]).models).toEqual({ a: "n", b: "m" });
   });
 
   it("counts instances that load in advance, but not absent ones or those of retiring replicas", () => {
-    const gone = createInstances(5, { fabricDomain: "a", model: "n", answeredAt: NOW - 60_000 });
+    const absent = createInstances(5, { fabricDomain: "a", model: "n", answeredAt: NOW - 60_000 });
     const staging = createInstances(1, { fabricDomain: "a", stagingModel: "m", isLoading: true });
     const other = createInstances(3, { fabricDomain: "b", model: "n", modelVersion: "1" });
-    const { replica } = createReplica(1, gone, { phase: ReplicaPhase.RETIRING });
-    const instances = [...gone, { ...staging[0]!, id: "s" as InstanceFacts["id"] }, ...other];
+    const { replica } = createReplica(1, absent, { phase: ReplicaPhase.RETIRING });
+    const instances = [...absent, { ...staging[0]!, id: "s" as InstanceFacts["id"] }, ...other];
     expect(getModels(instances, false, { replicas: [replica] }).models).toEqual({ a: "m", b: "n" });
   });
 
