--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -156,8 +156,8 @@
       },
     },
     getRoutes: () => routes,
-    isConfirmed: () => view.isConfirmed && watcher.isShown,
-    getShown: () => watcher.getLastShown(clock.getMonotonicMs()),
+    isConfirmed: () => view.isConfirmed && watcher.isCurrent,
+    getShown: () => watcher.getReceivedView(clock.getMonotonicMs()),
     onRequest: () => budget.addRequest(clock.getMonotonicMs(), getEntryCount()),
   });
   const watcherId = `${process.name}.${randomBytes(6).toString("hex")}`;
@@ -179,7 +179,7 @@
     onDeclaration: updateRoutes,
   });
   const suspicions = new SuspicionReporter({
-    tell: (told) => watcher.reportSuspicions(told),
+    send: (told) => watcher.reportSuspicions(told),
     clock,
     logger,
   });
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -6,7 +6,7 @@
 import type { DeclaredOrganisation, Route, RouteTable } from "../declaration";
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
-import type { ShownView } from "../registration";
+import type { ReceivedView } from "../registration";
 import { CallerWaits } from "./CallerWaits";
 import type { CallFacts } from "./Dialect";
 import { Exchange, type ExchangeRequest, type ExchangeTools } from "./Exchange";
@@ -32,7 +32,7 @@
   /** Gets whether a leader has confirmed that declaration in this process's life, and a control process shows its view now. */
   readonly isConfirmed: () => boolean;
   /** Gets what control showed this entry last, and how long ago. */
-  readonly getShown: () => ShownView;
+  readonly getShown: () => ReceivedView;
   /** Called with each request that is let in. */
   readonly onRequest: () => void;
 }
@@ -401,7 +401,7 @@
       view_term: shown.term,
       view_control: shown.control,
       // JSON has no infinity: nothing was shown yet.
-      view_silence_ms: shown.control === "" ? undefined : Math.round(shown.silenceMs),
+      view_silence_ms: shown.control === "" ? undefined : Math.round(shown.heartbeatAgeMs),
       outcome,
       code,
       took_ms: tookMs,
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -4,10 +4,10 @@
 import { InstanceId } from "../ids";
 import type { InstanceFacts, PlanningFacts } from "../planner";
 import type { StateMachine } from "../state";
-import type { Hearing } from "./Hearing";
+import type { HeartbeatMonitor } from "./HeartbeatMonitor";
 import type { InstanceRegistry, RegisteredInstance } from "./InstanceRegistry";
 import type { OrderDispatcher } from "./OrderDispatcher";
-import type { PresenceDoubts } from "./PresenceDoubts";
+import type { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
 
 /** Dependencies of a facts source. */
@@ -15,11 +15,11 @@
   readonly machine: () => StateMachine;
   readonly registry: InstanceRegistry;
   readonly dispatcher: OrderDispatcher;
-  readonly suspicions: PresenceDoubts;
+  readonly suspicions: PresenceSuspicions;
   /**
    * Measures for how long an instance has not reported, counting only time in which its reports could arrive.
    */
-  readonly hearing: Hearing;
+  readonly hearing: HeartbeatMonitor;
 }
 
 const NEVER = Number.NEGATIVE_INFINITY;
@@ -105,7 +105,9 @@
   /** Gets when an instance last answered. Only time in which its reports could arrive counts against it. */
   private _getAnsweredAt(now: number, instanceId: string, reportedAt: number): number {
     const { suspicions, hearing } = this._options;
-    return suspicions.isDoubted(instanceId, reportedAt) ? NEVER : now - hearing.getSilentMs(now, reportedAt);
+    return suspicions.isSuspected(instanceId, reportedAt)
+      ? NEVER
+      : now - hearing.getMsWithoutHeartbeat(now, reportedAt);
   }
 
   private _createInstanceFacts(
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -12,7 +12,7 @@
 import type { Logger, Metrics } from "../metrics";
 import { type Action, type InstanceFacts, REASON } from "../planner";
 import { LeaveConfirmations, type OccupiedPlace } from "./GivenUpPlaces";
-import type { Hearing } from "./Hearing";
+import type { HeartbeatMonitor } from "./HeartbeatMonitor";
 import { IdentityChecks } from "./IdentityChecks";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
@@ -20,7 +20,7 @@
 import { createLoadLimit } from "./loadLimits";
 import { OrderDispatcher } from "./OrderDispatcher";
 import { PlanningFactsSource, READY_STATES } from "./PlanningFactsSource";
-import { PresenceDoubts } from "./PresenceDoubts";
+import { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
 import { type ClosingTimes, type EndReason, LEFT_OUTCOMES, ReplicaCloser } from "./ReplicaCloser";
 import {
@@ -39,7 +39,7 @@
 export interface ReplicaControllerOptions {
   readonly driver: ConsensusDriver;
   readonly registry: InstanceRegistry;
-  readonly hearing: Hearing;
+  readonly hearing: HeartbeatMonitor;
   readonly orders: InstanceOrders;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -69,7 +69,7 @@
   private readonly _closer: ReplicaCloser;
   private readonly _dispatcher: OrderDispatcher;
   private readonly _facts: PlanningFactsSource;
-  private readonly _suspicions = new PresenceDoubts();
+  private readonly _suspicions = new PresenceSuspicions();
   private readonly _identities: IdentityChecks;
   private readonly _orphanHeads: OrphanHeads;
   private readonly _leaveConfirmations: LeaveConfirmations;
@@ -86,7 +86,7 @@
     this._dispatcher = new OrderDispatcher({
       ...options,
       term: driver.node.term,
-      onEnd: (life) => registry.addEnd(life),
+      onEnd: (life) => registry.markEnded(life),
       getLoadLimit: () => this._getLoadLimit(),
     });
     this._facts = new PlanningFactsSource({
@@ -154,7 +154,7 @@
       if (!isCertain) return;
       // The last report is too recent: probe again now instead of after the next suspicion.
       if (this._getUnreportedMs(member.instanceId) < MIN_REPORT_AGE_MS) continue;
-      this._suspicions.addDoubt(sentAt, member.instanceId);
+      this._suspicions.addSuspicion(sentAt, member.instanceId);
       logger.info({ event: "instance_doubted", instance: member.instanceId, replica: replica.id, outcome });
       return;
     }
@@ -177,8 +177,8 @@
 
   private _isPresent(now: number, instanceId: string): boolean {
     const instance = this._options.registry.getInstance(instanceId);
-    if (instance === undefined || this._suspicions.isDoubted(instanceId, instance.reportedAt)) return false;
-    const unreportedMs = this._options.hearing.getSilentMs(now, instance.reportedAt);
+    if (instance === undefined || this._suspicions.isSuspected(instanceId, instance.reportedAt)) return false;
+    const unreportedMs = this._options.hearing.getMsWithoutHeartbeat(now, instance.reportedAt);
     return unreportedMs <= this._options.getTimes().presenceMs;
   }
 
@@ -189,7 +189,7 @@
     const times = getTimes();
     for (const replica of this._orphanHeads.getReplicas()) this._removeOrphanHead(replica);
     const replicas = driver.machine.getReplicas();
-    this._identities.checkLives(now);
+    this._identities.checkIncarnations(now);
     this._identities.checkConflicts(
       now,
       replicas.flatMap(({ members }) => members),
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -375,7 +375,7 @@
   private _isInTouch(patienceMs: number): boolean {
     const { now } = this._world.simulation;
     this._noteLeadership();
-    return this._contact.isInTouch(now, patienceMs) || this._isElecting(now);
+    return this._contact.isRecent(now, patienceMs) || this._isElecting(now);
   }
 
   /** Asked for each call: within a moment the answer stays. */
@@ -504,7 +504,7 @@
         else this._relay.addAnswer(answer.term, answer.unknown);
         this._patienceMs =
           answer === undefined ? Math.min(MAX_PATIENCE_MS, this._patienceMs * 2) : FIRST_PATIENCE_MS;
-        this._schedule(answer !== undefined && this._relay.hasNews() ? NEWS_MS : SIGN_MS);
+        this._schedule(answer !== undefined && this._relay.hasUpdates() ? NEWS_MS : SIGN_MS);
       },
       () => costMs,
     );
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -357,7 +357,7 @@
     if (leader?.leadership === undefined) return;
     for (const controller of this._controlProcesses) {
       if (controller.callEndsAt > this._now) continue;
-      if (!controller.relay.hasNews() && this._now % RELAY_MS !== 0) continue;
+      if (!controller.relay.hasUpdates() && this._now % RELAY_MS !== 0) continue;
       await this._sendBatch(controller, leader);
     }
   }
@@ -378,11 +378,13 @@
     const waitMs = name === leader.name ? 0 : this.overload.getWaitMs(this._now);
     const { timeoutMs } = this.overload.times;
     if (waitMs === 0) {
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     if (waitMs <= timeoutMs || this.overload.drawsExecution()) {
-      this._runAfter(waitMs, () => (leadership.isEnded ? undefined : void leadership.addRelayed(request)));
+      this._runAfter(waitMs, () =>
+        leadership.isEnded ? undefined : void leadership.addRelayedReports(request),
+      );
     }
     controller.callEndsAt = this._now + Math.min(waitMs, timeoutMs);
     this._runAfter(Math.min(waitMs, timeoutMs), () => relay.restoreBatch(batch));
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -4,7 +4,7 @@
 import { type Replica, ReplicaPhase, ReplicaSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { LoadLimiter } from "../../src/registration/LoadLimiter";
-import { PresenceDoubts } from "../../src/registration/PresenceDoubts";
+import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import { ReplicaCloser } from "../../src/registration/ReplicaCloser";
 import { createLife } from "../support/createLife";
 
@@ -43,7 +43,7 @@
     const registry = addTwo();
     expect(registry.isInConflict("a") && registry.isInConflict("b")).toBe(true);
     expect(registry.hasEnded(createLife("a")) || registry.hasEnded(createLife("b"))).toBe(false);
-    registry.addEnd(createLife("a"));
+    registry.markEnded(createLife("a"));
     expect(registry.hasEnded(createLife("a"))).toBe(true);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.addReport(2, createReport("a", 2, { address }))).toBe("ended");
@@ -67,13 +67,13 @@
   it("forgets who is silent at a claimed address, and holds it not for ended, where nobody could be asked", () => {
     const registry = addTwo();
     const presenceMs = 3_000;
-    registry.removeSilent(1_000, presenceMs);
+    registry.removeExpired(1_000, presenceMs);
     for (let sequence = 2; sequence < 5; sequence++) {
       registry.addReport(sequence * 1_200, createReport("b", sequence, { address }));
     }
-    registry.removeSilent(3_900, presenceMs);
+    registry.removeExpired(3_900, presenceMs);
     expect(registry.getInstance("a")).toBeDefined();
-    registry.removeSilent(4_100, presenceMs);
+    registry.removeExpired(4_100, presenceMs);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.hasEnded(createLife("a"))).toBe(false);
     expect(registry.isInConflict("b")).toBe(false);
@@ -116,11 +116,11 @@
 
 describe("PresenceDoubts", () => {
   it("last until the instance reports again", () => {
-    const doubts = new PresenceDoubts();
-    doubts.addDoubt(100, "a");
-    expect(doubts.isDoubted("a", 90)).toBe(true);
-    expect(doubts.isDoubted("a", 110)).toBe(false);
-    expect(doubts.isDoubted("b", 0)).toBe(false);
+    const doubts = new PresenceSuspicions();
+    doubts.addSuspicion(100, "a");
+    expect(doubts.isSuspected("a", 90)).toBe(true);
+    expect(doubts.isSuspected("a", 110)).toBe(false);
+    expect(doubts.isSuspected("b", 0)).toBe(false);
   });
 });
 
@@ -170,7 +170,7 @@
     broken.report("head", 2, PlaceState.BROKEN);
     expect(broken.closer.isOver(10, replica, TIMES)).toBe(true);
     const gone = setUp(false);
-    gone.registry.addEnd(createLife("head"));
+    gone.registry.markEnded(createLife("head"));
     expect(gone.closer.isOver(10, replica, TIMES)).toBe(true);
   });
 
