--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -1,26 +1,27 @@
-/** Keeps the loads that begin within a sliding window to the weight store's limit. Pure. */
+/** Limits the loads that begin within a sliding window. Pure. */
 
-/** The limit. */
+/** A limit on loads. */
 export interface LoadLimit {
   /** Loads that may begin within the window. */
   readonly loads: number;
   readonly windowMs: number;
 }
 
-/** Counts loads that began lately. */
+/** Counts the loads that began within the sliding window. */
 export class LoadLimiter {
-  private _startedAt: number[] = [];
+  private _startTimes: number[] = [];
 
   /**
-   * Takes one load if the window has room for it.
-   * @param limit - `undefined` while there is none; what begins then counts once there is one.
+   * Adds one load if the window has capacity for it.
+   * @param limit - `undefined` while there is none; loads that begin then count once there is a limit.
+   * @returns Whether the load may begin.
    */
   takeLoad(now: number, limit: LoadLimit | undefined): boolean {
     if (limit !== undefined) {
-      this._startedAt = this._startedAt.filter((startedAt) => now - startedAt < limit.windowMs);
-      if (this._startedAt.length >= limit.loads) return false;
+      this._startTimes = this._startTimes.filter((startedAt) => now - startedAt < limit.windowMs);
+      if (this._startTimes.length >= limit.loads) return false;
     }
-    this._startedAt.push(now);
+    this._startTimes.push(now);
     return true;
   }
 }
--- a/test/registration/StrayHeads.test.ts
+++ b/test/registration/StrayHeads.test.ts
@@ -3,16 +3,16 @@
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
-import { StrayHeads } from "../../src/registration/StrayHeads";
+import { OrphanHeads } from "../../src/registration/StrayHeads";
 import type { StateMachine } from "../../src/state";
 import { createInstances, createReplica } from "../support/planning";
 
 const LEFT_AT = 1_000;
 
-describe("StrayHeads", () => {
+describe("OrphanHeads", () => {
   let replica: Replica;
   let registry: InstanceRegistry;
-  let strays: StrayHeads;
+  let orphanHeads: OrphanHeads;
   let sequence: number;
 
   beforeEach(() => {
@@ -21,9 +21,9 @@
     registry = new InstanceRegistry();
     sequence = 0;
     const getReplica = (id: string) => (id === replica.id ? replica : undefined);
-    strays = new StrayHeads(registry, () => ({ getReplica }) as unknown as StateMachine, 0);
+    orphanHeads = new OrphanHeads(registry, () => ({ getReplica }) as unknown as StateMachine, 0);
     for (const { instanceId } of replica.members) report(LEFT_AT - 100, instanceId, PlaceState.READY);
-    strays.addRelease(LEFT_AT, replica.id);
+    orphanHeads.addRelease(LEFT_AT, replica.id);
   });
 
   function report(at: number, instanceId: string, state: PlaceState, epoch = replica.epoch): void {
@@ -33,16 +33,16 @@
     registry.addReport(at, create(InstanceReportSchema, { instanceId, sequence, address, place }));
   }
 
-  function expectStray(isStray: boolean): void {
-    expect(strays.getReplicas()).toEqual(isStray ? [replica] : []);
+  function expectOrphan(isOrphan: boolean): void {
+    expect(orphanHeads.getReplicas()).toEqual(isOrphan ? [replica] : []);
   }
 
-  it("takes no head for stray by what it said before it left", () => {
-    expectStray(false);
+  it("ignores what a head reported before it left", () => {
+    expectOrphan(false);
   });
 
-  it("takes no head for stray that was not heard since its replica's release, nor since this term began", () => {
-    const other = new StrayHeads(
+  it("ignores a head without a report since its replica's release and since the term began", () => {
+    const other = new OrphanHeads(
       registry,
       () => ({ getReplica: () => replica }) as unknown as StateMachine,
       LEFT_AT,
@@ -54,31 +54,31 @@
     expect(other.getReplicas()).toEqual([]);
   });
 
-  it("finds a head that says it is in its released replica again, until it answers that it left", () => {
+  it("finds a head that reports its released replica again, until the replica is released again", () => {
     for (const state of [PlaceState.JOINING, PlaceState.READY, PlaceState.OPEN, PlaceState.CLOSING]) {
       report(LEFT_AT + 100 * state, "f0", state);
-      expectStray(true);
+      expectOrphan(true);
     }
-    strays.addRelease(LEFT_AT + 1_000, replica.id);
-    expectStray(false);
+    orphanHeads.addRelease(LEFT_AT + 1_000, replica.id);
+    expectOrphan(false);
   });
 
-  it("minds neither a broken head nor one in another epoch", () => {
+  it("ignores a broken head and a head in another epoch", () => {
     report(LEFT_AT + 100, "f0", PlaceState.BROKEN);
-    expectStray(false);
+    expectOrphan(false);
     report(LEFT_AT + 200, "f0", PlaceState.OPEN, replica.epoch + 1);
-    expectStray(false);
+    expectOrphan(false);
   });
 
-  it("minds no other member, no replica that never served, and none that is not known here", () => {
+  it("ignores other members, and replicas that never served, still serve or are unknown", () => {
     report(LEFT_AT + 100, "f1", PlaceState.READY);
-    expectStray(false);
+    expectOrphan(false);
     report(LEFT_AT + 200, "f0", PlaceState.READY);
     replica = { ...replica, servedAtIndex: 0 };
-    expectStray(false);
+    expectOrphan(false);
     replica = { ...replica, servedAtIndex: 1, phase: ReplicaPhase.SERVING };
-    expectStray(false);
+    expectOrphan(false);
     replica = { ...replica, id: "newer", phase: ReplicaPhase.RELEASED };
-    expectStray(false);
+    expectOrphan(false);
   });
 });
--- a/test/registration/ownership/OrderModel.ts
+++ b/test/registration/ownership/OrderModel.ts
@@ -1,8 +1,8 @@
 /**
- * Orders on their way to the instances of a model: they arrive, are lost, lose their answer, or are
- * carried out seconds later, after newer ones.
+ * Simulates the network between the leader and the instances: orders arrive, are lost, lose their answer, or
+ * are executed seconds later, after newer ones.
  *
- * A test of our own code: time is simulated.
+ * Time is simulated.
  */
 import type { RandomSource } from "../../../src/consensus";
 import type {
@@ -15,48 +15,48 @@
 } from "../../../src/registration";
 import type { InstanceModel, Place } from "./InstanceModel";
 
-/** What may happen to an order, as parts of all orders. */
+/** Probabilities of faults, as fractions of all orders. */
 export interface OrderFaults {
-  /** It is not carried out. */
+  /** The order is not executed. */
   readonly lost: number;
-  /** It is carried out, and its answer is lost. */
+  /** The order is executed, and its answer is lost. */
   readonly unanswered: number;
-  /** It gets no answer and is carried out seconds later, after newer ones. */
+  /** The order gets no answer and is executed seconds later, after newer ones. */
   readonly late: number;
-  /** An order, and its answer, are under way for up to so long beyond the usual, milliseconds. */
+  /** Maximum extra delay of an order, and of its answer, milliseconds. */
   readonly slowMs?: number;
 }
 
-/** Orders that arrive and are answered. */
+/** No faults: all orders arrive and are answered. */
 export const RELIABLE: OrderFaults = { lost: 0, unanswered: 0, late: 0 };
 
-/** The instances that orders go to. */
+/** Access to the simulated fleet. */
 export interface OrderModelOptions {
   readonly random: RandomSource;
   readonly getNow: () => number;
-  /** Gets who listens at an address. */
+  /** Gets the instance that listens at an address. */
   readonly getListener: (address: string) => InstanceModel | undefined;
-  /** Gets all lives of an instance, ended or not. */
-  readonly getLives: (id: string) => readonly InstanceModel[];
+  /** Gets all incarnations of an instance, ended or not. */
+  readonly getIncarnations: (id: string) => readonly InstanceModel[];
   readonly runAfter: (milliseconds: number, run: () => void) => void;
-  /** Called when an instance gives a place up. */
-  readonly onPlaceGivenUp: (place: Place, instanceId: string) => void;
+  /** Called when an instance leaves a place. */
+  readonly onPlaceLeft: (place: Place, instanceId: string) => void;
 }
 
-/** An order that gets no answer is waited for so long, milliseconds. */
-const ANSWER_MS = 1_000;
-/** An order and its answer travel for so long, milliseconds. */
-const ORDER_MS = 10;
-/** Orders that are carried out late wait for so long at the least and at the most, milliseconds. */
-const LATE_MS = [2_000, 12_000] as const;
+/** Timeout of an order that gets no answer, milliseconds. */
+const ORDER_TIMEOUT_MS = 1_000;
+/** Travel time of an order and its answer, milliseconds. */
+const ORDER_LATENCY_MS = 10;
+/** Minimum and maximum delay of orders that are executed late, milliseconds. */
+const LATE_RANGE_MS = [2_000, 12_000] as const;
 
-/** Orders, and what they came to. */
+/** Orders to simulated instances, with faults. */
 export class OrderModel implements InstanceOrders {
-  /** What happens to orders from now on. */
+  /** The faults of orders from now on. */
   faults: OrderFaults = RELIABLE;
-  /** A defect on purpose: orders to leave are answered and not carried out. */
+  /** A deliberate defect: orders to leave are answered but not executed. */
   ignoresLeaves = false;
-  /** Instances that took a place while the head of their earlier one took requests. */
+  /** Instances that joined a replica while the head of their earlier one accepted requests. */
   readonly shared: string[] = [];
   private readonly _options: OrderModelOptions;
 
@@ -64,91 +64,88 @@
     this._options = options;
   }
 
-  /** Sends one order. */
   async send(receiver: OrderReceiver, order: InstanceOrder, fence: number): Promise<OrderOutcome> {
     const { random, getListener, runAfter } = this._options;
     const drawn = random.next();
     const { lost, unanswered, late } = this.faults;
-    await wait(ORDER_MS);
-    await this._waitSlow();
+    await wait(ORDER_LATENCY_MS);
+    await this._waitExtraDelay();
     const listener = getListener(receiver.address);
     if (listener === undefined) return "absent";
-    if (listener.isCut || drawn < lost) return miss();
+    if (listener.isPartitioned || drawn < lost) return awaitTimeout();
     if (drawn < lost + unanswered) {
-      this._carryOut(receiver, order, fence);
-      return miss();
+      this._execute(receiver, order, fence);
+      return awaitTimeout();
     }
     if (drawn < lost + unanswered + late) {
-      const [shortest, longest] = LATE_MS;
+      const [shortest, longest] = LATE_RANGE_MS;
       const lateMs = shortest + Math.floor(random.next() * (longest - shortest));
-      runAfter(lateMs, () => this._carryOut(receiver, order, fence));
-      return miss();
+      runAfter(lateMs, () => this._execute(receiver, order, fence));
+      return awaitTimeout();
     }
-    const outcome = this._carryOut(receiver, order, fence);
-    await this._waitSlow();
+    const outcome = this._execute(receiver, order, fence);
+    await this._waitExtraDelay();
     return outcome;
   }
 
-  /** Asks by an order, which may be lost as any other. */
+  /** Checks which instance answers, by an order that may be lost like any other. */
   async identify({ instanceId, address }: OrderReceiver, timeoutMs: number): Promise<Identity> {
     const { lost, unanswered, late } = this.faults;
     const isLost = this._options.random.next() < lost + unanswered + late;
-    await wait(ORDER_MS);
+    await wait(ORDER_LATENCY_MS);
     const listener = this._options.getListener(address);
     if (listener === undefined) return "unknown";
-    if (isLost || listener.isCut) await wait(timeoutMs);
-    if (isLost || listener.isCut) return "unknown";
+    if (isLost || listener.isPartitioned) await wait(timeoutMs);
+    if (isLost || listener.isPartitioned) return "unknown";
     return listener.id === instanceId ? "itself" : "another";
   }
 
-  /** Asks which life of an instance answers. */
+  /** Gets the start time of the incarnation that answers. */
   async askBorn({ instanceId, address }: OrderReceiver, timeoutMs: number): Promise<number | undefined> {
-    await wait(ORDER_MS);
+    await wait(ORDER_LATENCY_MS);
     const listener = this._options.getListener(address);
-    if (listener?.isCut === true) await wait(timeoutMs);
-    return listener?.id === instanceId && !listener.isCut ? listener.born : undefined;
+    if (listener?.isPartitioned === true) await wait(timeoutMs);
+    return listener?.id === instanceId && !listener.isPartitioned ? listener.born : undefined;
   }
 
-  /** Asks for a sign of life. */
+  /** Probes an instance. */
   async probe({ address }: OrderReceiver, timeoutMs: number): Promise<ProbeOutcome> {
-    await wait(ORDER_MS);
+    await wait(ORDER_LATENCY_MS);
     const { slowMs = 0 } = this.faults;
     if (slowMs > 0 && this._options.random.next() * slowMs > timeoutMs) return "silent";
     const listener = this._options.getListener(address);
     if (listener === undefined) return "absent";
-    return listener.isCut ? "silent" : "present";
+    return listener.isPartitioned ? "silent" : "present";
   }
 
-  private async _waitSlow(): Promise<void> {
+  private async _waitExtraDelay(): Promise<void> {
     const { slowMs = 0 } = this.faults;
     if (slowMs > 0) await wait(this._options.random.next() * slowMs);
   }
 
-  private _carryOut(receiver: OrderReceiver, order: InstanceOrder, fence: number): OrderOutcome {
-    const { getNow, getListener, onPlaceGivenUp } = this._options;
+  private _execute(receiver: OrderReceiver, order: InstanceOrder, fence: number): OrderOutcome {
+    const { getNow, getListener, onPlaceLeft } = this._options;
     const listener = getListener(receiver.address);
     if (listener === undefined) return "absent";
     if (listener.id !== receiver.instanceId) return "elsewhere";
     if (order.kind === "leave" && this.ignoresLeaves) return "done";
-    const before = listener.place;
-    const isTaking = before !== undefined && this._mayTakeRequests(before);
-    const outcome = listener.take(getNow(), order, fence, (place) => onPlaceGivenUp(place, listener.id));
+    const previous = listener.place;
+    const wasAccepting = previous !== undefined && this._acceptsRequests(previous);
+    const outcome = listener.execute(getNow(), order, fence, (place) => onPlaceLeft(place, listener.id));
     const { place } = listener;
-    if (isTaking && place !== undefined && place.replicaId !== before.replicaId) {
-      this.shared.push(
-        `${listener.id} took a place in ${place.replicaId} while ${before.replicaId} was open`,
-      );
+    if (wasAccepting && place !== undefined && place.replicaId !== previous.replicaId) {
+      this.shared.push(`${listener.id} joined ${place.replicaId} while ${previous.replicaId} was open`);
     }
     return outcome;
   }
 
-  private _mayTakeRequests(place: Place): boolean {
-    return this._options.getLives(place.members[0]!).some((head) => head.takesRequestsOf(place));
+  private _acceptsRequests(place: Place): boolean {
+    return this._options.getIncarnations(place.members[0]!).some((head) => head.acceptsRequestsOf(place));
   }
 }
 
-async function miss(): Promise<OrderOutcome> {
-  await wait(ANSWER_MS);
+async function awaitTimeout(): Promise<OrderOutcome> {
+  await wait(ORDER_TIMEOUT_MS);
   return "unanswered";
 }
 
--- a/test/registration/ownership/OverloadModel.ts
+++ b/test/registration/ownership/OverloadModel.ts
@@ -1,58 +1,59 @@
 /**
- * When a leader that has more to do than it can takes what is sent to it.
+ * Simulates when an overloaded leader processes the calls that it receives.
  *
- * A test of our own code: time is simulated.
+ * Time is simulated.
  */
 import type { RandomSource } from "../../../src/consensus";
 
-/** What an overloaded control does to what goes through it, milliseconds. */
+/** Times of an overloaded control process, milliseconds. */
 export interface OverloadTimes {
-  /** A leader takes nothing for so long at the most; what arrives meanwhile is taken all at once. */
-  readonly deafMs: number;
-  /** Between two such times it takes everything, for so long at the most. */
-  readonly hearingMs: number;
-  /** A process that tells the leader something gives the call up after this time, and tells it again. */
-  readonly patienceMs: number;
+  /**
+   * Maximum duration of a stall. The leader processes no calls during a stall, and all calls that arrived
+   * meanwhile at its end.
+   */
+  readonly stallMs: number;
+  /** Maximum time between two stalls, in which the leader processes each call at once. */
+  readonly activeMs: number;
+  /** Timeout after which a caller abandons a call to the leader and sends its content again. */
+  readonly timeoutMs: number;
 }
 
-/** What goes through a control that is not overloaded. */
-export const CALM: OverloadTimes = { deafMs: 0, hearingMs: 0, patienceMs: 0 };
+/** Times of a control process that is not overloaded. */
+export const NO_OVERLOAD: OverloadTimes = { stallMs: 0, activeMs: 0, timeoutMs: 0 };
 
-/** What is taken at once comes in any order within this time, milliseconds. */
+/** Calls that are processed at the end of a stall come in any order within this time, milliseconds. */
 const BURST_MS = 200;
-/** Part of the calls given up that are carried out all the same. */
-const TAKEN_SHARE = 0.5;
+/** Fraction of abandoned calls that the leader processes all the same. */
+const EXECUTED_SHARE = 0.5;
 
-/** A leader that answers nothing for seconds, now and then. */
+/** A leader that repeatedly stalls for seconds. */
 export class OverloadModel {
-  /** What the overload is like from now on. */
-  times: OverloadTimes = CALM;
+  /** The overload from now on. */
+  times: OverloadTimes = NO_OVERLOAD;
   private readonly _random: RandomSource;
-  private _deafUntil = 0;
-  private _hearsUntil = 0;
+  private _stalledUntil = 0;
+  private _activeUntil = 0;
 
-  /**
-   * @param random - Draws how long it lasts.
-   */
+  /** @param random - Draws the durations of stalls. */
   constructor(random: RandomSource) {
     this._random = random;
   }
 
-  /** Gets how long a call waits until the leader takes it; 0 when it does at once. */
+  /** Gets how long a call waits until the leader processes it; 0 if the leader does so at once. */
   getWaitMs(now: number): number {
-    if (this.times.deafMs === 0) return 0;
-    if (now >= this._hearsUntil) this._drawTimes(now);
-    if (now >= this._deafUntil) return 0;
-    return this._deafUntil - now + this._random.next() * BURST_MS;
+    if (this.times.stallMs === 0) return 0;
+    if (now >= this._activeUntil) this._drawTimes(now);
+    if (now >= this._stalledUntil) return 0;
+    return this._stalledUntil - now + this._random.next() * BURST_MS;
   }
 
-  /** Draws whether a call that its caller gave up is carried out all the same. */
-  isTakenAnyway(): boolean {
-    return this._random.next() < TAKEN_SHARE;
+  /** Draws whether the leader processes a call that its caller abandoned. */
+  drawsExecution(): boolean {
+    return this._random.next() < EXECUTED_SHARE;
   }
 
   private _drawTimes(now: number): void {
-    this._deafUntil = now + this._random.next() * this.times.deafMs;
-    this._hearsUntil = this._deafUntil + this._random.next() * this.times.hearingMs;
+    this._stalledUntil = now + this._random.next() * this.times.stallMs;
+    this._activeUntil = this._stalledUntil + this._random.next() * this.times.activeMs;
   }
 }
