--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -16,7 +16,7 @@
    * @param limit - `undefined` while there is none; loads that begin then count once there is a limit.
    * @returns Whether the load may begin.
    */
-  takeLoad(now: number, limit: LoadLimit | undefined): boolean {
+  tryAddLoad(now: number, limit: LoadLimit | undefined): boolean {
     if (limit !== undefined) {
       this._startTimes = this._startTimes.filter((startedAt) => now - startedAt < limit.windowMs);
       if (this._startTimes.length >= limit.loads) return false;
--- a/src/registration/PlanningPace.ts
+++ b/src/registration/PlanningSchedule.ts
@@ -21,7 +21,7 @@
 const MAX_PAUSE_MS = 500;
 
 /** The planning schedule of one leadership term. */
-export class PlanningPace {
+export class PlanningSchedule {
   private _inputs: string | undefined;
   private _latestInputs: string | undefined;
   private _endedAt: number;
--- a/src/registration/ReplicaCloser.ts
+++ b/src/registration/ReplicaCloser.ts
@@ -103,15 +103,15 @@
   }
 
   /** Checks whether a retiring replica has ended, so that its instances may be chosen again. */
-  isOver(now: number, replica: Replica, times: ClosingTimes): boolean {
-    return this.getEndGround(now, replica, times) !== undefined;
+  hasEnded(now: number, replica: Replica, times: ClosingTimes): boolean {
+    return this.getEndReason(now, replica, times) !== undefined;
   }
 
   /**
    * Gets the reason why a retiring replica has ended.
    * @returns `undefined` while it has not ended.
    */
-  getEndGround(now: number, replica: Replica, times: ClosingTimes): EndReason | undefined {
+  getEndReason(now: number, replica: Replica, times: ClosingTimes): EndReason | undefined {
     const closing = this._closings.get(replica.id);
     if (closing === undefined) return undefined;
     const head = replica.members[0]!;
@@ -143,7 +143,7 @@
     isAbsent: (instanceId: string) => boolean,
   ): DueOrder[] {
     const closing = this._closings.get(replica.id);
-    if (closing === undefined || this.isOver(now, replica, times)) return [];
+    if (closing === undefined || this.hasEnded(now, replica, times)) return [];
     const { id: replicaId, epoch } = replica;
     const head = replica.members[0]!;
     const isHeadAbsent = isAbsent(head.instanceId);
--- a/test/registration/PlanningPace.test.ts
+++ b/test/registration/PlanningSchedule.test.ts
@@ -1,23 +1,23 @@
 import { describe, expect, it } from "vitest";
-import { PlanningPace } from "../../src/registration/PlanningPace";
+import { PlanningSchedule } from "../../src/registration/PlanningSchedule";
 
 /** The leadership began long before the test. */
 const LONG_AGO = -10_000;
 
-function runPlanning(pace: PlanningPace, endedAt: number, busyMs: number): void {
+function runPlanning(pace: PlanningSchedule, endedAt: number, busyMs: number): void {
   pace.addStart();
   pace.addEnd(endedAt, busyMs);
 }
 
 describe("PlanningSchedule", () => {
   it("delays the first run of a term by 300 ms, for publishing to followers and for queued orders", () => {
-    const pace = new PlanningPace(1_000);
+    const pace = new PlanningSchedule(1_000);
     expect(pace.isDue(1_299, "a")).toBe(false);
     expect(pace.isDue(1_300, "a")).toBe(true);
   });
 
   it("plans 15 ms after a change, and 300 ms after the last run without one", () => {
-    const pace = new PlanningPace(LONG_AGO);
+    const pace = new PlanningSchedule(LONG_AGO);
     expect(pace.isDue(0, "a")).toBe(true);
     runPlanning(pace, 1, 1);
     expect(pace.isDue(15, "b")).toBe(false);
@@ -27,7 +27,7 @@
   });
 
   it("pauses for twice the computing time of a run, at most 500 ms", () => {
-    const pace = new PlanningPace(LONG_AGO);
+    const pace = new PlanningSchedule(LONG_AGO);
     pace.isDue(0, "a");
     runPlanning(pace, 80, 80);
     expect(pace.isDue(239, "b")).toBe(false);
@@ -38,7 +38,7 @@
   });
 
   it("ignores the waiting time of a run, and notices a change during the run", () => {
-    const pace = new PlanningPace(LONG_AGO);
+    const pace = new PlanningSchedule(LONG_AGO);
     pace.isDue(0, "a");
     pace.addStart();
     expect(pace.isDue(10, "b")).toBe(false);
--- a/test/registration/loadLimits.test.ts
+++ b/test/registration/loadLimits.test.ts
@@ -50,8 +50,8 @@
 
   it("counts loads that began without a limit against a later limit", () => {
     const limiter = new LoadLimiter();
-    for (let load = 0; load < 30; load++) expect(limiter.takeLoad(0, undefined)).toBe(true);
-    expect(limiter.takeLoad(100, LIMIT)).toBe(false);
-    expect(limiter.takeLoad(5_000, LIMIT)).toBe(true);
+    for (let load = 0; load < 30; load++) expect(limiter.tryAddLoad(0, undefined)).toBe(true);
+    expect(limiter.tryAddLoad(100, LIMIT)).toBe(false);
+    expect(limiter.tryAddLoad(5_000, LIMIT)).toBe(true);
   });
 });
--- a/test/registration/ownership/overload.test.ts
+++ b/test/registration/ownership/overload.test.ts
@@ -7,15 +7,15 @@
 import { SeededRandom } from "../../../src/consensus";
 import { type Replica, ReplicaPhase } from "../../../src/gen/ploverstage/v1/state_pb";
 import type { OrderReceiver } from "../../../src/registration";
-import { LeaveConfirmations } from "../../../src/registration/GivenUpPlaces";
 import { InstanceRegistry } from "../../../src/registration/InstanceRegistry";
+import { LeaveConfirmations } from "../../../src/registration/LeaveConfirmations";
 import type { StateMachine } from "../../../src/state";
 import { createInstances, createReplica } from "../../support/planning";
 import type { FleetModel, FleetOptions } from "./FleetModel";
 import { INSTANCE_TIMES, InstanceModel } from "./InstanceModel";
 import { type OrderFaults, OrderModel } from "./OrderModel";
 import type { OverloadTimes } from "./OverloadModel";
-import { SEEDS, simulateFleets } from "./playFleet";
+import { SEEDS, simulateFleets } from "./simulateFleets";
 
 const OVERLOADED: OverloadTimes = { stallMs: 10_000, activeMs: 2_000, timeoutMs: 1_500 };
 /** 35 % of all orders are executed seconds late; the others and their answers take up to 450 ms longer. */
