--- a/src/gateway/AdmissionWindow.ts
+++ b/src/gateway/AdmissionWindow.ts
@@ -9,17 +9,19 @@
 const MIN_SIZE = 3;
 const MAX_SIZE = 64;
 /**
- * The mean share of the objective that first events may take. A higher mean shows that endpoints queue
- * streams.
+ * The maximum mean share of the objective that first events may take. A higher mean shows that endpoints
+ * queue streams.
  */
 const MAX_MEAN_SHARE = 0.75;
 /**
- * Weight of the newest first event in the mean. It is low because a single long prompt does not show a queue.
+ * Weight of the newest first event in the mean. It is low because a single long prompt is no evidence of a
+ * queue.
  */
 const SHARE_WEIGHT = 0.2;
 const SHRINK_FACTOR = 0.8;
 /**
- * Minimum time between two reductions of the window: first events that arrive together show the same queue.
+ * Minimum time between two reductions of the window: first events that arrive together are evidence of the
+ * same queue.
  */
 const MIN_SHRINK_INTERVAL_MS = 100;
 
@@ -67,7 +69,7 @@
     }
     if (now - this._lastShrunkAt < MIN_SHRINK_INTERVAL_MS) return;
     this._lastShrunkAt = now;
-    // Unused capacity shows nothing about the endpoints, so the reduction starts from the number of waiting
+    // Unused capacity is no evidence about the endpoints, so the reduction starts from the number of waiting
     // streams.
     this._size = Math.max(MIN_SIZE, Math.min(this._size, this._waitingCount + 1) * SHRINK_FACTOR);
   }
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -2,7 +2,8 @@
  * One caller's request and all its attempts at endpoints.
  *
  * Shared by plain answers and streams: chooses targets, sends the request, interprets failures and decides
- * whether to retry. A request that did not run is refused as not run; a request that may have run never is.
+ * whether to retry. A request that did not run is refused as not run; a request that may have run is never
+ * refused as not run.
  */
 import type { IncomingMessage } from "node:http";
 import { type Clock, pause } from "../clock";
@@ -30,7 +31,7 @@
 import type { AnswerBuffers } from "./HeldBytes";
 import { isIdleTooLong, mayRepeat } from "./patience";
 import { getRetryAfterMs } from "./returnTime";
-import type { GatePass, StreamGate } from "./StreamGate";
+import type { StreamAdmission, StreamGate } from "./StreamGate";
 import type { TargetPool } from "./TargetPool";
 
 /** An accepted request. Times are monotonic milliseconds. */
@@ -65,7 +66,7 @@
   readonly takeRetry: () => boolean;
   /** Counts and limits the buffered bytes of incomplete answers. */
   readonly buffers: AnswerBuffers;
-  /** Randomizes the time at which refused callers retry. */
+  /** Randomises the time at which refused callers retry. */
   readonly random: RandomSource;
   /** Called when a target can't be reached or has stalled. */
   readonly onSuspicion: (target: Target, isUnreachable: boolean) => void;
@@ -128,7 +129,7 @@
 
   /**
    * @param request - The request.
-   * @param dependencies - Dependencies.
+   * @param dependencies - Clients, state and callbacks of the gateway.
    */
   constructor(request: ExchangeRequest, dependencies: ExchangeDependencies) {
     this.request = request;
@@ -191,7 +192,7 @@
    * Waits until endpoints have capacity for one more stream.
    * @returns `undefined` when the request waited for too long or was cancelled.
    */
-  enterGate(): Promise<GatePass | undefined> {
+  enterGate(): Promise<StreamAdmission | undefined> {
     const { call, route, service, receivedAt, firstRequestedAt, deadlineAt } = this.request;
     return this.dependencies.gate.enter(
       {
@@ -398,9 +399,9 @@
     beforeSend: () => void,
   ): Promise<IncomingMessage> {
     const { request, dependencies } = this;
-    const remainingMs = this.getRemainingMs();
+    const leftMs = this.getRemainingMs();
     const headers = dependencies.dialect.createHeaders(request.headers, {
-      leftMs: remainingMs,
+      leftMs,
       instanceId: target.instanceId,
       organisation: request.organisation,
       lastEventId,
@@ -414,14 +415,17 @@
       path: request.path,
       headers,
       body: hasBody ? request.body : undefined,
-      connectMs: Math.min(CONNECT_TIMEOUT_MS, remainingMs),
-      idleMs: Math.max(1, Math.ceil(remainingMs)),
+      connectMs: Math.min(CONNECT_TIMEOUT_MS, leftMs),
+      idleMs: Math.max(1, Math.ceil(leftMs)),
       signal: abort.signal,
       beforeSend,
     });
   }
 
-  /** A resumed stream always counts: its first event has been sent, but its gaps still have an objective. */
+  /**
+   * Checks whether the request can still meet its objective. Always true for a resumed stream: its first
+   * event has been sent, but its gaps still have an objective.
+   */
   private _canMeetObjective(lastEventId: string | undefined): boolean {
     const { firstRequestedAt, route } = this.request;
     return lastEventId !== undefined || this.getNow() - firstRequestedAt < route.objectiveMs * IN_TIME_SHARE;
--- a/src/gateway/FreshFirstQueue.ts
+++ b/src/gateway/FreshFirstQueue.ts
@@ -1,8 +1,8 @@
 /**
  * Queue of an entry's waiting requests.
  *
- * Requests that can still meet their objective come first, oldest first. The others will miss it in any case
- * and follow in the order of their deadlines. Pure.
+ * Fresh requests, which can still meet their objective, come first, oldest first. The others will miss it in
+ * any case and follow in the order of their deadlines. Pure.
  */
 
 /** A waiting request. Times are monotonic milliseconds. */
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -52,9 +52,10 @@
 const MAX_BUFFERED_ANSWER_BYTES = 64 * 1_024 * 1_024;
 /**
  * Fraction of an entry's share of the endpoints' slots that may initially wait for a first event; the other
- * slots are expected to generate. Callers that return after a power loss find few replicas: with an initial
- * window of 32 streams at each of 7 entries they waited in the endpoints' queues for up to 2 s. Mean worth of
- * four days with that window 0.710 and with this fraction 0.722; refused 0.013 and 0.010 of all requests.
+ * slots are expected to be generating answers. Callers that return after a power loss find few replicas: with
+ * an initial window of 32 streams at each of 7 entries they waited in the endpoints' queues for up to 2 s.
+ * Over four days the mean worth was 0.710 with that window and 0.722 with this fraction; 0.013 and 0.010 of
+ * all requests were refused.
  */
 const INITIAL_WINDOW_SHARE = 0.5;
 /**
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -137,7 +137,7 @@
 
   /**
    * Ends all requests whose time has expired. After a suspension of the machine their timers fire late by the
-   * length of the suspension, and endpoints would work that long for callers that have disconnected.
+   * length of the suspension, and until then endpoints would work for callers that have disconnected.
    */
   endExpired(): void {
     for (const [exchange, { endExpired }] of [...this._running])
@@ -293,11 +293,11 @@
   }
 
   /**
-   * Creates the refusal of a request that the declaration does not allow. It is only final when the
-   * declaration is confirmed. One recovered after a start, or no longer published by a control process, may
-   * be older than the newest acknowledged version: after a kill of all processes right after an
-   * acknowledgement, a route of the acknowledged version got 404 from the entry's first listening until it
-   * received from a leader.
+   * Creates the refusal of a request that the declaration does not allow. The refusal is only final when the
+   * declaration is confirmed. A declaration that was recovered after a start, or that no control process
+   * publishes any more, may be older than the newest acknowledged version. After a kill of all processes
+   * right after an acknowledgement, a route of the acknowledged version got 404 from the entry's first
+   * listening until the entry received the view of a leader.
    */
   private _createDeclarationRefusal(
     status: number,
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -12,7 +12,7 @@
 import { useCloseDelimiting } from "./endWithConnection";
 import { getEndToEndHeaders, isFramed } from "./headers";
 import { getAnswerTimeoutMs, getGapTimeoutMs } from "./patience";
-import type { GatePass } from "./StreamGate";
+import type { StreamAdmission } from "./StreamGate";
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
 
 /** Result of a stream. */
@@ -35,7 +35,7 @@
   private _eventCount = 0;
   /** Whether the caller's answer is close-delimited, because the endpoint's answer was. */
   private _isCloseDelimited = false;
-  private _pass: GatePass | undefined;
+  private _admission: StreamAdmission | undefined;
 
   /**
    * @param exchange - The request and its attempts.
@@ -62,12 +62,12 @@
    * @throws GatewayRefusal - When no part of an answer has been sent.
    */
   async run(): Promise<StreamResult> {
-    this._pass = await this._exchange.enterGate();
-    if (this._pass === undefined) throw this._exchange.createOverloadRefusal();
+    this._admission = await this._exchange.enterGate();
+    if (this._admission === undefined) throw this._exchange.createOverloadRefusal();
     try {
       return await this._runAttempts();
     } finally {
-      this._pass.end();
+      this._admission.end();
     }
   }
 
@@ -146,8 +146,8 @@
    */
   private _addFirstEvent(now: number): void {
     this._firstEventMs = Math.round(now - this._exchange.request.receivedAt);
-    if (this._exchange.failures.length === 0) this._pass?.addFirstEvent();
-    else this._pass?.end();
+    if (this._exchange.failures.length === 0) this._admission?.addFirstEvent();
+    else this._admission?.end();
   }
 }
 
--- a/src/gateway/StreamGate.ts
+++ b/src/gateway/StreamGate.ts
@@ -9,7 +9,7 @@
 import { FreshFirstQueue, type WaitingRequest } from "./FreshFirstQueue";
 
 /** A stream that asks for admission. */
-export interface GateRequest extends WaitingRequest {
+export interface AdmissionRequest extends WaitingRequest {
   /** How long the caller waits for a first event, milliseconds. */
   readonly callerTimeoutMs: number;
   readonly service: string;
@@ -17,18 +17,18 @@
 }
 
 /** Admission of one stream. */
-export interface GatePass {
+export interface StreamAdmission {
   /** Records the stream's first event. */
   addFirstEvent(): void;
   /** Records that the stream no longer waits for its first event; further calls have no effect. */
   end(): void;
 }
 
-interface WaitingStream extends GateRequest {
-  readonly admit: (pass: GatePass | undefined) => void;
+interface WaitingStream extends AdmissionRequest {
+  readonly admit: (admission: StreamAdmission | undefined) => void;
 }
 
-interface ModelQueue {
+interface ModelState {
   readonly window: AdmissionWindow;
   readonly queue: FreshFirstQueue<WaitingStream>;
 }
@@ -43,7 +43,7 @@
 export class StreamGate {
   private readonly _clock: Clock;
   private readonly _getInitialSize: (service: string, model: string) => number;
-  private readonly _modelQueues = new Map<string, ModelQueue>();
+  private readonly _states = new Map<string, ModelState>();
 
   /**
    * @param clock - Monotonic time.
@@ -57,7 +57,7 @@
 
   /** Gets the number of queued streams. */
   get waitingCount(): number {
-    return [...this._modelQueues.values()].reduce((sum, modelQueue) => sum + modelQueue.queue.size, 0);
+    return [...this._states.values()].reduce((sum, state) => sum + state.queue.size, 0);
   }
 
   /**
@@ -65,73 +65,72 @@
    * @param signal - Aborted when the caller has disconnected or its time has expired.
    * @returns `undefined` when the stream waited for too long or was aborted.
    */
-  async enter(request: GateRequest, signal: AbortSignal): Promise<GatePass | undefined> {
-    const modelQueue = this._getModelQueue(request);
-    if (modelQueue.queue.size === 0 && modelQueue.window.hasCapacity())
-      return this._createPass(modelQueue, request);
+  async enter(request: AdmissionRequest, signal: AbortSignal): Promise<StreamAdmission | undefined> {
+    const state = this._getState(request);
+    if (state.queue.size === 0 && state.window.hasCapacity()) return this._createAdmission(state, request);
     const timeoutMs = request.callerTimeoutMs * QUEUE_TIMEOUT_SHARE;
     return new Promise((resolve) => {
       const stream: WaitingStream = {
         ...request,
-        admit: (pass) => {
+        admit: (admission) => {
           clearTimeout(timer);
           signal.removeEventListener("abort", abandon);
-          resolve(pass);
+          resolve(admission);
         },
       };
       const abandon = () => {
-        if (modelQueue.queue.remove(stream)) stream.admit(undefined);
+        if (state.queue.remove(stream)) stream.admit(undefined);
       };
       const timer = setTimeout(abandon, timeoutMs);
       signal.addEventListener("abort", abandon, { once: true });
-      modelQueue.queue.add(stream);
+      state.queue.add(stream);
     });
   }
 
   /** Refuses all queued streams because this entry stops. */
   refuseAll(): void {
     const now = this._clock.getMonotonicMs();
-    for (const { queue } of this._modelQueues.values()) {
+    for (const { queue } of this._states.values()) {
       for (let next = queue.takeNext(now); next !== undefined; next = queue.takeNext(now)) {
         next.admit(undefined);
       }
     }
   }
 
-  private _getModelQueue({ service, model }: GateRequest): ModelQueue {
+  private _getState({ service, model }: AdmissionRequest): ModelState {
     const key = `${service}/${model}`;
-    const existing = this._modelQueues.get(key);
+    const existing = this._states.get(key);
     if (existing !== undefined) return existing;
     const window = new AdmissionWindow(this._getInitialSize(service, model));
-    const modelQueue = { window, queue: new FreshFirstQueue<WaitingStream>() };
-    this._modelQueues.set(key, modelQueue);
-    return modelQueue;
+    const state = { window, queue: new FreshFirstQueue<WaitingStream>() };
+    this._states.set(key, state);
+    return state;
   }
 
-  private _createPass(modelQueue: ModelQueue, { objectiveMs }: GateRequest): GatePass {
+  private _createAdmission(state: ModelState, { objectiveMs }: AdmissionRequest): StreamAdmission {
     const sentAt = this._clock.getMonotonicMs();
     let hasEnded = false;
-    modelQueue.window.addWaiting();
+    state.window.addWaiting();
     const end = () => {
       if (hasEnded) return;
       hasEnded = true;
-      modelQueue.window.removeWaiting();
-      this._admitNext(modelQueue);
+      state.window.removeWaiting();
+      this._admitNext(state);
     };
     const addFirstEvent = () => {
       if (hasEnded) return;
       const now = this._clock.getMonotonicMs();
-      modelQueue.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
+      state.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
       end();
     };
     return { addFirstEvent, end };
   }
 
-  private _admitNext(modelQueue: ModelQueue): void {
-    while (modelQueue.window.hasCapacity()) {
-      const next = modelQueue.queue.takeNext(this._clock.getMonotonicMs());
+  private _admitNext(state: ModelState): void {
+    while (state.window.hasCapacity()) {
+      const next = state.queue.takeNext(this._clock.getMonotonicMs());
       if (next === undefined) return;
-      next.admit(this._createPass(modelQueue, next));
+      next.admit(this._createAdmission(state, next));
     }
   }
 }
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -2,8 +2,8 @@
 import type { IncomingMessage } from "node:http";
 
 /**
- * Headers that apply to one connection only (RFC 9110, section 7.6.1), and framing headers, which are created
- * again.
+ * Headers that apply to one connection only (RFC 9110, section 7.6.1), and framing headers, which the gateway
+ * creates itself.
  */
 const HOP_BY_HOP_HEADERS = new Set([
   "connection",
--- a/src/gateway/patience.ts
+++ b/src/gateway/patience.ts
@@ -9,8 +9,8 @@
 const MIN_ANSWER_TIMEOUT_MS = 250;
 const MIN_FIRST_EVENT_TIMEOUT_MS = 800;
 /**
- * Factor on the timeout while the endpoint sends data for other requests: it works, and this request may be
- * queued there.
+ * Factor by which the timeout is extended while the endpoint sends data for other requests: the endpoint
+ * works, and this request may be queued there.
  */
 const BUSY_TIMEOUT_FACTOR = 4;
 /** Multiple of its objective that a gap between two events may take. */
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -7,7 +7,7 @@
 import { SeededRandom } from "../../src/consensus";
 import { CrashLedger, getRequestDigest, type RequestContent } from "../../src/containment";
 import { type Declaration, type Route, RouteTable } from "../../src/declaration";
-import type { AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
+import type { AnswerFacts, AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
 import { dropHeaders } from "../../src/gateway";
 import { CrashWatch } from "../../src/gateway/CrashWatch";
 import { GatewayServer } from "../../src/gateway/GatewayServer";
@@ -67,7 +67,7 @@
     return headers;
   }
 
-  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }) {
+  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }): AnswerFacts {
     const id = headers["x-id"];
     return {
       isOwn: id === undefined || id === call.requestId,
--- a/test/gateway/StreamGate.test.ts
+++ b/test/gateway/StreamGate.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { type GatePass, type GateRequest, StreamGate } from "../../src/gateway/StreamGate";
+import { type AdmissionRequest, type StreamAdmission, StreamGate } from "../../src/gateway/StreamGate";
 
 const OBJECTIVE_MS = 200;
 const TIME_MS = 5_000;
@@ -17,7 +17,7 @@
     vi.useRealTimers();
   });
 
-  function createRequest(model = "m"): GateRequest {
+  function createRequest(model = "m"): AdmissionRequest {
     const now = Date.now();
     return {
       service: "s",
@@ -29,41 +29,44 @@
     };
   }
 
-  async function enter(name: string, signal = new AbortController().signal): Promise<GatePass | undefined> {
-    const pass = await gate.enter(createRequest(), signal);
-    order.push(pass === undefined ? `${name} refused` : name);
-    return pass;
+  async function enter(
+    name: string,
+    signal = new AbortController().signal,
+  ): Promise<StreamAdmission | undefined> {
+    const admission = await gate.enter(createRequest(), signal);
+    order.push(admission === undefined ? `${name} refused` : name);
+    return admission;
   }
 
   /** Reduces the window to three streams and fills it. */
-  async function fillWindow(): Promise<GatePass> {
+  async function fillWindow(): Promise<StreamAdmission> {
     for (let i = 0; i < 30; i++) {
-      const pass = await gate.enter(createRequest(), new AbortController().signal);
+      const admission = await gate.enter(createRequest(), new AbortController().signal);
       await vi.advanceTimersByTimeAsync(OBJECTIVE_MS * 2);
-      pass!.addFirstEvent();
+      admission!.addFirstEvent();
     }
-    const passes = [];
+    const admissions = [];
     for (let i = 0; i < 3; i++)
-      passes.push((await gate.enter(createRequest(), new AbortController().signal))!);
-    return passes[0]!;
+      admissions.push((await gate.enter(createRequest(), new AbortController().signal))!);
+    return admissions[0]!;
   }
 
   it("admits streams that can meet their objective first, the oldest before the others, then the late ones", async () => {
     const first = await fillWindow();
-    const passes = [enter("late")];
+    const admissions = [enter("late")];
     await vi.advanceTimersByTimeAsync(OBJECTIVE_MS);
-    passes.push(enter("fresh 1"));
+    admissions.push(enter("fresh 1"));
     await vi.advanceTimersByTimeAsync(20);
-    passes.push(enter("fresh 2"));
+    admissions.push(enter("fresh 2"));
     await vi.advanceTimersByTimeAsync(20);
     expect(gate.waitingCount).toBe(3);
     first.end();
     first.end();
     await vi.advanceTimersByTimeAsync(0);
     expect(order).toEqual(["fresh 1"]);
-    (await passes[1])!.end();
-    (await passes[2])!.end();
-    await passes[0];
+    (await admissions[1])!.end();
+    (await admissions[2])!.end();
+    await admissions[0];
     expect(order).toEqual(["fresh 1", "fresh 2", "late"]);
   });
 
@@ -84,7 +87,7 @@
 
   it("does not delay a stream because another model's window is full", async () => {
     await fillWindow();
-    const pass = await gate.enter(createRequest("other"), new AbortController().signal);
-    expect(pass).toBeDefined();
+    const admission = await gate.enter(createRequest("other"), new AbortController().signal);
+    expect(admission).toBeDefined();
   });
 });
