--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -58,9 +58,9 @@
   abort.abort(new LostAnswer({ address, reason }));
 }
 
-/** Aborts an attempt whose answer exceeds the buffer limit. */
+/** Aborts an attempt of whose answer too many bytes are buffered. */
 export function abortOversized(abort: AbortController, { address }: Target, bytes: number): void {
-  const reason = `answer exceeds the buffer limit: ${bytes} bytes are buffered`;
+  const reason = `too many bytes of the answer are buffered: ${bytes}`;
   abort.abort(new OversizedAnswer({ address, reason }));
 }
 
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashWatch.ts
@@ -50,7 +50,7 @@
 /** Crash monitor of one entry. */
 export class CrashWatch {
   private readonly _options: CrashWatchOptions;
-  private readonly _probe = new EndpointProbe();
+  private readonly _endpointProbe = new EndpointProbe();
 
   /** @param options - Ledger of crashes, and the callback for its changes. */
   constructor(options: CrashWatchOptions) {
@@ -94,7 +94,7 @@
   async addBrokenAttempt(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
     const { target, brokeAt, answeredAt } = attempt;
     if (answeredAt !== undefined && brokeAt - answeredAt > MAX_ANSWERED_MS) return;
-    const { first, final } = this._probe.probe(target);
+    const { first, final } = this._endpointProbe.probe(target);
     if (await first) this._addCrash(digest, attempt);
     else void final.then((hasEnded) => hasEnded && this._addCrash(digest, attempt));
   }
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -61,7 +61,7 @@
   /** Queues streams in the entry while endpoints are overloaded. */
   readonly gate: StreamGate;
   /** Decides which requests are blocked because they crash endpoints. */
-  readonly crashes: CrashWatch;
+  readonly crashMonitor: CrashWatch;
   /** Takes one retry from the budget that all entries share; `false` when none is left. */
   readonly takeRetry: () => boolean;
   /** Counts and limits the buffered bytes of incomplete answers. */
@@ -162,7 +162,7 @@
 
   /** Decides whether the request may be sent to endpoints at all. */
   admit(): boolean {
-    const admittance = this.dependencies.crashes.admit(this.getNow(), () => this.digest);
+    const admittance = this.dependencies.crashMonitor.admit(this.getNow(), () => this.digest);
     this._isTrial = admittance === "trial";
     return admittance !== "keptAway";
   }
@@ -179,7 +179,7 @@
     const { requestId } = this.request.call;
     for (const { target, startedAt } of sent) {
       const attempt = { target, startedAt, requestId, brokeAt: this.getNow(), answeredAt: undefined };
-      void this.dependencies.crashes.addWithdrawal(this.digest, attempt);
+      void this.dependencies.crashMonitor.addWithdrawal(this.digest, attempt);
     }
   }
 
@@ -231,13 +231,13 @@
 
   /** Checks whether the request is blocked because endpoints crashed while they ran it. */
   get isBlocked(): boolean {
-    const { crashes } = this.dependencies;
-    return this._isTrial ? this.isConfirmedCause : crashes.isKeptAway(this.getNow(), () => this.digest);
+    const { crashMonitor } = this.dependencies;
+    return this._isTrial ? this.isConfirmedCause : crashMonitor.isKeptAway(this.getNow(), () => this.digest);
   }
 
   /** Checks whether the request is the confirmed cause of crashes. */
   get isConfirmedCause(): boolean {
-    return this.dependencies.crashes.isConfirmedCause(() => this.digest);
+    return this.dependencies.crashMonitor.isConfirmedCause(() => this.digest);
   }
 
   /** Chooses a target that this request has not been sent to. */
@@ -338,7 +338,7 @@
     attempt.end();
     this._runningAttempts.delete(attempt.abort);
     this.dependencies.pool.addSuccess(attempt.target.id);
-    this.dependencies.crashes.addGoodEnd(this.getNow(), () => this.digest);
+    this.dependencies.crashMonitor.addGoodEnd(this.getNow(), () => this.digest);
   }
 
   /** Creates the refusal for the caller after all attempts have failed. */
@@ -469,7 +469,7 @@
   ): void {
     const { requestId } = this.request.call;
     const attempt = { target, requestId, startedAt, brokeAt, answeredAt };
-    this._crashProbe = this.dependencies.crashes.addBrokenAttempt(this.digest, attempt);
+    this._crashProbe = this.dependencies.crashMonitor.addBrokenAttempt(this.digest, attempt);
   }
 }
 
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -116,7 +116,7 @@
   const getEntryCount = () => Math.max(1, view.entryCount);
   let routes: RouteTable | undefined;
   const ledger = new CrashLedger();
-  const crashes = new CrashWatch({
+  const crashMonitor = new CrashWatch({
     ledger,
     logger,
     metrics,
@@ -127,7 +127,7 @@
   });
   const onChange = ({ crashRecords }: ViewUpdate) => {
     if (crashRecords.length > 0) {
-      crashes.addCommitted(clock.getMonotonicMs(), crashRecords);
+      crashMonitor.addCommitted(clock.getMonotonicMs(), crashRecords);
       server.withdrawConfirmedCauses();
     }
     const targets = view.getTargets();
@@ -152,7 +152,7 @@
       client,
       dialect,
       pool,
-      crashes,
+      crashMonitor,
       buffers: new AnswerBuffers(MAX_BUFFERED_ANSWER_BYTES),
       gate: new StreamGate(clock, (service, model) =>
         getInitialWindow(pool, getEntryCount(), service, model),
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -81,7 +81,7 @@
   private _requestCount = 0;
   private _bufferedBytes = 0;
   private _isStopping = false;
-  private _refusesAll = false;
+  private _refusesRequests = false;
   private _onIdle: () => void = () => {};
 
   /** @param options - Listening address and dependencies. */
@@ -164,7 +164,7 @@
 
   /** Refuses new requests; those in progress continue. */
   refuseAll(): void {
-    this._refusesAll = true;
+    this._refusesRequests = true;
     this._options.dependencies.gate.refuseAll();
   }
 
@@ -252,7 +252,8 @@
         call,
       );
     }
-    if (this._refusesAll) throw createNotRunRefusal("stopping", "this entry is stopping", STOPPING_RETRY_MS);
+    if (this._refusesRequests)
+      throw createNotRunRefusal("stopping", "this entry is stopping", STOPPING_RETRY_MS);
     const route = routes.getRoute(incoming.headers.host ?? "", incoming.url ?? "");
     if (route === undefined) {
       throw this._createDeclarationRefusal(
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -20,7 +20,7 @@
   target: Target;
   inFlight: number;
   /** Until this time the target is only used when there is no other. */
-  suspectUntil: number;
+  suspectedUntil: number;
   failures: number;
   /** When data for any request last arrived from the target. */
   lastActivityAt: number;
@@ -28,7 +28,7 @@
 }
 
 /** How long a target is avoided after its first failure; doubled with each consecutive failure. */
-const SUSPICION_MS = 500;
+const MIN_SUSPICION_MS = 500;
 const MAX_SUSPICION_MS = 4_000;
 const NEVER = Number.NEGATIVE_INFINITY;
 /** Random part of a score, smaller than any relevant difference. */
@@ -136,16 +136,16 @@
     const state = this._targets.get(id);
     if (state === undefined) return;
     state.failures = 0;
-    state.suspectUntil = 0;
+    state.suspectedUntil = 0;
   }
 
   /** Records a failure: the target is avoided for 0.5 to 4 s. */
   addFailure(now: number, id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
-    const suspicionMs = Math.min(MAX_SUSPICION_MS, SUSPICION_MS * 2 ** state.failures);
+    const suspicionMs = Math.min(MAX_SUSPICION_MS, MIN_SUSPICION_MS * 2 ** state.failures);
     state.failures += 1;
-    state.suspectUntil = Math.max(state.suspectUntil, now + suspicionMs);
+    state.suspectedUntil = Math.max(state.suspectedUntil, now + suspicionMs);
   }
 
   private _getScore(now: number, state: TargetState): number {
@@ -155,7 +155,7 @@
   }
 
   private _isAvoided(now: number, state: TargetState): boolean {
-    return state.suspectUntil > now || state.stallDetector.isStalled(now);
+    return state.suspectedUntil > now || state.stallDetector.isStalled(now);
   }
 }
 
@@ -163,7 +163,7 @@
   return {
     target,
     inFlight: 0,
-    suspectUntil: 0,
+    suspectedUntil: 0,
     failures: 0,
     lastActivityAt: NEVER,
     stallDetector: new StallDetector(),
--- a/src/gateway/returnTime.ts
+++ b/src/gateway/returnTime.ts
@@ -6,7 +6,7 @@
  */
 
 /** Callers honour a retry time of up to a third of their remaining time. */
-const HONOURED_SHARE = 0.3;
+const MAX_HONOURED_SHARE = 0.3;
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 3_000;
 /**
@@ -32,7 +32,7 @@
 export function getRetryAfterMs(remainingMs: number, random: number): number {
   const share = MIN_RANDOM_SHARE + (1 - MIN_RANDOM_SHARE) * random;
   return Math.round(
-    Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, remainingMs * HONOURED_SHARE * share)),
+    Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, remainingMs * MAX_HONOURED_SHARE * share)),
   );
 }
 
@@ -48,5 +48,5 @@
   random: number,
 ): number {
   const viewMs = Math.max(MIN_RETRY_AFTER_MS, FIRST_VIEW_MS - sinceStartMs) + random * FIRST_VIEW_SPREAD_MS;
-  return Math.round(Math.min((remainingMs ?? DEFAULT_REMAINING_MS) * HONOURED_SHARE, viewMs));
+  return Math.round(Math.min((remainingMs ?? DEFAULT_REMAINING_MS) * MAX_HONOURED_SHARE, viewMs));
 }
--- a/test/gateway/Exchange.test.ts
+++ b/test/gateway/Exchange.test.ts
@@ -19,11 +19,11 @@
     service: "service",
     deadlineAt: TIMEOUT_MS,
   } as ExchangeRequest;
-  const crashes: Partial<CrashWatch> = { isKeptAway: () => false, addWithdrawal: async () => {} };
+  const crashMonitor: Partial<CrashWatch> = { isKeptAway: () => false, addWithdrawal: async () => {} };
   const dependencies = {
     clock: { getMonotonicMs: () => 0, getWallMs: () => 0 },
     pool,
-    crashes,
+    crashMonitor,
     takeRetry: () => true,
     onSuspicion: () => {},
   } as unknown as ExchangeDependencies;
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -259,7 +259,7 @@
         client: this._client,
         dialect: new TestDialect(),
         pool,
-        crashes: this.crashMonitor,
+        crashMonitor: this.crashMonitor,
         buffers: new AnswerBuffers(MAX_BUFFERED_ANSWER_BYTES),
         gate: new StreamGate(clock, () => 32),
         random,
