--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -60,7 +60,7 @@
 
 /** Aborts an attempt of whose answer too many bytes are buffered. */
 export function abortOversized(abort: AbortController, { address }: Target, bytes: number): void {
-  const reason = `too many bytes of the answer are buffered: ${bytes}`;
+  const reason = `buffered answers exceed the limit (${bytes} bytes of this answer)`;
   abort.abort(new OversizedAnswer({ address, reason }));
 }
 
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -10,7 +10,7 @@
 import { CallerTimeouts } from "./CallerWaits";
 import type { CallFacts } from "./Dialect";
 import { Exchange, type ExchangeDependencies, type ExchangeRequest } from "./Exchange";
-import { useCloseDelimiting } from "./endWithConnection";
+import { delimitByClose } from "./endWithConnection";
 import { createNotRunRefusal, GatewayRefusal } from "./GatewayRefusal";
 import { dropHeaders, getEndToEndHeaders } from "./headers";
 import { PlainExchange } from "./PlainExchange";
@@ -385,7 +385,7 @@
     if (response.headersSent || response.destroyed) return;
     const headers = dropHeaders(getEndToEndHeaders(answer.headers), FRAMING_HEADERS);
     if (answer.isFramed) headers.push("Content-Length", String(answer.body.length));
-    else useCloseDelimiting(response);
+    else delimitByClose(response);
     response.writeHead(answer.status, headers);
     response.end(answer.body);
     this._log(progress, "done", { status: answer.status });
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -9,7 +9,7 @@
 import { createRace } from "./createRace";
 import type { StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import { useCloseDelimiting } from "./endWithConnection";
+import { delimitByClose } from "./endWithConnection";
 import { getEndToEndHeaders, isFramed } from "./headers";
 import { getAnswerTimeoutMs, getGapTimeoutMs } from "./patience";
 import type { StreamAdmission } from "./StreamGate";
@@ -126,7 +126,7 @@
   private _writeHead(incoming: IncomingMessage): void {
     if (this._response.headersSent) return;
     if (!isFramed(incoming)) {
-      useCloseDelimiting(this._response);
+      delimitByClose(this._response);
       this._isCloseDelimited = true;
     }
     this._response.writeHead(incoming.statusCode ?? 0, getStreamHeaders(incoming));
--- a/src/gateway/endWithConnection.ts
+++ b/src/gateway/endWithConnection.ts
@@ -7,7 +7,7 @@
  * An endpoint's answer without a length may have been cut, which the gateway can't detect. Adding a length
  * would mark it as complete.
  */
-export function useCloseDelimiting(response: ServerResponse): void {
+export function delimitByClose(response: ServerResponse): void {
   response.shouldKeepAlive = false;
   response.useChunkedEncodingByDefault = false;
 }
