--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -169,8 +169,8 @@
       },
     },
     getRoutes: () => routes,
-    isConfirmed: () => view.isConfirmed && watcher.isShown,
-    getPublishedView: () => watcher.getLastShown(clock.getMonotonicMs()),
+    isConfirmed: () => view.isConfirmed && watcher.isCurrent,
+    getPublishedView: () => watcher.getReceivedView(clock.getMonotonicMs()),
     onRequest: () => budget.addRequest(clock.getMonotonicMs(), getEntryCount()),
   });
   const watcherId = `${process.name}.${randomBytes(6).toString("hex")}`;
@@ -192,7 +192,7 @@
     onDeclaration: updateRoutes,
   });
   const suspicions = new SuspicionReporter({
-    tell: (suspected) => watcher.reportSuspicions(suspected),
+    send: (suspected) => watcher.reportSuspicions(suspected),
     clock,
     logger,
   });
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -6,7 +6,7 @@
 import type { DeclaredOrganisation, Route, RouteTable } from "../declaration";
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
-import type { ShownView } from "../registration";
+import type { ReceivedView } from "../registration";
 import { CallerTimeouts } from "./CallerWaits";
 import type { CallFacts } from "./Dialect";
 import { Exchange, type ExchangeDependencies, type ExchangeRequest } from "./Exchange";
@@ -35,7 +35,7 @@
    */
   readonly isConfirmed: () => boolean;
   /** Gets which control process last published its view to this entry, and how long ago. */
-  readonly getPublishedView: () => ShownView;
+  readonly getPublishedView: () => ReceivedView;
   /** Called with each accepted request. */
   readonly onRequest: () => void;
 }
@@ -444,7 +444,7 @@
       view_term: publishedView.term,
       view_control: publishedView.control,
       // JSON can't represent infinity, which stands for no published view.
-      view_silence_ms: publishedView.control === "" ? undefined : Math.round(publishedView.silenceMs),
+      view_silence_ms: publishedView.control === "" ? undefined : Math.round(publishedView.heartbeatAgeMs),
       outcome,
       code,
       took_ms: tookMs,
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -18,7 +18,7 @@
 import { CrashRecordSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { HttpClient } from "../../src/http";
 import { TextMetrics } from "../../src/metrics";
-import type { ShownView } from "../../src/registration";
+import type { ReceivedView } from "../../src/registration";
 
 /** A request as received by an endpoint. */
 export interface ReceivedRequest {
@@ -114,7 +114,7 @@
   readonly crashMonitor: CrashWatch;
   /** Whether a leader has confirmed the declaration. */
   isConfirmed = true;
-  publishedView: ShownView = { control: "10.0.0.1:1", term: 2, silenceMs: 80 };
+  publishedView: ReceivedView = { control: "10.0.0.1:1", term: 2, heartbeatAgeMs: 80 };
   private readonly _servers: Server[] = [];
   private readonly _client = new HttpClient();
   private _gateway!: GatewayServer;
