--- a/src/gateway/CallerWaits.ts
+++ b/src/gateway/CallerWaits.ts
@@ -1,48 +1,48 @@
 /**
- * How long callers of each route wait when they ask for the first time.
+ * Estimates how long ago a caller first sent a request, from the timeout it states.
  *
- * A caller that comes back says that it waits for less: what it lacks tells how long ago it asked
- * first, and so whether it can still be answered within its objective. Where callers of one route
- * wait for different times, those with less are taken for having come back; that decides nothing
- * but the order in which waiting requests are sent. Pure: times are monotonic milliseconds given
+ * A caller that retries states a shorter timeout than at first. The difference to the longest timeout of its
+ * route is the time since its first request, which shows whether it can still be answered within its
+ * objective. On a route whose callers use different timeouts, those with shorter ones are taken for retries;
+ * this only affects the order in which queued requests are sent. Pure: times are monotonic milliseconds given
  * by the caller.
  */
 
-/** The longest wait of a route is forgotten after two spans of this length. */
-const SPAN_MS = 10_000;
+/** The longest timeout of a route is discarded after two periods of this length. */
+const PERIOD_MS = 10_000;
 
-interface RouteWaits {
-  spanStartedAt: number;
+interface RouteTimeouts {
+  periodStartedAt: number;
   longestMs: number;
   previousLongestMs: number;
 }
 
-/** Waits by route. */
-export class CallerWaits {
-  private readonly _routes = new Map<string, RouteWaits>();
+/** Timeouts of callers, by route. */
+export class CallerTimeouts {
+  private readonly _routes = new Map<string, RouteTimeouts>();
 
   /**
-   * Notes how long a caller waits.
-   * @returns How long ago it asked first, as far as that can be told.
+   * Records a caller's timeout.
+   * @returns Estimated time since the caller's first request, milliseconds.
    */
-  addWait(now: number, route: string, waitMs: number): number {
-    const waits = this._getWaits(now, route);
-    waits.longestMs = Math.max(waits.longestMs, waitMs);
-    return Math.max(waits.longestMs, waits.previousLongestMs) - waitMs;
+  addTimeout(now: number, route: string, timeoutMs: number): number {
+    const timeouts = this._getTimeouts(now, route);
+    timeouts.longestMs = Math.max(timeouts.longestMs, timeoutMs);
+    return Math.max(timeouts.longestMs, timeouts.previousLongestMs) - timeoutMs;
   }
 
-  private _getWaits(now: number, route: string): RouteWaits {
-    const known = this._routes.get(route);
-    if (known === undefined) {
-      const waits = { spanStartedAt: now, longestMs: 0, previousLongestMs: 0 };
-      this._routes.set(route, waits);
-      return waits;
+  private _getTimeouts(now: number, route: string): RouteTimeouts {
+    const existing = this._routes.get(route);
+    if (existing === undefined) {
+      const timeouts = { periodStartedAt: now, longestMs: 0, previousLongestMs: 0 };
+      this._routes.set(route, timeouts);
+      return timeouts;
     }
-    if (now - known.spanStartedAt >= SPAN_MS) {
-      known.previousLongestMs = now - known.spanStartedAt >= 2 * SPAN_MS ? 0 : known.longestMs;
-      known.longestMs = 0;
-      known.spanStartedAt = now;
+    if (now - existing.periodStartedAt >= PERIOD_MS) {
+      existing.previousLongestMs = now - existing.periodStartedAt >= 2 * PERIOD_MS ? 0 : existing.longestMs;
+      existing.longestMs = 0;
+      existing.periodStartedAt = now;
     }
-    return known;
+    return existing;
   }
 }
--- a/src/gateway/EndedLives.ts
+++ b/src/gateway/EndedLives.ts
@@ -1,8 +1,9 @@
 /**
- * Finds out whether an instance has ended, where an answer of it broke off.
+ * Determines whether an instance has ended after one of its answers broke off.
  *
- * Connections are reset and answers are cut for many reasons. One whose port refuses connections a moment
- * later is gone; a silent one may be cut off, and one that takes connections is there.
+ * Connections are reset and answers are cut for many reasons. An instance has ended if its port refuses
+ * connections a moment later. One whose port does not respond may only be partitioned, and one that accepts
+ * connections is running.
  */
 
 import { connect } from "node:net";
@@ -10,45 +11,50 @@
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { splitAddress } from "../http";
 
-/** A connection within a region comes up or is refused in a few milliseconds. */
-const CONNECT_MS = 300;
-/** A process that crashes may close its connections before its port. */
-const TRIES = 3;
-const PAUSE_MS = 30;
-/** Lives that were asked for lately; those of one moment share the answer. */
-const KEPT_ANSWERS = 256;
+/** A connection within a region is established or refused within a few milliseconds. */
+const CONNECT_TIMEOUT_MS = 300;
+/**
+ * A crashing process may close its connections before its listening port, so the port is probed several
+ * times.
+ */
+const MAX_ATTEMPTS = 3;
+const RETRY_DELAY_MS = 30;
+/**
+ * Number of incarnations whose results are cached, so that attempts that break off together share one result.
+ */
+const MAX_CACHED_RESULTS = 256;
 
 /** Whether an instance has ended. */
-export interface EndedAnswer {
-  /** As the first look shows it. */
-  readonly atOnce: Promise<boolean>;
-  /** As the last look shows it. */
-  readonly atLast: Promise<boolean>;
+export interface ProbeResult {
+  /** Result of the first connection attempt. */
+  readonly first: Promise<boolean>;
+  /** Result after the last connection attempt. */
+  readonly final: Promise<boolean>;
 }
 
-/** Asks the addresses of instances. */
-export class EndedLives {
-  private readonly _asked = new Map<string, EndedAnswer>();
+/** Probes the addresses of instances. */
+export class EndpointProbe {
+  private readonly _results = new Map<string, ProbeResult>();
 
-  /** Checks whether a target's address refuses connections. */
-  ask({ id, address }: Target): EndedAnswer {
-    const known = this._asked.get(id);
-    if (known !== undefined) return known;
-    const atOnce = refusesConnections(address);
-    const asked = { atOnce, atLast: this._lookAgain(id, address, atOnce) };
-    this._asked.set(id, asked);
-    if (this._asked.size > KEPT_ANSWERS) this._asked.delete(this._asked.keys().next().value!);
-    return asked;
+  /** Probes whether a target's address refuses connections. */
+  probe({ id, address }: Target): ProbeResult {
+    const cached = this._results.get(id);
+    if (cached !== undefined) return cached;
+    const first = refusesConnections(address);
+    const result = { first, final: this._probeAgain(id, address, first) };
+    this._results.set(id, result);
+    if (this._results.size > MAX_CACHED_RESULTS) this._results.delete(this._results.keys().next().value!);
+    return result;
   }
 
-  private async _lookAgain(id: string, address: string, atOnce: Promise<boolean>): Promise<boolean> {
-    if (await atOnce) return true;
-    for (let i = 1; i < TRIES; i++) {
-      await pause(PAUSE_MS);
+  private async _probeAgain(id: string, address: string, first: Promise<boolean>): Promise<boolean> {
+    if (await first) return true;
+    for (let i = 1; i < MAX_ATTEMPTS; i++) {
+      await pause(RETRY_DELAY_MS);
       if (await refusesConnections(address)) return true;
     }
-    // It is there, or cut off: what breaks off next is asked for anew.
-    this._asked.delete(id);
+    // The instance is running or partitioned, so the next broken attempt probes it again.
+    this._results.delete(id);
     return false;
   }
 }
@@ -56,7 +62,7 @@
 function refusesConnections(address: string): Promise<boolean> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
-    const socket = connect({ host, port, timeout: CONNECT_MS });
+    const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
     const end = (isRefused: boolean) => {
       socket.destroy();
       resolve(isRefused);
--- a/src/gateway/HeldAnswer.ts
+++ b/src/gateway/HeldAnswer.ts
@@ -1,58 +1,61 @@
-/** What a process holds of one answer that is not whole yet; counts toward the bound of all of them. Pure. */
-
-/** What counts all answers together. */
-export interface HeldSum {
-  /** Adds bytes, or takes them off. */
-  change(bytes: number): void;
-  /** Gives answers up until the bound holds. */
-  bound(): void;
-  /** Forgets an answer. */
-  remove(answer: HeldAnswer): void;
+/** Counts the buffered bytes of one incomplete answer toward the limit over all answers. Pure. */
+
+/** Total over all buffered answers. */
+export interface BufferTotal {
+  /** Adds a number of bytes to the total; a negative number subtracts. */
+  add(bytes: number): void;
+  /** Abandons answers until the total is within the limit. */
+  enforceLimit(): void;
+  /** Removes an answer from the total. */
+  remove(answer: BufferedAnswer): void;
 }
 
-/** What is held of one answer. */
-export class HeldAnswer {
-  private readonly _held: HeldSum;
-  private readonly _giveUp: (bytes: number) => void;
+/** Buffered bytes of one answer. */
+export class BufferedAnswer {
+  private readonly _total: BufferTotal;
+  private readonly _onAbandoned: (bytes: number) => void;
   private _bytes = 0;
   private _isOpen = true;
 
-  /** @internal Use `HeldBytes.open`. */
-  constructor(held: HeldSum, giveUp: (bytes: number) => void) {
-    this._held = held;
-    this._giveUp = giveUp;
+  /** @internal Use `AnswerBuffers.open`. */
+  constructor(total: BufferTotal, onAbandoned: (bytes: number) => void) {
+    this._total = total;
+    this._onAbandoned = onAbandoned;
   }
 
-  /** Gets how many bytes are held of it. */
+  /** Gets the number of buffered bytes. */
   get bytes(): number {
     return this._bytes;
   }
 
-  /** Gets whether it is held still, and not given up. */
+  /** Gets whether the answer is still buffered; `false` once it is closed or abandoned. */
   get isOpen(): boolean {
     return this._isOpen;
   }
 
-  /** Sets how many bytes are held of it; may give up this or another one. */
+  /**
+   * Sets the number of buffered bytes. When the total exceeds the limit, this abandons the largest answer,
+   * which may be this one.
+   */
   setBytes(bytes: number): void {
     if (!this._isOpen) return;
-    this._held.change(bytes - this._bytes);
+    this._total.add(bytes - this._bytes);
     this._bytes = bytes;
-    this._held.bound();
+    this._total.enforceLimit();
   }
 
-  /** Holds nothing of it any more. */
+  /** Removes the answer's bytes from the total. */
   close(): void {
     this._isOpen = false;
-    this._held.change(-this._bytes);
+    this._total.add(-this._bytes);
     this._bytes = 0;
-    this._held.remove(this);
+    this._total.remove(this);
   }
 
-  /** Ends it, since it is the largest one of too many bytes. */
-  giveUp(): void {
+  /** Abandons the answer because it is the largest one while the total exceeds the limit. */
+  abandon(): void {
     const bytes = this._bytes;
     this.close();
-    this._giveUp(bytes);
+    this._onAbandoned(bytes);
   }
 }
--- a/src/gateway/PlainExchange.ts
+++ b/src/gateway/PlainExchange.ts
@@ -1,37 +1,37 @@
-/** Runs a request whose answer is one body: taken in whole before any of it goes out. */
+/**
+ * Runs a request whose answer is a single body, which is buffered completely before any of it is passed on.
+ */
 import { createRace } from "./createRace";
 import type { Exchange } from "./Exchange";
-import { PlainSource, type WholeAnswer } from "./PlainSource";
-import { getAnswerPatienceMs } from "./patience";
+import { type CompleteAnswer, PlainSource } from "./PlainSource";
+import { getAnswerTimeoutMs } from "./patience";
 
 /** Runs a request until an answer may be passed on. */
 export class PlainExchange {
   private readonly _exchange: Exchange;
-  /** An endpoint's own failure: passed on as it stands where no other attempt comes to more. */
-  private _failure: WholeAnswer | undefined;
+  /** Server error answered by an endpoint; passed on unchanged when no other attempt succeeds. */
+  private _serverError: CompleteAnswer | undefined;
 
-  /**
-   * @param exchange - The request and its attempts.
-   */
+  /** @param exchange - The request and its attempts. */
   constructor(exchange: Exchange) {
     this._exchange = exchange;
   }
 
   /**
    * Runs the request.
-   * @throws GatewayRefusal
+   * @throws GatewayRefusal - When no attempt produced an answer.
    */
-  async run(): Promise<WholeAnswer> {
+  async run(): Promise<CompleteAnswer> {
     const exchange = this._exchange;
     const race = createRace(exchange, {
       open: (target) =>
-        new PlainSource(exchange, target, (failure) => {
-          this._failure = failure;
+        new PlainSource(exchange, target, (answer) => {
+          this._serverError = answer;
         }),
-      getPatienceMs: () => getAnswerPatienceMs(exchange.request.route),
+      getIdleTimeoutMs: () => getAnswerTimeoutMs(exchange.request.route),
     });
     try {
-      const answer = (await race.next()) ?? this._failure;
+      const answer = (await race.next()) ?? this._serverError;
       if (answer === undefined) throw exchange.createRefusal();
       return answer;
     } finally {
--- a/src/gateway/StreamGate.ts
+++ b/src/gateway/StreamGate.ts
@@ -1,133 +1,136 @@
 /**
- * Lets streams out to endpoints: one window and one queue for each service and model.
+ * Admits streams to endpoints, with one admission window and one queue for each service and model.
  *
- * A stream that finds no room waits until one that was sent has begun or ended, or until it
- * is given up on.
+ * When the window is full, a stream waits until an admitted one has received its first event or ended, or
+ * until its queue timeout expires.
  */
 import type { Clock } from "../clock";
 import { AdmissionWindow } from "./AdmissionWindow";
 import { FreshFirstQueue, type WaitingRequest } from "./FreshFirstQueue";
 
-/** What a stream asks to be let out for. */
-export interface GateRequest extends WaitingRequest {
-  /** How long the caller waits for a first event. */
-  readonly callerPatienceMs: number;
+/** A stream that asks for admission. */
+export interface AdmissionRequest extends WaitingRequest {
+  /** How long the caller waits for a first event, milliseconds. */
+  readonly callerTimeoutMs: number;
   readonly service: string;
   readonly model: string;
 }
 
-/** A stream that was let out. */
-export interface GatePass {
-  /** Notes its first event. */
+/** Admission of one stream. */
+export interface StreamAdmission {
+  /** Records the stream's first event. */
   addFirstEvent(): void;
-  /** Notes that it waits no more; more often than once does nothing. */
+  /** Records that the stream no longer waits for its first event; further calls have no effect. */
   end(): void;
 }
 
-interface WaitingStream extends GateRequest {
-  readonly letOut: (pass: GatePass | undefined) => void;
+interface WaitingStream extends AdmissionRequest {
+  readonly admit: (admission: StreamAdmission | undefined) => void;
 }
 
-interface Lane {
+interface ModelState {
   readonly window: AdmissionWindow;
   readonly queue: FreshFirstQueue<WaitingStream>;
 }
 
-/** Part of its caller's patience that a stream waits here; then it is refused while that may help. */
-const PATIENCE_SHARE = 0.45;
+/**
+ * Fraction of its caller's timeout that a stream waits here. It is then refused, while the caller still has
+ * time to retry.
+ */
+const QUEUE_TIMEOUT_SHARE = 0.45;
 
-/** The gate of one entry. */
+/** Gate of one entry. */
 export class StreamGate {
   private readonly _clock: Clock;
-  private readonly _getFirstSize: (service: string, model: string) => number;
-  private readonly _lanes = new Map<string, Lane>();
+  private readonly _getInitialSize: (service: string, model: string) => number;
+  private readonly _states = new Map<string, ModelState>();
 
   /**
    * @param clock - Monotonic time.
-   * @param getFirstSize - Gives how many streams of a model this entry may have at endpoints before
-   * their first event while nothing is known of how soon that comes.
+   * @param getInitialSize - Gets the initial size of a model's window: how many of its streams this entry may
+   * have waiting at endpoints before any first event has been measured.
    */
-  constructor(clock: Clock, getFirstSize: (service: string, model: string) => number) {
+  constructor(clock: Clock, getInitialSize: (service: string, model: string) => number) {
     this._clock = clock;
-    this._getFirstSize = getFirstSize;
+    this._getInitialSize = getInitialSize;
   }
 
-  /** Gets how many streams wait. */
+  /** Gets the number of queued streams. */
   get waitingCount(): number {
-    return [...this._lanes.values()].reduce((sum, lane) => sum + lane.queue.size, 0);
+    return [...this._states.values()].reduce((sum, state) => sum + state.queue.size, 0);
   }
 
   /**
    * Waits until a stream may be sent.
-   * @param signal - Aborted when the caller has left, or its time is over.
-   * @returns `undefined` when it waited for too long, or was aborted.
+   * @param signal - Aborted when the caller has disconnected or its time has expired.
+   * @returns `undefined` when the stream waited for too long or was aborted.
    */
-  async enter(request: GateRequest, signal: AbortSignal): Promise<GatePass | undefined> {
-    const lane = this._getLane(request);
-    if (lane.queue.size === 0 && lane.window.hasRoom()) return this._createPass(lane, request);
-    const patienceMs = request.callerPatienceMs * PATIENCE_SHARE;
+  async enter(request: AdmissionRequest, signal: AbortSignal): Promise<StreamAdmission | undefined> {
+    const state = this._getState(request);
+    if (state.queue.size === 0 && state.window.hasCapacity()) return this._createAdmission(state, request);
+    const timeoutMs = request.callerTimeoutMs * QUEUE_TIMEOUT_SHARE;
     return new Promise((resolve) => {
       const stream: WaitingStream = {
         ...request,
-        letOut: (pass) => {
+        admit: (admission) => {
           clearTimeout(timer);
-          signal.removeEventListener("abort", giveUp);
-          resolve(pass);
+          signal.removeEventListener("abort", abandon);
+          resolve(admission);
         },
       };
-      const giveUp = () => {
-        if (lane.queue.remove(stream)) stream.letOut(undefined);
+      const abandon = () => {
+        if (state.queue.remove(stream)) stream.admit(undefined);
       };
-      const timer = setTimeout(giveUp, patienceMs);
-      signal.addEventListener("abort", giveUp, { once: true });
-      lane.queue.add(stream);
+      const timer = setTimeout(abandon, timeoutMs);
+      signal.addEventListener("abort", abandon, { once: true });
+      state.queue.add(stream);
     });
   }
 
-  /** Gives all streams up that wait: this entry stops. */
+  /** Refuses all queued streams because this entry stops. */
   refuseAll(): void {
     const now = this._clock.getMonotonicMs();
-    for (const { queue } of this._lanes.values()) {
+    for (const { queue } of this._states.values()) {
       for (let next = queue.takeNext(now); next !== undefined; next = queue.takeNext(now)) {
-        next.letOut(undefined);
+        next.admit(undefined);
       }
     }
   }
 
-  private _getLane({ service, model }: GateRequest): Lane {
+  private _getState({ service, model }: AdmissionRequest): ModelState {
     const key = `${service}/${model}`;
-    const known = this._lanes.get(key);
-    if (known !== undefined) return known;
-    const window = new AdmissionWindow(this._getFirstSize(service, model));
-    const lane = { window, queue: new FreshFirstQueue<WaitingStream>() };
-    this._lanes.set(key, lane);
-    return lane;
+    const existing = this._states.get(key);
+    if (existing !== undefined) return existing;
+    const window = new AdmissionWindow(this._getInitialSize(service, model));
+    const state = { window, queue: new FreshFirstQueue<WaitingStream>() };
+    this._states.set(key, state);
+    return state;
   }
 
-  private _createPass(lane: Lane, { objectiveMs }: GateRequest): GatePass {
+  private _createAdmission(state: ModelState, { objectiveMs }: AdmissionRequest): StreamAdmission {
     const sentAt = this._clock.getMonotonicMs();
-    let isOver = false;
-    lane.window.addSent();
+    let hasEnded = false;
+    state.window.addWaiting();
     const end = () => {
-      if (isOver) return;
-      isOver = true;
-      lane.window.removeSent();
-      this._letOut(lane);
+      if (hasEnded) return;
+      hasEnded = true;
+      state.window.removeWaiting();
+      this._admitNext(state);
     };
     const addFirstEvent = () => {
-      if (isOver) return;
+      if (hasEnded) return;
       const now = this._clock.getMonotonicMs();
-      lane.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
+      state.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
       end();
     };
     return { addFirstEvent, end };
   }
 
-  private _letOut(lane: Lane): void {
-    while (lane.window.hasRoom()) {
-      const next = lane.queue.takeNext(this._clock.getMonotonicMs());
+  private _admitNext(state: ModelState): void {
+    while (state.window.hasCapacity()) {
+      const next = state.queue.takeNext(this._clock.getMonotonicMs());
       if (next === undefined) return;
-      next.letOut(this._createPass(lane, next));
+      next.admit(this._createAdmission(state, next));
     }
   }
 }
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -1,76 +1,74 @@
 /**
- * The targets that one entry may use, with what it knows of each.
+ * Targets that one entry may use, with their load and failures as observed by this entry.
  *
  * Pure: times are monotonic milliseconds given by the caller.
  */
 import type { RandomSource } from "../consensus";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
-import { AnswerPace } from "./AnswerPace";
+import { StallDetector } from "./AnswerPace";
 
-/** What a choice is made for. */
+/** Criteria for choosing a target. */
 export interface TargetRequest {
   readonly service: string;
   /** "" for a plain service. */
   readonly model: string;
-  /** Targets that this request was sent to already. */
+  /** Ids of the targets that the request has already been sent to. */
   readonly excluded: ReadonlySet<string>;
 }
 
 interface TargetState {
   target: Target;
   inFlight: number;
-  /** Before this time it is used only when there is no other. */
-  suspectUntil: number;
+  /** Until this time the target is only used when there is no other. */
+  suspectedUntil: number;
   failures: number;
-  /** When any request heard anything of it. */
-  heardAt: number;
-  readonly pace: AnswerPace;
+  /** When data for any request last arrived from the target. */
+  lastActivityAt: number;
+  readonly stallDetector: StallDetector;
 }
 
-/** How long a target is avoided after its first failure; doubled with each that follows. */
-const SUSPICION_MS = 500;
+/** How long a target is avoided after its first failure; doubled with each consecutive failure. */
+const MIN_SUSPICION_MS = 500;
 const MAX_SUSPICION_MS = 4_000;
 const NEVER = Number.NEGATIVE_INFINITY;
-/** Random part of a score, below any difference that matters. */
+/** Random part of a score, smaller than any relevant difference. */
 const TIE_BREAK = 1e-6;
-/** Requests that a suspect counts as, against one that is not. */
-const SUSPECT_LOAD = 1_000;
+/** Penalty of a suspected target, in requests per slot. */
+const SUSPECT_PENALTY = 1_000;
 
-/** A target's requests in flight. */
+/** Targets of one entry and their requests in flight. */
 export class TargetPool {
   private _targets = new Map<string, TargetState>();
   private readonly _random: RandomSource;
 
-  /**
-   * @param random - Breaks ties, so that entries don't all choose alike.
-   */
+  /** @param random - Breaks ties, so that different entries choose different targets. */
   constructor(random: RandomSource) {
     this._random = random;
   }
 
-  /** Sets the targets; what is known of those that stay is kept. */
+  /** Replaces the targets; the state of targets that remain is retained. */
   setTargets(targets: readonly Target[]): void {
     this._targets = new Map(
       targets.map((target) => {
-        const known = this._targets.get(target.id);
-        if (known === undefined) return [target.id, createState(target)];
-        known.target = target;
-        return [target.id, known];
+        const existing = this._targets.get(target.id);
+        if (existing === undefined) return [target.id, createState(target)];
+        existing.target = target;
+        return [target.id, existing];
       }),
     );
   }
 
-  /** Checks whether a target may still be used. */
+  /** Checks whether a target is in the pool. */
   hasTarget(id: string): boolean {
     return this._targets.has(id);
   }
 
-  /** Gets how many requests are in flight at a target. */
+  /** Gets the number of requests in flight at a target. */
   getInFlight(id: string): number {
     return this._targets.get(id)?.inFlight ?? 0;
   }
 
-  /** Gets how many requests the targets of a service and model run at once. */
+  /** Gets how many requests the targets of a service and model can run concurrently. */
   getSlots(service: string, model: string): number {
     const targets = [...this._targets.values()].map((state) => state.target);
     return targets
@@ -78,12 +76,12 @@
       .reduce((sum, target) => sum + target.slots, 0);
   }
 
-  /** Chooses the target with the fewest requests a slot. */
+  /** Chooses the target with the fewest requests in flight per slot; `undefined` when none matches. */
   chooseTarget(now: number, request: TargetRequest): Target | undefined {
     let best: TargetState | undefined;
     let bestScore = Number.POSITIVE_INFINITY;
     for (const state of this._targets.values()) {
-      if (!isWanted(state.target, request)) continue;
+      if (!isMatch(state.target, request)) continue;
       const score = this._getScore(now, state);
       if (score < bestScore) {
         best = state;
@@ -93,78 +91,85 @@
     return best?.target;
   }
 
-  /** Checks whether a target is avoided now. */
-  isSuspect(now: number, id: string): boolean {
+  /** Checks whether a target is avoided at the moment. */
+  isSuspected(now: number, id: string): boolean {
     const state = this._targets.get(id);
     return state !== undefined && this._isAvoided(now, state);
   }
 
-  /** Checks whether a target's streams all stand still. */
+  /** Checks whether all streams of a target have stalled. */
   isStalled(now: number, id: string): boolean {
-    return this._targets.get(id)?.pace.isStalled(now) ?? false;
+    return this._targets.get(id)?.stallDetector.isStalled(now) ?? false;
   }
 
-  /** Gets the pace of a target's streams, if it is known. */
-  getPace(id: string): AnswerPace | undefined {
-    return this._targets.get(id)?.pace;
+  /** Gets the stall detector of a target; `undefined` for an unknown target. */
+  getStallDetector(id: string): StallDetector | undefined {
+    return this._targets.get(id)?.stallDetector;
   }
 
-  /** Notes the beginning of a request; gives what notes its end. */
+  /** Records the start of a request. Returns a function that records its end. */
   startRequest(id: string): () => void {
     const state = this._targets.get(id);
     if (state === undefined) return () => {};
     state.inFlight += 1;
-    let isOver = false;
+    let hasEnded = false;
     return () => {
-      if (isOver) return;
-      isOver = true;
+      if (hasEnded) return;
+      hasEnded = true;
       state.inFlight -= 1;
     };
   }
 
-  /** Notes that something was heard of a target. */
-  addSign(now: number, id: string): void {
+  /** Records that data arrived from a target. */
+  addActivity(now: number, id: string): void {
     const state = this._targets.get(id);
-    if (state !== undefined) state.heardAt = now;
+    if (state !== undefined) state.lastActivityAt = now;
   }
 
-  /** Gets when anything was heard of a target. */
-  getHeardAt(id: string): number {
-    return this._targets.get(id)?.heardAt ?? NEVER;
+  /** Gets when data last arrived from a target, monotonic milliseconds. */
+  getLastActivityAt(id: string): number {
+    return this._targets.get(id)?.lastActivityAt ?? NEVER;
   }
 
-  /** Notes that a target answered as it should. */
+  /** Records a successful answer: the target is no longer avoided. */
   addSuccess(id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
     state.failures = 0;
-    state.suspectUntil = 0;
+    state.suspectedUntil = 0;
   }
 
-  /** Notes that a target failed: it is avoided for a while. */
+  /** Records a failure: the target is avoided for 0.5 to 4 s. */
   addFailure(now: number, id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
-    const span = Math.min(MAX_SUSPICION_MS, SUSPICION_MS * 2 ** state.failures);
+    const suspicionMs = Math.min(MAX_SUSPICION_MS, MIN_SUSPICION_MS * 2 ** state.failures);
     state.failures += 1;
-    state.suspectUntil = Math.max(state.suspectUntil, now + span);
+    state.suspectedUntil = Math.max(state.suspectedUntil, now + suspicionMs);
   }
 
   private _getScore(now: number, state: TargetState): number {
     const load = state.inFlight / Math.max(1, state.target.slots);
-    const penalty = this._isAvoided(now, state) ? SUSPECT_LOAD : 0;
+    const penalty = this._isAvoided(now, state) ? SUSPECT_PENALTY : 0;
     return load + penalty + this._random.next() * TIE_BREAK;
   }
 
   private _isAvoided(now: number, state: TargetState): boolean {
-    return state.suspectUntil > now || state.pace.isStalled(now);
+    return state.suspectedUntil > now || state.stallDetector.isStalled(now);
   }
 }
 
 function createState(target: Target): TargetState {
-  return { target, inFlight: 0, suspectUntil: 0, failures: 0, heardAt: NEVER, pace: new AnswerPace() };
+  return {
+    target,
+    inFlight: 0,
+    suspectedUntil: 0,
+    failures: 0,
+    lastActivityAt: NEVER,
+    stallDetector: new StallDetector(),
+  };
 }
 
-function isWanted(target: Target, { service, model, excluded }: TargetRequest): boolean {
+function isMatch(target: Target, { service, model, excluded }: TargetRequest): boolean {
   return target.service === service && target.model === model && !excluded.has(target.id);
 }
--- a/src/gateway/createRace.ts
+++ b/src/gateway/createRace.ts
@@ -1,30 +1,32 @@
-/** Has the attempts of a request replace each other as its route, its endpoints and the entries' budget allow. */
+/**
+ * Creates the race between a request's attempts, as limited by its route, its endpoints and the retry budget.
+ */
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { type AnswerSource, AttemptRace } from "./AttemptRace";
 import type { Exchange } from "./Exchange";
 
-/** What an answer is taken with. */
-export interface AnswerReader<T> {
+/** Opens and times the attempts of a request. */
+export interface RaceSource<T> {
   /** Sends the request to a target. */
   readonly open: (target: Target) => AnswerSource<T>;
-  /** Gets the longest silence of an endpoint that works, milliseconds. */
-  readonly getPatienceMs: () => number;
+  /** Gets how long a working endpoint may send no data, milliseconds. */
+  readonly getIdleTimeoutMs: () => number;
 }
 
-/** Makes the race of a request's attempts. */
-export function createRace<T>(exchange: Exchange, { open, getPatienceMs }: AnswerReader<T>): AttemptRace<T> {
-  let hasBegun = false;
+/** Creates the race between a request's attempts. */
+export function createRace<T>(exchange: Exchange, { open, getIdleTimeoutMs }: RaceSource<T>): AttemptRace<T> {
+  let hasOpened = false;
   return new AttemptRace({
     getNow: () => exchange.getNow(),
     openNext: async () => {
-      if (hasBegun && !(await exchange.takeNextAttempt())) return undefined;
-      hasBegun = true;
+      if (hasOpened && !(await exchange.takeRetry())) return undefined;
+      hasOpened = true;
       const target = exchange.chooseTarget();
       return target === undefined ? undefined : open(target);
     },
-    openBeside: (silent, silentMs) => {
-      if (!exchange.isSilentTooLong(silent.target, silentMs, getPatienceMs())) return undefined;
-      const target = exchange.takeTargetBeside(silent.target);
+    openHedge: (idle, idleMs) => {
+      if (!exchange.isIdleTooLong(idle.target, idleMs, getIdleTimeoutMs())) return undefined;
+      const target = exchange.takeHedgeTarget(idle.target);
       return target === undefined ? undefined : open(target);
     },
   });
--- a/src/gateway/patience.ts
+++ b/src/gateway/patience.ts
@@ -1,36 +1,42 @@
-/** How long an endpoint may be silent before a request goes elsewhere. Pure. */
+/** Computes how long an endpoint may send no data before a request is sent elsewhere. Pure. */
 import type { Route } from "../declaration";
 
-/** An answer late by so much of its objective is not waited for where another endpoint may run it. */
-const ANSWER_PATIENCE = 2.5;
-const MIN_ANSWER_PATIENCE_MS = 250;
-const MIN_FIRST_EVENT_PATIENCE_MS = 800;
-/** An endpoint that other requests hear of works; what it has not begun may wait so much longer. */
-const BUSY_PATIENCE = 4;
-/** A pause between two events may be so many times its objective. */
-const GAP_PATIENCE = 2;
-const MIN_GAP_PATIENCE_MS = 500;
+/**
+ * Multiple of its objective after which a missing answer is requested from another endpoint, where the route
+ * allows it.
+ */
+const ANSWER_TIMEOUT_FACTOR = 2.5;
+const MIN_ANSWER_TIMEOUT_MS = 250;
+const MIN_FIRST_EVENT_TIMEOUT_MS = 800;
+/**
+ * Factor by which the timeout is extended while the endpoint sends data for other requests: the endpoint
+ * works, and this request may be queued there.
+ */
+const BUSY_TIMEOUT_FACTOR = 4;
+/** Multiple of its objective that a gap between two events may take. */
+const GAP_TIMEOUT_FACTOR = 2;
+const MIN_GAP_TIMEOUT_MS = 500;
 
-/** Gets the longest silence before an answer, of a stream before its first event; milliseconds. */
-export function getAnswerPatienceMs(route: Route): number {
-  const least = route.kind === "stream" ? MIN_FIRST_EVENT_PATIENCE_MS : MIN_ANSWER_PATIENCE_MS;
-  return Math.max(least, route.objectiveMs * ANSWER_PATIENCE);
+/** Gets the maximum wait for an answer, or for the first event of a stream; milliseconds. */
+export function getAnswerTimeoutMs(route: Route): number {
+  const minMs = route.kind === "stream" ? MIN_FIRST_EVENT_TIMEOUT_MS : MIN_ANSWER_TIMEOUT_MS;
+  return Math.max(minMs, route.objectiveMs * ANSWER_TIMEOUT_FACTOR);
 }
 
-/** Gets the longest silence between two events of a stream; milliseconds. */
-export function getGapPatienceMs(route: Route): number {
-  return Math.max(MIN_GAP_PATIENCE_MS, (route.gapObjectiveMs ?? route.objectiveMs) * GAP_PATIENCE);
+/** Gets the maximum gap between two events of a stream; milliseconds. */
+export function getGapTimeoutMs(route: Route): number {
+  return Math.max(MIN_GAP_TIMEOUT_MS, (route.gapObjectiveMs ?? route.objectiveMs) * GAP_TIMEOUT_FACTOR);
 }
 
 /**
- * Checks whether an endpoint has been silent for too long.
- * @param silentMs - How long this request has heard nothing.
- * @param targetSilentMs - How long no request has heard anything of the endpoint.
- * @param patienceMs - The longest silence of an endpoint that works.
+ * Checks whether a request has received no data for too long.
+ * @param idleMs - Time since this request last received data.
+ * @param targetIdleMs - Time since any request last received data from the endpoint.
+ * @param timeoutMs - How long a working endpoint may send no data.
  */
-export function isSilentTooLong(silentMs: number, targetSilentMs: number, patienceMs: number): boolean {
-  if (silentMs < patienceMs) return false;
-  return targetSilentMs >= patienceMs || silentMs >= patienceMs * BUSY_PATIENCE;
+export function isIdleTooLong(idleMs: number, targetIdleMs: number, timeoutMs: number): boolean {
+  if (idleMs < timeoutMs) return false;
+  return targetIdleMs >= timeoutMs || idleMs >= timeoutMs * BUSY_TIMEOUT_FACTOR;
 }
 
 /** Checks whether a request of a route may run more than once. */
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -1,4 +1,4 @@
-/** A gateway server over scripted endpoints on loopback, with a dialect of its own. */
+/** Runs a gateway server with scripted endpoints on loopback and a dialect for tests. */
 import { createServer, type IncomingMessage, request, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { create } from "@bufbuild/protobuf";
@@ -7,11 +7,11 @@
 import { SeededRandom } from "../../src/consensus";
 import { CrashLedger, getRequestDigest, type RequestContent } from "../../src/containment";
 import { type Declaration, type Route, RouteTable } from "../../src/declaration";
-import type { AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
+import type { AnswerFacts, AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
 import { dropHeaders } from "../../src/gateway";
 import { CrashWatch } from "../../src/gateway/CrashWatch";
 import { GatewayServer } from "../../src/gateway/GatewayServer";
-import { HeldBytes } from "../../src/gateway/HeldBytes";
+import { AnswerBuffers } from "../../src/gateway/HeldBytes";
 import { StreamGate } from "../../src/gateway/StreamGate";
 import { TargetPool } from "../../src/gateway/TargetPool";
 import { type Target, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
@@ -20,30 +20,30 @@
 import { TextMetrics } from "../../src/metrics";
 import type { ReceivedView } from "../../src/registration";
 
-/** What an endpoint saw of a request. */
-export interface SeenRequest {
+/** A request as received by an endpoint. */
+export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: IncomingMessage["headers"];
   readonly rawHeaders: readonly string[];
   readonly body: string;
-  /** Number of the endpoint. */
+  /** Index of the endpoint. */
   readonly index: number;
 }
 
-/** Answers a request at an endpoint. */
-export type Script = (seen: SeenRequest, response: ServerResponse) => void;
+/** Behaviour of an endpoint: answers a request. */
+export type Script = (seen: ReceivedRequest, response: ServerResponse) => void;
 
-/** A caller's view of an answer. */
-export interface SeenAnswer {
+/** An answer as received by a caller. */
+export interface ReceivedAnswer {
   readonly status: number;
   readonly headers: IncomingMessage["headers"];
   readonly body: string;
-  /** Whether the answer ended as its framing says. */
+  /** Whether the answer was complete according to its framing. */
   readonly isWhole: boolean;
 }
 
-/** Headers as the tests speak them. */
+/** Dialect of the tests. */
 class TestDialect implements Dialect {
   readCall(headers: IncomingMessage["headers"]): CallFacts {
     const waitMs = headers["x-wait-ms"];
@@ -67,7 +67,7 @@
     return headers;
   }
 
-  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }) {
+  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }): AnswerFacts {
     const id = headers["x-id"];
     return {
       isOwn: id === undefined || id === call.requestId,
@@ -77,7 +77,7 @@
   }
 }
 
-const MAX_HELD_BYTES = 64 * 1_024 * 1_024;
+const MAX_BUFFERED_ANSWER_BYTES = 64 * 1_024 * 1_024;
 
 const BASE_ROUTE: Route = {
   name: "route",
@@ -94,7 +94,7 @@
   allowsAnonymous: false,
 };
 
-/** As processes log. */
+/** The same options as in the entry process. */
 const LOG_OPTIONS = {
   level: "info",
   base: { role: "entry", name: "test" },
@@ -103,18 +103,18 @@
 
 /** A running gateway with its endpoints. */
 export class GatewayHarness {
-  readonly seen: SeenRequest[] = [];
-  /** What the gateway logged, line by line. */
+  readonly requests: ReceivedRequest[] = [];
+  /** Log lines of the gateway. */
   readonly logLines: string[] = [];
-  /** What the gateway counted. */
+  /** Metrics of the gateway. */
   readonly metrics = new TextMetrics({ role: "entry", name: "test" });
-  /** What the gateway knows of requests under which endpoints ended. */
+  /** Crashes that the gateway has recorded. */
   readonly ledger = new CrashLedger();
-  /** Watches what requests do to endpoints. */
-  readonly crashes: CrashWatch;
+  /** Crash monitor of the gateway. */
+  readonly crashMonitor: CrashWatch;
   /** Whether a leader has confirmed the declaration. */
   isConfirmed = true;
-  shown: ReceivedView = { control: "10.0.0.1:1", term: 2, heartbeatAgeMs: 80 };
+  publishedView: ReceivedView = { control: "10.0.0.1:1", term: 2, heartbeatAgeMs: 80 };
   private readonly _servers: Server[] = [];
   private readonly _client = new HttpClient();
   private _gateway!: GatewayServer;
@@ -123,10 +123,15 @@
 
   private constructor() {
     const logger = pino(LOG_OPTIONS, { write: (line: string) => this.logLines.push(line) });
-    this.crashes = new CrashWatch({ ledger: this.ledger, logger, metrics: this.metrics, onNews: () => {} });
+    this.crashMonitor = new CrashWatch({
+      ledger: this.ledger,
+      logger,
+      metrics: this.metrics,
+      onNews: () => {},
+    });
   }
 
-  /** Starts endpoints, one for each script, and the gateway before them. */
+  /** Starts one endpoint for each script, and a gateway that forwards requests to them. */
   static async start(scripts: readonly Script[], route: Partial<Route> = {}): Promise<GatewayHarness> {
     const harness = new GatewayHarness();
     const targets = await Promise.all(scripts.map((script, i) => harness._startEndpoint(script, i)));
@@ -134,12 +139,12 @@
     return harness;
   }
 
-  /** Gets the port at which callers connect. */
+  /** Gets the port of the gateway. */
   get port(): number {
     return this._port;
   }
 
-  /** Stops everything. */
+  /** Stops the gateway and its endpoints. */
   async stop(): Promise<void> {
     this._client.close();
     for (const server of this._servers) server.closeAllConnections();
@@ -147,31 +152,33 @@
     this._gateway.stop();
   }
 
-  /** Its clock goes on by a suspension, and no timer with it; then it wakes. */
+  /**
+   * Simulates a suspension of the machine: the clock advances but timers do not, then the gateway resumes.
+   */
   suspend(milliseconds: number): void {
     this._suspendedMs += milliseconds;
-    this._gateway.endLate();
+    this._gateway.endExpired();
   }
 
-  /** Others have found a request guilty of the ends of instances. */
-  keepAway(content: RequestContent): void {
+  /** Simulates crash records by which other entries confirm a request as the cause of crashes. */
+  confirmCause(content: RequestContent): void {
     const crashes = [1, 2, 3].map((depth) => ({ life: `elsewhere-${depth}`, depth }));
     const record = create(CrashRecordSchema, { digest: getRequestDigest(content), crashes });
     this.ledger.addAgreed(0, [record]);
-    this._gateway.withdrawProven();
+    this._gateway.withdrawConfirmedCauses();
   }
 
-  /** Ends an endpoint as a crash does: its connections are reset, its port refuses new ones. */
+  /** Ends an endpoint like a crash: its connections are reset and its port refuses new ones. */
   endEndpoint(index: number): void {
     const server = this._servers[index]!;
     server.close();
     server.closeAllConnections();
   }
 
-  /** Calls through the gateway on a connection of its own. */
+  /** Sends a request to the gateway on a new connection. */
   call(
     options: { method?: string; path?: string; headers?: object; body?: string } = {},
-  ): Promise<SeenAnswer> {
+  ): Promise<ReceivedAnswer> {
     return new Promise((resolve, reject) => {
       const outgoing = request({
         host: "127.0.0.1",
@@ -202,7 +209,7 @@
       for await (const chunk of incoming as AsyncIterable<Buffer>) body += chunk.toString();
       const { method, url, headers, rawHeaders } = incoming;
       const seen = { method: method!, path: url!, headers, rawHeaders, body, index };
-      this.seen.push(seen);
+      this.requests.push(seen);
       script(seen, response);
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -214,7 +221,6 @@
       service: "service",
       instanceId: id,
       address: `127.0.0.1:${port}`,
-      // The first endpoint is the one that is chosen first.
       slots: 1,
     });
   }
@@ -228,7 +234,7 @@
     const random = new SeededRandom(1);
     const pool = new TargetPool(random);
     pool.setTargets(targets);
-    // Others count as suspect until the first one has failed.
+    // The other targets count as suspected, so the first one is chosen until it has failed.
     for (const target of targets.slice(1)) pool.addFailure(clock.getMonotonicMs(), target.id);
     const declaration: Declaration = {
       version: 1,
@@ -248,13 +254,13 @@
       random,
       logger: pino(LOG_OPTIONS, { write: (line: string) => this.logLines.push(line) }),
       metrics: this.metrics,
-      tools: {
+      dependencies: {
         clock,
         client: this._client,
         dialect: new TestDialect(),
         pool,
-        crashes: this.crashes,
-        held: new HeldBytes(MAX_HELD_BYTES),
+        crashMonitor: this.crashMonitor,
+        buffers: new AnswerBuffers(MAX_BUFFERED_ANSWER_BYTES),
         gate: new StreamGate(clock, () => 32),
         random,
         takeRetry: () => true,
@@ -262,14 +268,14 @@
       },
       getRoutes: () => routes,
       isConfirmed: () => this.isConfirmed,
-      getShown: () => this.shown,
+      getPublishedView: () => this.publishedView,
       onRequest: () => {},
     });
     await this._gateway.start();
   }
 }
 
-/** Answers with a seal, and the id that was asked with. */
+/** Creates a script that answers with a seal and the id of the request. */
 export function answer(status: number, body: string, headers: Record<string, string> = {}): Script {
   return (seen, response) => {
     response.writeHead(status, { "x-seal": "s", "x-id": String(seen.headers["x-id"]), ...headers });
@@ -277,7 +283,7 @@
   };
 }
 
-/** Writes events, then ends or breaks off. */
+/** Creates a script that writes events, then completes, breaks off or stalls. */
 export function streamEvents(ids: readonly number[], end: "whole" | "cut" | "cutWithin" | "silent"): Script {
   return (seen, response) => {
     response.writeHead(200, {
@@ -293,7 +299,7 @@
   };
 }
 
-/** Streams events one at a time, then stands still with its connection open. */
+/** Creates a script that streams events one at a time, then stalls with its connection open. */
 export function streamThenStall(ids: readonly number[], gapMs: number): Script {
   return (seen, response) => {
     response.writeHead(200, {
@@ -301,9 +307,9 @@
       "x-id": String(seen.headers["x-id"]),
       "content-type": "text/event-stream",
     });
-    const left = [...ids];
+    const remaining = [...ids];
     const timer = setInterval(() => {
-      const id = left.shift();
+      const id = remaining.shift();
       if (id === undefined) clearInterval(timer);
       else response.write(`id: ${id}\ndata: ${id}\n\n`);
     }, gapMs);
