--- a/src/gateway/HeldBytes.ts
+++ b/src/gateway/AnswerBuffers.ts
@@ -4,7 +4,7 @@
  * When the total exceeds the limit, the largest answer is abandoned. An endpoint that sends data without end
  * therefore costs no other caller its answer. Pure.
  */
-import { BufferedAnswer, type BufferTotal } from "./HeldAnswer";
+import { BufferedAnswer, type BufferTotal } from "./BufferedAnswer";
 
 /** Buffered bytes of all answers of a process. */
 export class AnswerBuffers implements BufferTotal {
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashMonitor.ts
@@ -12,7 +12,7 @@
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
-import { EndpointProbe } from "./EndedLives";
+import { EndpointProbe } from "./EndpointProbe";
 
 /** An attempt that its endpoint broke off. */
 export interface BrokenAttempt {
@@ -26,12 +26,12 @@
 }
 
 /** Options of a `CrashMonitor`. */
-export interface CrashWatchOptions {
+export interface CrashMonitorOptions {
   readonly ledger: CrashLedger;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called when the ledger has changes to report to control. */
-  readonly onNews: () => void;
+  readonly onChange: () => void;
 }
 
 /**
@@ -48,12 +48,12 @@
 const WITHDRAWAL_PROBE_DELAY_MS = 150;
 
 /** Crash monitor of one entry. */
-export class CrashWatch {
-  private readonly _options: CrashWatchOptions;
+export class CrashMonitor {
+  private readonly _options: CrashMonitorOptions;
   private readonly _endpointProbe = new EndpointProbe();
 
   /** @param options - Ledger of crashes, and the callback for its changes. */
-  constructor(options: CrashWatchOptions) {
+  constructor(options: CrashMonitorOptions) {
     this._options = options;
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** Checks whether a request is blocked from endpoints at the moment. */
-  isKeptAway(now: number, getDigest: () => RequestDigest): boolean {
+  isBlocked(now: number, getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
     return !ledger.isEmpty && ledger.isKeptAway(now, getDigest());
   }
@@ -117,18 +117,18 @@
    * Records that a request completed successfully.
    * @param getDigest - Only called when the ledger contains crashes.
    */
-  addGoodEnd(now: number, getDigest: () => RequestDigest): void {
-    const { ledger, logger, onNews } = this._options;
+  addSuccess(now: number, getDigest: () => RequestDigest): void {
+    const { ledger, logger, onChange } = this._options;
     if (ledger.isEmpty) return;
     const digest = getDigest();
     if (!ledger.addGoodEnd(now, digest)) return;
     logger.info({ event: "request_cleared", digest });
-    onNews();
+    onChange();
   }
 
   private _addCrash(digest: RequestDigest, attempt: BrokenAttempt): void {
     const { target, startedAt, brokeAt, answeredAt, requestId } = attempt;
-    const { ledger, logger, metrics, onNews } = this._options;
+    const { ledger, logger, metrics, onChange } = this._options;
     const wasAnswered = answeredAt !== undefined;
     const depth = ledger.addCrash({ digest, life: target.id, startedAt, brokeAt, wasAnswered });
     metrics.increment("gateway_crashes", 1, { answered: String(wasAnswered) });
@@ -143,6 +143,6 @@
       depth,
       kept_away: ledger.isKeptAway(brokeAt, digest),
     });
-    onNews();
+    onChange();
   }
 }
--- a/src/gateway/Dialect.ts
+++ b/src/gateway/Dialect.ts
@@ -7,7 +7,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** Metadata that a caller sends with its request. */
-export interface CallFacts {
+export interface CallMetadata {
   /** Id that the caller gives to this request; a retry has another one. */
   readonly requestId: string;
   /** The caller's timeout, milliseconds. */
@@ -22,7 +22,7 @@
 }
 
 /** Metadata that the gateway sends to an endpoint. */
-export interface AttemptFacts {
+export interface AttemptMetadata {
   /** Time left for the request, milliseconds. */
   readonly leftMs: number;
   readonly instanceId: string;
@@ -32,13 +32,13 @@
   /**
    * Whether the caller can still be answered within the objective; endpoints start the other requests later.
    */
-  readonly canBeInTime: boolean;
+  readonly canMeetObjective: boolean;
 }
 
 /** Metadata in the head of an endpoint's answer. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** Whether the answer belongs to this request. */
-  readonly isOwn: boolean;
+  readonly matchesRequest: boolean;
   /** Whether the endpoint reports that it did not run the request. */
   readonly wasNotRun: boolean;
   /** Whether the answer carries the headers that mark an endpoint's answer; others may not be passed on. */
@@ -54,12 +54,12 @@
 /** Header conventions of one platform. */
 export interface Dialect {
   /** Reads the metadata of a caller's request. Values that can't be parsed count as absent. */
-  readCall(headers: IncomingHttpHeaders): CallFacts;
+  readCall(headers: IncomingHttpHeaders): CallMetadata;
   /**
    * Creates the headers for an endpoint: the caller's headers and those that the system adds.
    * @param raw - Alternating names and values, end-to-end headers only.
    */
-  createHeaders(raw: readonly string[], attempt: AttemptFacts): string[];
+  createHeaders(raw: readonly string[], attempt: AttemptMetadata): string[];
   /** Reads the head of an answer. */
-  readAnswer(call: CallFacts, answer: AnswerHead): AnswerFacts;
+  readAnswer(call: CallMetadata, answer: AnswerHead): AnswerMetadata;
 }
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -12,6 +12,7 @@
 import type { Route } from "../declaration";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { HttpClient } from "../http";
+import type { AnswerBuffers } from "./AnswerBuffers";
 import {
   type AnsweringAttempt,
   type AttemptFailure,
@@ -20,23 +21,22 @@
   wasAbandoned,
   wasEndedByEndpoint,
 } from "./Attempt";
-import type { CrashWatch } from "./CrashWatch";
-import type { CallFacts, Dialect } from "./Dialect";
+import type { CrashMonitor } from "./CrashMonitor";
+import type { CallMetadata, Dialect } from "./Dialect";
 import {
   createBlockedRefusal,
   createNotRunRefusal,
   createOutcomeUnknownRefusal,
   type GatewayRefusal,
 } from "./GatewayRefusal";
-import type { AnswerBuffers } from "./HeldBytes";
-import { isIdleTooLong, mayRepeat } from "./patience";
-import { getRetryAfterMs } from "./returnTime";
+import { getRetryAfterMs } from "./retryAfter";
 import type { StreamAdmission, StreamGate } from "./StreamGate";
 import type { TargetPool } from "./TargetPool";
+import { isIdleTooLong, mayRepeat } from "./timeouts";
 
 /** An accepted request. Times are monotonic milliseconds. */
 export interface ExchangeRequest {
-  readonly call: CallFacts;
+  readonly call: CallMetadata;
   readonly route: Route;
   readonly service: string;
   readonly organisation: string | undefined;
@@ -61,7 +61,7 @@
   /** Queues streams in the entry while endpoints are overloaded. */
   readonly gate: StreamGate;
   /** Decides which requests are blocked because they crash endpoints. */
-  readonly crashMonitor: CrashWatch;
+  readonly crashMonitor: CrashMonitor;
   /** Takes one retry from the budget that all entries share; `false` when none is left. */
   readonly takeRetry: () => boolean;
   /** Counts and limits the buffered bytes of incomplete answers. */
@@ -232,7 +232,7 @@
   /** Checks whether the request is blocked because endpoints crashed while they ran it. */
   get isBlocked(): boolean {
     const { crashMonitor } = this.dependencies;
-    return this._isTrial ? this.isConfirmedCause : crashMonitor.isKeptAway(this.getNow(), () => this.digest);
+    return this._isTrial ? this.isConfirmedCause : crashMonitor.isBlocked(this.getNow(), () => this.digest);
   }
 
   /** Checks whether the request is the confirmed cause of crashes. */
@@ -338,7 +338,7 @@
     attempt.end();
     this._runningAttempts.delete(attempt.abort);
     this.dependencies.pool.addSuccess(attempt.target.id);
-    this.dependencies.crashMonitor.addGoodEnd(this.getNow(), () => this.digest);
+    this.dependencies.crashMonitor.addSuccess(this.getNow(), () => this.digest);
   }
 
   /** Creates the refusal for the caller after all attempts have failed. */
@@ -405,7 +405,7 @@
       instanceId: target.instanceId,
       organisation: request.organisation,
       lastEventId,
-      canBeInTime: this._canMeetObjective(lastEventId),
+      canMeetObjective: this._canMeetObjective(lastEventId),
     });
     const hasBody = request.body.length > 0 || !isBodyless(request.method);
     if (hasBody) headers.push("Content-Length", String(request.body.length));
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -26,10 +26,10 @@
 import { type RetryBound, SharedRetryBudget } from "../routing";
 import { TransportPool } from "../rpc";
 import type { GatewaySettings, LiveSettings } from "../settings";
-import { CrashWatch } from "./CrashWatch";
+import { AnswerBuffers } from "./AnswerBuffers";
+import { CrashMonitor } from "./CrashMonitor";
 import type { Dialect } from "./Dialect";
 import { GatewayServer } from "./GatewayServer";
-import { AnswerBuffers } from "./HeldBytes";
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
@@ -116,11 +116,11 @@
   const getEntryCount = () => Math.max(1, view.entryCount);
   let routes: RouteTable | undefined;
   const ledger = new CrashLedger();
-  const crashMonitor = new CrashWatch({
+  const crashMonitor = new CrashMonitor({
     ledger,
     logger,
     metrics,
-    onNews: () => {
+    onChange: () => {
       reporter.sendSoon();
       server.withdrawConfirmedCauses();
     },
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -7,15 +7,15 @@
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
 import type { ReceivedView } from "../registration";
-import { CallerTimeouts } from "./CallerWaits";
-import type { CallFacts } from "./Dialect";
+import { CallerTimeouts } from "./CallerTimeouts";
+import type { CallMetadata } from "./Dialect";
+import { delimitByClose } from "./delimitByClose";
 import { Exchange, type ExchangeDependencies, type ExchangeRequest } from "./Exchange";
-import { delimitByClose } from "./endWithConnection";
 import { createNotRunRefusal, GatewayRefusal } from "./GatewayRefusal";
 import { dropHeaders, getEndToEndHeaders } from "./headers";
 import { PlainExchange } from "./PlainExchange";
 import type { CompleteAnswer } from "./PlainSource";
-import { getFirstViewRetryAfterMs } from "./returnTime";
+import { getFirstViewRetryAfterMs } from "./retryAfter";
 import { StreamExchange } from "./StreamExchange";
 
 /** Options of a gateway server. */
@@ -58,7 +58,7 @@
 /** State of a partially processed request. */
 interface RequestProgress {
   readonly receivedAt: number;
-  call: CallFacts | undefined;
+  call: CallMetadata | undefined;
   route: Route | undefined;
   exchange: Exchange | undefined;
 }
@@ -305,7 +305,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     progress: RequestProgress,
-    call: CallFacts,
+    call: CallMetadata,
   ): GatewayRefusal {
     if (this._options.isConfirmed()) return createFinalRefusal(status, code, reason);
     const unconfirmedReason = `${reason} in the cached declaration, which may be outdated`;
@@ -316,7 +316,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     { receivedAt }: RequestProgress,
-    { waitMs }: CallFacts,
+    { waitMs }: CallMetadata,
   ): GatewayRefusal {
     const sinceStartMs = receivedAt - this._startedAt;
     const retryAfterMs = getFirstViewRetryAfterMs(sinceStartMs, waitMs, this._options.random.next());
--- a/src/gateway/PlainExchange.ts
+++ b/src/gateway/PlainExchange.ts
@@ -4,7 +4,7 @@
 import { createRace } from "./createRace";
 import type { Exchange } from "./Exchange";
 import { type CompleteAnswer, PlainSource } from "./PlainSource";
-import { getAnswerTimeoutMs } from "./patience";
+import { getAnswerTimeoutMs } from "./timeouts";
 
 /** Runs a request until an answer may be passed on. */
 export class PlainExchange {
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -7,13 +7,13 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { AttemptRace } from "./AttemptRace";
 import { createRace } from "./createRace";
+import { delimitByClose } from "./delimitByClose";
 import type { StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import { delimitByClose } from "./endWithConnection";
 import { getEndToEndHeaders, isFramed } from "./headers";
-import { getAnswerTimeoutMs, getGapTimeoutMs } from "./patience";
 import type { StreamAdmission } from "./StreamGate";
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
+import { getAnswerTimeoutMs, getGapTimeoutMs } from "./timeouts";
 
 /** Result of a stream. */
 export interface StreamResult {
--- a/src/gateway/StreamSource.ts
+++ b/src/gateway/StreamSource.ts
@@ -16,12 +16,12 @@
   wasEndedByEndpoint,
 } from "./Attempt";
 import type { AnswerSource } from "./AttemptRace";
+import type { BufferedAnswer } from "./BufferedAnswer";
 import { checkAnswer } from "./checkAnswer";
 import { EventSplitter, type StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import type { BufferedAnswer } from "./HeldAnswer";
 import { isFramed } from "./headers";
-import { mayRepeat } from "./patience";
+import { mayRepeat } from "./timeouts";
 
 /** A part of a stream. */
 export interface StreamPart {
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -5,7 +5,7 @@
  */
 import type { RandomSource } from "../consensus";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
-import { StallDetector } from "./AnswerPace";
+import { StallDetector } from "./StallDetector";
 
 /** Criteria for choosing a target. */
 export interface TargetRequest {
--- a/src/gateway/checkAnswer.ts
+++ b/src/gateway/checkAnswer.ts
@@ -10,7 +10,8 @@
 ): AttemptFailure | undefined {
   const status = incoming.statusCode ?? 0;
   const answer = dependencies.dialect.readAnswer(request.call, { status, headers: incoming.headers });
-  if (!answer.isOwn) return { reason: "answer belongs to another request", wasNotRun: false, wasSent: true };
+  if (!answer.matchesRequest)
+    return { reason: "answer belongs to another request", wasNotRun: false, wasSent: true };
   if (answer.wasNotRun)
     return { reason: `endpoint refused the request with ${status}`, wasNotRun: true, wasSent: true };
   if (answer.isGenuine) return undefined;
--- a/test/gateway/HeldBytes.test.ts
+++ b/test/gateway/AnswerBuffers.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { AnswerBuffers } from "../../src/gateway/HeldBytes";
+import { AnswerBuffers } from "../../src/gateway/AnswerBuffers";
 
 const MAX_BYTES = 100;
 
--- a/test/gateway/CallerWaits.test.ts
+++ b/test/gateway/CallerTimeouts.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { CallerTimeouts } from "../../src/gateway/CallerWaits";
+import { CallerTimeouts } from "../../src/gateway/CallerTimeouts";
 
 describe("CallerTimeouts", () => {
   it("estimates the time since a caller's first request from the longest timeout of its route", () => {
--- a/test/gateway/Exchange.test.ts
+++ b/test/gateway/Exchange.test.ts
@@ -1,7 +1,7 @@
 import { create } from "@bufbuild/protobuf";
 import { describe, expect, it } from "vitest";
 import { SeededRandom } from "../../src/consensus";
-import type { CrashWatch } from "../../src/gateway/CrashWatch";
+import type { CrashMonitor } from "../../src/gateway/CrashMonitor";
 import { Exchange, type ExchangeDependencies, type ExchangeRequest } from "../../src/gateway/Exchange";
 import { TargetPool } from "../../src/gateway/TargetPool";
 import { type Target, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
@@ -19,7 +19,7 @@
     service: "service",
     deadlineAt: TIMEOUT_MS,
   } as ExchangeRequest;
-  const crashMonitor: Partial<CrashWatch> = { isKeptAway: () => false, addWithdrawal: async () => {} };
+  const crashMonitor: Partial<CrashMonitor> = { isBlocked: () => false, addWithdrawal: async () => {} };
   const dependencies = {
     clock: { getMonotonicMs: () => 0, getWallMs: () => 0 },
     pool,
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -7,11 +7,11 @@
 import { SeededRandom } from "../../src/consensus";
 import { CrashLedger, getRequestDigest, type RequestContent } from "../../src/containment";
 import { type Declaration, type Route, RouteTable } from "../../src/declaration";
-import type { AnswerFacts, AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
+import type { AnswerMetadata, AttemptMetadata, CallMetadata, Dialect } from "../../src/gateway";
 import { dropHeaders } from "../../src/gateway";
-import { CrashWatch } from "../../src/gateway/CrashWatch";
+import { AnswerBuffers } from "../../src/gateway/AnswerBuffers";
+import { CrashMonitor } from "../../src/gateway/CrashMonitor";
 import { GatewayServer } from "../../src/gateway/GatewayServer";
-import { AnswerBuffers } from "../../src/gateway/HeldBytes";
 import { StreamGate } from "../../src/gateway/StreamGate";
 import { TargetPool } from "../../src/gateway/TargetPool";
 import { type Target, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
@@ -45,7 +45,7 @@
 
 /** Dialect of the tests. */
 class TestDialect implements Dialect {
-  readCall(headers: IncomingMessage["headers"]): CallFacts {
+  readCall(headers: IncomingMessage["headers"]): CallMetadata {
     const waitMs = headers["x-wait-ms"];
     return {
       requestId: String(headers["x-id"] ?? ""),
@@ -58,19 +58,19 @@
     };
   }
 
-  createHeaders(raw: readonly string[], attempt: AttemptFacts): string[] {
+  createHeaders(raw: readonly string[], attempt: AttemptMetadata): string[] {
     const headers = dropHeaders(raw, new Set(["x-key", "x-wait-ms", "last-event-id", "x-organisation"]));
     headers.push("x-wait-ms", String(Math.floor(attempt.leftMs)));
-    headers.push("x-in-time", String(attempt.canBeInTime));
+    headers.push("x-in-time", String(attempt.canMeetObjective));
     if (attempt.organisation !== undefined) headers.push("x-organisation", attempt.organisation);
     if (attempt.lastEventId !== undefined) headers.push("last-event-id", attempt.lastEventId);
     return headers;
   }
 
-  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }): AnswerFacts {
+  readAnswer(call: CallMetadata, { headers }: { headers: IncomingMessage["headers"] }): AnswerMetadata {
     const id = headers["x-id"];
     return {
-      isOwn: id === undefined || id === call.requestId,
+      matchesRequest: id === undefined || id === call.requestId,
       wasNotRun: headers["x-not-run"] !== undefined,
       isGenuine: headers["x-seal"] !== undefined,
     };
@@ -111,7 +111,7 @@
   /** Crashes that the gateway has recorded. */
   readonly ledger = new CrashLedger();
   /** Crash monitor of the gateway. */
-  readonly crashMonitor: CrashWatch;
+  readonly crashMonitor: CrashMonitor;
   /** Whether a leader has confirmed the declaration. */
   isConfirmed = true;
   publishedView: ReceivedView = { control: "10.0.0.1:1", term: 2, heartbeatAgeMs: 80 };
@@ -123,11 +123,11 @@
 
   private constructor() {
     const logger = pino(LOG_OPTIONS, { write: (line: string) => this.logLines.push(line) });
-    this.crashMonitor = new CrashWatch({
+    this.crashMonitor = new CrashMonitor({
       ledger: this.ledger,
       logger,
       metrics: this.metrics,
-      onNews: () => {},
+      onChange: () => {},
     });
   }
 
--- a/test/gateway/AnswerPace.test.ts
+++ b/test/gateway/StallDetector.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { StallDetector } from "../../src/gateway/AnswerPace";
+import { StallDetector } from "../../src/gateway/StallDetector";
 
 /** Adds events of one stream at a fixed interval; returns the time of the last one. */
 function addSteadyEvents(detector: StallDetector, start: number, gapMs: number, count: number): number {
