--- a/src/admission/CallOrder.ts
+++ b/src/admission/CallOrder.ts
@@ -1,72 +1,76 @@
 /**
- * In which order a process begins the calls that have come in.
+ * The order in which a process starts the calls that it receives.
  *
- * Calls that come in within one turn of the event loop and are more than it begins wait: the most valuable go first, in the
- * next turns, and messages of the agreement never wait. Without it an order waits behind the reports of all
- * instances, and a heartbeat of the agreement behind both.
+ * When more calls arrive in one turn of the event loop than the process starts in a turn, the rest are
+ * queued. Calls of the most valuable class are started first in the next turns, and consensus messages are
+ * never queued. Otherwise an operator's command would wait behind the reports of all instances, and a consensus
+ * heartbeat behind both.
  */
 import type { Metrics } from "../metrics";
 
-/** Kinds of calls, the most valuable first. */
+/** Classes of calls, the most valuable first. */
 export const CALL_CLASSES = ["agreement", "order", "relay", "view", "report"] as const;
 
-/** Messages of the agreement; operators' orders and reads; what other processes relay; views; what instances say of themselves. */
+/**
+ * Consensus messages; operators' commands and reads; calls that other processes relay; views; reports of
+ * instances.
+ */
 export type CallClass = (typeof CALL_CLASSES)[number];
 
-/** A call that has come in. */
+/** A call that was received and not started yet. */
 export interface ArrivedCall {
   readonly callClass: CallClass;
-  /** Checks whether it is of use still: whoever asked may have gone. */
+  /** Checks whether the result is still needed: the caller may have disconnected. */
   readonly isWanted: () => boolean;
   readonly begin: () => void;
-  /** Tells whoever asked that it is not begun. */
+  /** Notifies the caller that the call will not be started. */
   readonly refuse: () => void;
 }
 
-/** Calls that begin in one turn of the event loop, beside those of the agreement. */
-const CALLS_PER_TURN = 4;
-/** Calls of one class that may wait; whoever waits behind so many has gone by the time that it is its turn. */
-const MAX_WAITING = 1_000;
+/** Calls that are started in one turn of the event loop, besides consensus messages. */
+const MAX_CALLS_PER_TURN = 4;
+/** Queued calls of one class; a caller behind so many has usually disconnected before its call is started. */
+const MAX_QUEUED_PER_CLASS = 1_000;
 
-/** The calls of one process. */
+/** Schedules the calls of one process. */
 export class CallOrder {
   private readonly _metrics: Metrics;
-  private readonly _waiting = new Map<CallClass, ArrivedCall[]>();
-  private _begun = 0;
+  private readonly _queues = new Map<CallClass, ArrivedCall[]>();
+  private _startedInTurn = 0;
   private _isScheduled = false;
 
   /**
-   * @param metrics - Counts what is not begun.
+   * @param metrics - Counts the calls that are not started.
    */
   constructor(metrics: Metrics) {
     this._metrics = metrics;
   }
 
-  /** Begins a call now, or when it is its turn. */
+  /** Starts a call now, or queues it for a later turn. */
   add(call: ArrivedCall): void {
     if (call.callClass === "agreement") {
       call.begin();
       return;
     }
     this._schedule();
-    if (this._begun < CALLS_PER_TURN && this._waiting.size === 0) this._begin(call);
+    if (this._startedInTurn < MAX_CALLS_PER_TURN && this._queues.size === 0) this._start(call);
     else this._enqueue(call);
   }
 
-  private _begin(call: ArrivedCall): void {
-    this._begun += 1;
+  private _start(call: ArrivedCall): void {
+    this._startedInTurn += 1;
     call.begin();
   }
 
   private _enqueue(call: ArrivedCall): void {
-    const waiting = this._waiting.get(call.callClass) ?? [];
-    if (waiting.length >= MAX_WAITING) {
+    const queue = this._queues.get(call.callClass) ?? [];
+    if (queue.length >= MAX_QUEUED_PER_CLASS) {
       this._metrics.increment("calls_not_begun", 1, { class: call.callClass, reason: "full" });
       call.refuse();
       return;
     }
-    waiting.push(call);
-    this._waiting.set(call.callClass, waiting);
+    queue.push(call);
+    this._queues.set(call.callClass, queue);
   }
 
   private _schedule(): void {
@@ -77,21 +81,21 @@
 
   private _startTurn(): void {
     this._isScheduled = false;
-    this._begun = 0;
-    while (this._begun < CALLS_PER_TURN) {
-      const call = this._takeNext();
+    this._startedInTurn = 0;
+    while (this._startedInTurn < MAX_CALLS_PER_TURN) {
+      const call = this._dequeue();
       if (call === undefined) break;
-      if (call.isWanted()) this._begin(call);
+      if (call.isWanted()) this._start(call);
       else this._metrics.increment("calls_not_begun", 1, { class: call.callClass, reason: "gone" });
     }
-    if (this._begun > 0) this._schedule();
+    if (this._startedInTurn > 0) this._schedule();
   }
 
-  private _takeNext(): ArrivedCall | undefined {
+  private _dequeue(): ArrivedCall | undefined {
     for (const callClass of CALL_CLASSES) {
-      const waiting = this._waiting.get(callClass);
-      const call = waiting?.shift();
-      if (waiting?.length === 0) this._waiting.delete(callClass);
+      const queue = this._queues.get(callClass);
+      const call = queue?.shift();
+      if (queue?.length === 0) this._queues.delete(callClass);
       if (call !== undefined) return call;
     }
     return undefined;
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,2 +1,2 @@
-/** Which calls a process begins, and when. */
+/** Scheduling of the calls that a process receives. */
 export { type ArrivedCall, CALL_CLASSES, type CallClass, CallOrder } from "./CallOrder";
--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -1,8 +1,9 @@
 /**
- * What one entry knows of requests under which instances ended: what all have agreed on, and what it saw
- * itself and has to tell.
+ * The crash records of one entry: the committed records of all entries, and the crashes that this entry
+ * observed and has yet to report.
  *
- * Pure: times are monotonic milliseconds of this process, given by the caller; none of them is told to others.
+ * Pure: times are monotonic milliseconds of this process, passed by the caller; none of them is sent to other
+ * processes.
  */
 import { create } from "@bufbuild/protobuf";
 import { type CrashRecord, CrashRecordSchema } from "../gen/ploverstage/v1/state_pb";
@@ -10,64 +11,76 @@
 import { getCrashDepth, isCrashRecordKnown } from "./crashRecords";
 import type { RequestDigest } from "./RequestDigest";
 
-/** An instance that ended while it ran a request. */
+/** A crash of an instance while it ran a request. */
 export interface ObservedCrash {
   readonly digest: RequestDigest;
-  /** Names the life that ended. */
+  /** Id of the incarnation that ended. */
   readonly life: string;
-  /** When the request was sent there. */
+  /** When the request was sent to the instance. */
   readonly startedAt: number;
-  /** When it broke off. */
+  /** When the run broke off. */
   readonly brokeAt: number;
-  /** Whether some of an answer had come. */
+  /** Whether part of a response had been received. */
   readonly wasAnswered: boolean;
 }
 
-/** When a request was first known here to have ended so many instances in a row. */
-interface KnownDepth {
+/** The time at which this entry first recorded a number of consecutive crashes of a request. */
+interface DepthObservation {
   readonly generation: number;
   readonly depth: number;
-  readonly at: number;
+  readonly recordedAt: number;
 }
 
 /**
- * Accounts that are agreed on, in all: those of two crashes in a row and more stay. Kept by each entry and
- * in the agreed state; with three crashes of 25 bytes each some 150 bytes an account.
+ * Maximum number of committed crash records; beyond it, records with fewer than two consecutive crashes are
+ * removed first. Each entry and the replicated state retain them; a record with three crashes of 25 bytes
+ * each takes some 150 bytes.
  */
 export const KEPT_CRASH_RECORDS = 1_024;
-/** An entry holds what it has yet to tell besides. */
-const KEPT_AT_ENTRY = 2 * KEPT_CRASH_RECORDS;
-/** Accounts that one call tells. */
-const TOLD_AT_ONCE = 256;
-/** One that was told so often without being agreed on is one that the agreed state has no room for. */
-const MAX_TELLINGS = 40;
+/** Maximum number of records at an entry, which also retains the records that it has yet to report. */
+const MAX_RECORDS_AT_ENTRY = 2 * KEPT_CRASH_RECORDS;
+/** Maximum number of records in one report. */
+const MAX_RECORDS_PER_REPORT = 256;
+/**
+ * Reports of one record before the entry stops sending it: the replicated state has no capacity for a record
+ * that is still not committed then.
+ */
+const MAX_REPORT_ATTEMPTS = 40;
 
 /**
- * A doubted request may run again so long after its last crash, one run at a time at each entry: the third crash proves it,
- * and a good end clears it. Without that one that only was there is refused for minutes: it had no run any more that
- * could have cleared it (two of 25 soaks of a popular request beside a guilty one).
+ * Time after its last crash, milliseconds, after which a suspected request may run again, one run at a time
+ * at each entry. A third crash confirms the request as the cause, and a successful run clears it. Without
+ * such trial runs, a request that only ran concurrently with the cause was refused for minutes, because it
+ * had no more runs that could have cleared it (in two of 25 soak runs with a popular request and one that
+ * crashes instances).
  */
 export const DOUBT_MS = 1_000;
 
-/** Whether a request may be sent to endpoints now; a trial is the one run of a doubted request. */
+/**
+ * Whether a request may be sent to endpoints now; a trial is the single run that a suspected request is
+ * allowed.
+ */
 export type Admittance = "admitted" | "trial" | "keptAway";
 
-/** The accounts of one entry. */
+/** The crash records of one entry. */
 export class CrashLedger {
-  private readonly _table = new CrashTable(KEPT_AT_ENTRY);
-  private readonly _agreed = new CrashTable(KEPT_AT_ENTRY);
-  /** How often each account that isn't agreed on has been told. */
+  private readonly _table = new CrashTable(MAX_RECORDS_AT_ENTRY);
+  private readonly _committed = new CrashTable(MAX_RECORDS_AT_ENTRY);
+  /** Number of reports of each record that is not committed yet. */
   private readonly _pending = new Map<string, number>();
-  private readonly _depths = new Map<string, KnownDepth[]>();
-  /** When a doubted request may run next. */
+  private readonly _depthObservations = new Map<string, DepthObservation[]>();
+  /** When a suspected request may run next. */
   private readonly _trialAt = new Map<string, number>();
 
-  /** Gets whether nothing is known of any request: then none needs to be looked for. */
+  /** Gets whether there is no record of any request; then no request needs to be looked up. */
   get isEmpty(): boolean {
     return this._table.isEmpty;
   }
 
-  /** Decides whether a request may be sent to endpoints; a trial that is given is taken. */
+  /**
+   * Decides whether a request may be sent to endpoints. A returned trial counts as used: the caller must run
+   * it.
+   */
   admit(now: number, digest: RequestDigest): Admittance {
     if (this.isKeptAway(now, digest)) return "keptAway";
     if (this._table.getVerdict(digest) === "free") return "admitted";
@@ -75,112 +88,124 @@
     return "trial";
   }
 
-  /** Checks whether a request is kept away from endpoints now. */
+  /** Checks whether a request must not be sent to endpoints now. */
   isKeptAway(now: number, digest: RequestDigest): boolean {
     const verdict = this._table.getVerdict(digest);
     return verdict === "proven" || (verdict === "doubted" && now < (this._trialAt.get(digest) ?? 0));
   }
 
-  /** Checks whether a request is proven guilty. */
+  /** Checks whether a request is the confirmed cause of crashes. */
   isProven(digest: RequestDigest): boolean {
     return this._table.getVerdict(digest) === "proven";
   }
 
-  /** Gets what the crashes under a request say of it. */
+  /** Gets the verdict on a request from its crashes. */
   getVerdict(digest: string): CrashVerdict {
     return this._table.getVerdict(digest);
   }
 
-  /** Counts the requests that are proven guilty. */
+  /** Counts the requests that are the confirmed cause of crashes. */
   countProven(): number {
     return this._table.countProven();
   }
 
-  /** Gets what is known of a request. */
+  /** Gets the record of a request; `undefined` when there is none. */
   getRecord(digest: RequestDigest): CrashRecord | undefined {
     return this._table.getRecord(digest);
   }
 
   /**
-   * Notes a crash. It counts as one more in a row only if the run began once the one before was known: many
-   * instances that end at one moment, as a rack does, end under a popular request once.
-   * @returns How many in a row it makes.
+   * Records a crash. It counts as one more in a row only if the run began after this entry had recorded the
+   * previous crash: when many instances end at the same moment, for example with a rack, a popular request
+   * that ran on all of them has one crash in a row.
+   * @returns The number of crashes in a row, this one included.
    */
   addCrash({ digest, life, startedAt, brokeAt, wasAnswered }: ObservedCrash): number {
     const known = this._table.getRecord(digest);
     const generation = known?.generation ?? 0;
-    const told = known?.crashes.find((crash) => crash.life === life);
-    const depth = told?.depth ?? this._getDepthAt(digest, generation, startedAt) + 1;
+    const recorded = known?.crashes.find((crash) => crash.life === life);
+    const depth = recorded?.depth ?? this._getDepthAt(digest, generation, startedAt) + 1;
     const crash = { life, depth, answered: wasAnswered };
     this._add(brokeAt, create(CrashRecordSchema, { digest, generation, crashes: [crash] }));
-    this._keepPending(digest);
+    this._updatePending(digest);
     return depth;
   }
 
   /**
-   * Notes that a request came to a good end: what ends each instance never does.
-   * @returns Whether anything was held against it.
+   * Records a successful run, which clears the request: a request that crashes every instance has none.
+   * @returns Whether there was a crash or a release to clear.
    */
   addGoodEnd(now: number, digest: RequestDigest): boolean {
     const known = this._table.getRecord(digest);
     if (known === undefined || (known.crashes.length === 0 && known.releases === 0)) return false;
     this._add(now, create(CrashRecordSchema, { digest, generation: known.generation + 1 }));
-    this._keepPending(digest);
+    this._updatePending(digest);
     return true;
   }
 
-  /** Takes over what was agreed on. */
+  /** Adds records that were committed. */
   addAgreed(now: number, records: readonly CrashRecord[]): void {
     for (const record of records) {
-      this._agreed.addRecord(record);
+      this._committed.addRecord(record);
       this._add(now, record);
-      this._keepPending(record.digest);
+      this._updatePending(record.digest);
     }
   }
 
-  /** Takes what has yet to be agreed on, to be told; what isn't agreed on by then is given again. */
+  /**
+   * Takes records to report that are not committed yet. A record that is still not committed afterwards is
+   * returned again, up to MAX_REPORT_ATTEMPTS times.
+   */
   takePending(): CrashRecord[] {
-    const digests = [...this._pending.keys()].slice(0, TOLD_AT_ONCE);
+    const digests = [...this._pending.keys()].slice(0, MAX_RECORDS_PER_REPORT);
     for (const digest of digests) {
-      const tellings = this._pending.get(digest)! + 1;
+      const attempts = this._pending.get(digest)! + 1;
       this._pending.delete(digest);
-      if (tellings < MAX_TELLINGS) this._pending.set(digest, tellings);
+      if (attempts < MAX_REPORT_ATTEMPTS) this._pending.set(digest, attempts);
     }
     return digests.flatMap((digest) => this._table.getRecord(digest) ?? []);
   }
 
-  /** Gets whether anything has yet to be told. */
+  /** Gets whether any record has yet to be reported. */
   get hasPending(): boolean {
     return this._pending.size > 0;
   }
 
-  private _add(at: number, record: CrashRecord): void {
-    const joined = this._table.addRecord(record);
-    if (joined === undefined) return;
-    const { digest, generation } = joined;
-    const known = (this._depths.get(digest) ?? []).filter((depth) => depth.generation === generation);
-    known.push({ generation, depth: getCrashDepth(joined), at });
-    if (joined.crashes.length > 0) this._delayTrial(at, digest);
-    this._depths.delete(digest);
-    this._depths.set(digest, known);
-    if (this._depths.size > KEPT_AT_ENTRY) this._depths.delete(this._depths.keys().next().value!);
+  private _add(now: number, record: CrashRecord): void {
+    const merged = this._table.addRecord(record);
+    if (merged === undefined) return;
+    const { digest, generation } = merged;
+    const observations = (this._depthObservations.get(digest) ?? []).filter(
+      (depth) => depth.generation === generation,
+    );
+    observations.push({ generation, depth: getCrashDepth(merged), recordedAt: now });
+    if (merged.crashes.length > 0) this._delayTrial(now, digest);
+    this._depthObservations.delete(digest);
+    this._depthObservations.set(digest, observations);
+    if (this._depthObservations.size > MAX_RECORDS_AT_ENTRY)
+      this._depthObservations.delete(this._depthObservations.keys().next().value!);
   }
 
   private _delayTrial(now: number, digest: string): void {
     this._trialAt.delete(digest);
     this._trialAt.set(digest, now + DOUBT_MS);
-    if (this._trialAt.size > KEPT_AT_ENTRY) this._trialAt.delete(this._trialAt.keys().next().value!);
+    if (this._trialAt.size > MAX_RECORDS_AT_ENTRY) this._trialAt.delete(this._trialAt.keys().next().value!);
   }
 
   private _getDepthAt(digest: RequestDigest, generation: number, time: number): number {
-    const known = (this._depths.get(digest) ?? []).filter((depth) => depth.generation === generation);
-    return known.reduce((depth, entry) => (entry.at <= time ? Math.max(depth, entry.depth) : depth), 0);
+    const observations = (this._depthObservations.get(digest) ?? []).filter(
+      (depth) => depth.generation === generation,
+    );
+    return observations.reduce(
+      (depth, entry) => (entry.recordedAt <= time ? Math.max(depth, entry.depth) : depth),
+      0,
+    );
   }
 
-  private _keepPending(digest: string): void {
+  private _updatePending(digest: string): void {
     const record = this._table.getRecord(digest);
-    const isAgreed = record === undefined || isCrashRecordKnown(record, this._agreed.getRecord(digest));
-    if (isAgreed) this._pending.delete(digest);
+    const isCommitted = record === undefined || isCrashRecordKnown(record, this._committed.getRecord(digest));
+    if (isCommitted) this._pending.delete(digest);
     else this._pending.set(digest, this._pending.get(digest) ?? 0);
   }
 }
--- a/src/containment/CrashTable.ts
+++ b/src/containment/CrashTable.ts
@@ -1,92 +1,101 @@
 /**
- * Requests under which instances ended, and which of them are kept away from endpoints.
+ * Requests under which instances crashed, and the verdict on each of them.
  *
- * A request that is broken off with its instance is a suspect, and so is whatever else ran there. What tells
- * the guilty one is that it does so again: each time it runs, one instance after the other, with no good end
- * between, while the others either come to a good end or were not there. Pure.
+ * When an instance crashes, every request that was running on it is a suspect. The cause differs from the
+ * others by repetition: each of its runs ends an instance, one after the other, with no successful run in
+ * between. The other requests either succeed or were not running on all of those instances. Pure.
  */
 import type { CrashRecord, RequestCrash } from "../gen/ploverstage/v1/state_pb";
 import { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
 
-/** So many crashes in a row prove a request guilty, whatever else ran beside it. */
-const PROVEN_DEPTH = 3;
-/** After so many it is doubted where it alone was there each time: each crash of a head costs a whole replica. */
-const SOLE_DEPTH = 2;
-/** One that was proven before and let run again has to come to a good end at once. */
-const RELEASED_DEPTH = 1;
+/**
+ * Crashes in a row that confirm a request as the cause, whatever other requests were running concurrently.
+ */
+const CONFIRMED_DEPTH = 3;
+/**
+ * Crashes in a row after which a request is suspected if it was the sole suspect of each of them; the number
+ * is low because each crash of a head costs a whole replica.
+ */
+const SUSPECTED_DEPTH = 2;
+/** Crashes that confirm a request again after its release: its first run must succeed. */
+const CONFIRMED_DEPTH_AFTER_RELEASE = 1;
 
-/** What the crashes under a request say of it. */
+/** The verdict on a request from its crashes. */
 export type CrashVerdict = "free" | "doubted" | "proven";
 
-/** Accounts by the digest of the request, in the order of their last change. */
+/** Crash records by request digest, in the order of their last change. */
 export class CrashTable {
   private readonly _records = new Map<string, CrashRecord>();
-  /** Requests that broke off with a life. */
+  /** Digests of the requests that were running on an incarnation when it ended. */
   private readonly _suspects = new Map<string, Set<string>>();
   private readonly _limit: number;
 
   /**
-   * @param limit - Accounts kept. Beyond them the oldest one goes that proves nothing.
+   * @param limit - Maximum number of records. Beyond it, the oldest record with fewer than two crashes in a row and
+   * without a release is removed, or else the oldest one.
    */
   constructor(limit: number) {
     this._limit = limit;
   }
 
-  /** Gets whether nothing is known of any request. */
+  /** Gets whether there is no record of any request. */
   get isEmpty(): boolean {
     return this._records.size === 0;
   }
 
-  /** Gets all accounts, the one changed last at the end. */
+  /** Gets all records, the last changed one at the end. */
   getRecords(): CrashRecord[] {
     return [...this._records.values()];
   }
 
-  /** Gets what is known of a request. */
+  /** Gets the record of a request; `undefined` when there is none. */
   getRecord(digest: string): CrashRecord | undefined {
     return this._records.get(digest);
   }
 
   /**
-   * Joins an account with what is known.
-   * @returns What is known now; `undefined` when it said nothing new.
+   * Merges a record into the table.
+   * @returns The merged record; `undefined` when the table already contained all of it.
    */
   addRecord(record: CrashRecord): CrashRecord | undefined {
     const known = this._records.get(record.digest);
     if (isCrashRecordKnown(record, known)) return undefined;
-    const joined = joinCrashRecords(known ?? record, record);
+    const merged = joinCrashRecords(known ?? record, record);
     this._remove(record.digest);
-    this._records.set(record.digest, joined);
-    for (const { life } of joined.crashes) this._addSuspect(life, record.digest);
-    if (this._records.size > this._limit) this._forgetOne();
-    return joined;
+    this._records.set(record.digest, merged);
+    for (const { life } of merged.crashes) this._addSuspect(life, record.digest);
+    if (this._records.size > this._limit) this._evictRecord();
+    return merged;
   }
 
-  /** Gets what is held against a request. */
+  /** Gets the verdict on a request. */
   getVerdict(digest: string): CrashVerdict {
     const record = this._records.get(digest);
-    return record === undefined ? "free" : this._judge(record);
+    return record === undefined ? "free" : this._getRecordVerdict(record);
   }
 
-  /** Counts the requests that are proven guilty. */
+  /** Counts the requests that are the confirmed cause of crashes. */
   countProven(): number {
-    return this.getRecords().filter((record) => this._judge(record) === "proven").length;
+    return this.getRecords().filter((record) => this._getRecordVerdict(record) === "proven").length;
   }
 
-  private _judge(record: CrashRecord): CrashVerdict {
+  private _getRecordVerdict(record: CrashRecord): CrashVerdict {
     const depth = getCrashDepth(record);
-    if (depth >= (record.releases > 0 ? RELEASED_DEPTH : PROVEN_DEPTH)) return "proven";
+    if (depth >= (record.releases > 0 ? CONFIRMED_DEPTH_AFTER_RELEASE : CONFIRMED_DEPTH)) return "proven";
     if (record.releases > 0) return "doubted";
-    const isSole = record.crashes.every((crash) => this._isSole(record.digest, crash));
-    return depth >= SOLE_DEPTH && isSole ? "doubted" : "free";
+    const isSoleSuspect = record.crashes.every((crash) => this._isSoleSuspect(record.digest, crash));
+    return depth >= SUSPECTED_DEPTH && isSoleSuspect ? "doubted" : "free";
   }
 
-  /** An answer that had begun to come makes a request less of a suspect than one that had none. */
-  private _isSole(digest: string, crash: RequestCrash): boolean {
-    for (const other of this._suspects.get(crash.life) ?? []) {
-      if (other === digest) continue;
-      const beside = this._records.get(other)?.crashes.find(({ life }) => life === crash.life);
-      if (beside !== undefined && (crash.answered || !beside.answered)) return false;
+  /**
+   * Checks whether a request is the sole suspect of a crash. Among several requests, those that had received
+   * part of a response are weaker suspects than those that had received none.
+   */
+  private _isSoleSuspect(digest: string, crash: RequestCrash): boolean {
+    for (const otherDigest of this._suspects.get(crash.life) ?? []) {
+      if (otherDigest === digest) continue;
+      const otherCrash = this._records.get(otherDigest)?.crashes.find(({ life }) => life === crash.life);
+      if (otherCrash !== undefined && (crash.answered || !otherCrash.answered)) return false;
     }
     return true;
   }
@@ -106,10 +115,15 @@
     this._records.delete(digest);
   }
 
-  /** One that ran where a whole rack was lost must not push out what is proven. */
-  private _forgetOne(): void {
+  /**
+   * Removes one record. The loss of a rack creates many records with one crash; they must not evict the
+   * records of confirmed causes.
+   */
+  private _evictRecord(): void {
     const records = this.getRecords();
-    const harmless = records.find((record) => record.releases === 0 && getCrashDepth(record) < SOLE_DEPTH);
-    this._remove((harmless ?? records[0]!).digest);
+    const unsuspected = records.find(
+      (record) => record.releases === 0 && getCrashDepth(record) < SUSPECTED_DEPTH,
+    );
+    this._remove((unsuspected ?? records[0]!).digest);
   }
 }
--- a/src/containment/RequestDigest.ts
+++ b/src/containment/RequestDigest.ts
@@ -1,15 +1,15 @@
 /**
- * What makes two requests the same one: its caller, method, path and body.
+ * The identity of a request: two requests with the same caller, method, path and body are the same request.
  *
- * Only a hash of them is kept, told to other processes and logged. Pure.
+ * Only a hash of these parts is stored, sent to other processes and logged. Pure.
  */
 import { createHash } from "node:crypto";
 import type { Brand } from "effect";
 
-/** SHA-256 of a request's caller, method, path and body, cut to 128 bits; base64url. */
+/** SHA-256 of a request's caller, method, path and body, truncated to 128 bits; base64url. */
 export type RequestDigest = string & Brand.Brand<"RequestDigest">;
 
-/** What a digest is made of. */
+/** The parts of a request that the digest covers. */
 export interface RequestContent {
   /** `undefined` where callers need no key. */
   readonly organisation: string | undefined;
@@ -19,13 +19,13 @@
   readonly body: Uint8Array;
 }
 
-/** 128 bits: two of a trillion requests are alike with a chance of 1 in 10^15. */
+/** 128 bits: among a trillion requests, two have the same digest with a probability of 1 in 10^15. */
 const DIGEST_BYTES = 16;
 
 /** Gets the digest of a request. */
 export function getRequestDigest({ organisation, method, path, body }: RequestContent): RequestDigest {
   const hash = createHash("sha256");
-  // As JSON, no part can be taken for another one.
+  // JSON separates the parts, so that the end of one can't be read as the start of the next.
   hash.update(JSON.stringify([organisation ?? null, method, path]));
   hash.update(body);
   return hash.digest().subarray(0, DIGEST_BYTES).toString("base64url") as RequestDigest;
--- a/src/containment/checkCrashRecord.ts
+++ b/src/containment/checkCrashRecord.ts
@@ -1,41 +1,41 @@
 /**
- * Checks an account of crashes that came from another process before it is proposed.
+ * Checks a crash record from another process before it is proposed.
  *
- * It may be damaged, or of another version; what is agreed on can't be taken back. Pure.
+ * The record may be damaged or from another version, and a committed record can't be removed again. Pure.
  */
 import { InvalidCrashRecord } from "../errors";
 import type { CrashRecord, RequestCrash } from "../gen/ploverstage/v1/state_pb";
 
 /** 128 bits in base64url. */
-const DIGEST = /^[\w-]{22}$/;
-/** Ids of targets are a few dozen characters long. */
-const MAX_LIFE_LENGTH = 600;
+const DIGEST_PATTERN = /^[\w-]{22}$/;
+/** Target ids are a few dozen characters long. */
+const MAX_INCARNATION_LENGTH = 600;
 const MAX_CRASHES = 64;
 const MAX_RELEASES = 32;
 const MAX_DEPTH = 1_000_000;
 
 /**
- * Checks an account.
- * @throws InvalidCrashRecord - Naming the first field that no entry would give.
+ * Checks a crash record.
+ * @throws InvalidCrashRecord - With the name of the first field whose value no entry would send.
  */
 export function checkCrashRecord({ digest, generation, crashes, releases }: CrashRecord): void {
-  if (!DIGEST.test(digest)) throw createInvalid("digest", "it is none");
-  checkWhole("generation", generation, 0, Number.MAX_SAFE_INTEGER);
-  checkWhole("releases", releases, 0, MAX_RELEASES);
-  if (crashes.length > MAX_CRASHES) throw createInvalid("crashes", `there are more than ${MAX_CRASHES}`);
+  if (!DIGEST_PATTERN.test(digest)) throw createError("digest", "not 22 base64url characters");
+  checkInteger("generation", generation, 0, Number.MAX_SAFE_INTEGER);
+  checkInteger("releases", releases, 0, MAX_RELEASES);
+  if (crashes.length > MAX_CRASHES) throw createError("crashes", `more than ${MAX_CRASHES} crashes`);
   for (const crash of crashes) checkCrash(crash);
 }
 
 function checkCrash({ life, depth }: RequestCrash): void {
-  if (life === "" || life.length > MAX_LIFE_LENGTH) throw createInvalid("life", "it names none");
-  checkWhole("depth", depth, 1, MAX_DEPTH);
+  if (life === "" || life.length > MAX_INCARNATION_LENGTH) throw createError("life", "empty or too long");
+  checkInteger("depth", depth, 1, MAX_DEPTH);
 }
 
-function checkWhole(field: string, value: number, least: number, most: number): void {
-  if (Number.isInteger(value) && value >= least && value <= most) return;
-  throw createInvalid(field, `${value} is no whole number from ${least} to ${most}`);
+function checkInteger(field: string, value: number, min: number, max: number): void {
+  if (Number.isInteger(value) && value >= min && value <= max) return;
+  throw createError(field, `${value} is not an integer from ${min} to ${max}`);
 }
 
-function createInvalid(field: string, reason: string): InvalidCrashRecord {
+function createError(field: string, reason: string): InvalidCrashRecord {
   return new InvalidCrashRecord({ field, reason });
 }
--- a/src/containment/crashRecords.ts
+++ b/src/containment/crashRecords.ts
@@ -1,8 +1,8 @@
 /**
- * What is known of one request under which instances ended, and how two such accounts are joined.
+ * The crash record of a request, and how two records of the same request are merged.
  *
- * Joining is commutative, associative and idempotent, so that it doesn't matter in which order, how often
- * and by how many entries a crash is told. Pure.
+ * Merging is commutative, associative and idempotent, so the order of reports, their repetition and the
+ * number of entries that report a crash make no difference. Pure.
  */
 import { clone, create, equals } from "@bufbuild/protobuf";
 import {
@@ -12,53 +12,63 @@
   RequestCrashSchema,
 } from "../gen/ploverstage/v1/state_pb";
 
-/** Crashes kept of one request, the deepest ones: three are proof, and a rack that is lost has dozens. */
-const KEPT_CRASHES = 64;
+/**
+ * Crashes retained for one request, the deepest ones: three confirm a cause, and the loss of a rack causes
+ * dozens.
+ */
+const MAX_CRASHES_PER_RECORD = 64;
 
-/** Gets how many instances ended under a request one after the other, each run begun in knowledge of the crash before. */
+/**
+ * Gets the number of instances that a request crashed in a row, where each run began after the previous crash
+ * was recorded.
+ */
 export function getCrashDepth({ crashes }: CrashRecord): number {
   return crashes.reduce((depth, crash) => Math.max(depth, crash.depth), 0);
 }
 
-/** Joins two accounts of one request: that of the newer generation holds, or both together. */
+/**
+ * Merges two records of one request: the record of the newer generation replaces the other; records of the
+ * same generation are combined.
+ */
 export function joinCrashRecords(a: CrashRecord, b: CrashRecord): CrashRecord {
   if (a.generation !== b.generation) return clone(CrashRecordSchema, a.generation > b.generation ? a : b);
   return create(CrashRecordSchema, {
     digest: a.digest,
     generation: a.generation,
-    crashes: joinCrashes([...a.crashes, ...b.crashes]),
+    crashes: mergeCrashes([...a.crashes, ...b.crashes]),
     releases: Math.max(a.releases, b.releases),
     changedAtIndex: Math.max(a.changedAtIndex, b.changedAtIndex),
     crashedAtMs: Math.max(a.crashedAtMs, b.crashedAtMs),
   });
 }
 
-/** Checks whether an account says nothing that another one does not. */
+/** Checks whether a record adds nothing to another record of the same request. */
 export function isCrashRecordKnown(record: CrashRecord, known: CrashRecord | undefined): boolean {
   if (known === undefined) {
     return record.generation === 0 && record.crashes.length === 0 && record.releases === 0;
   }
-  const joined = joinCrashRecords(record, known);
-  const stamp = { changedAtIndex: known.changedAtIndex, crashedAtMs: known.crashedAtMs };
-  return equals(CrashRecordSchema, { ...joined, ...stamp }, known);
+  const merged = joinCrashRecords(record, known);
+  const metadata = { changedAtIndex: known.changedAtIndex, crashedAtMs: known.crashedAtMs };
+  return equals(CrashRecordSchema, { ...merged, ...metadata }, known);
 }
 
 /**
- * Several runs that broke off with one life tell of one crash, and not of two in a row: one may have been sent there after its
- * end, over a connection that was not closed yet. So the least depth holds.
+ * Merges the crashes of each incarnation. Several runs that broke off with one incarnation count as one crash
+ * and not as two in a row, because one of them may have been sent to the instance after its end, over a
+ * connection that was not closed yet. So the smallest depth is used.
  */
-function joinCrashes(crashes: readonly RequestCrash[]): RequestCrash[] {
-  const byLife = new Map<string, RequestCrash>();
+function mergeCrashes(crashes: readonly RequestCrash[]): RequestCrash[] {
+  const byIncarnation = new Map<string, RequestCrash>();
   for (const crash of crashes) {
-    const known = byLife.get(crash.life) ?? crash;
-    const joined = {
+    const known = byIncarnation.get(crash.life) ?? crash;
+    const merged = {
       life: crash.life,
       depth: Math.min(known.depth, crash.depth),
       answered: known.answered && crash.answered,
     };
-    byLife.set(crash.life, create(RequestCrashSchema, joined));
+    byIncarnation.set(crash.life, create(RequestCrashSchema, merged));
   }
-  return [...byLife.values()]
+  return [...byIncarnation.values()]
     .sort((a, b) => b.depth - a.depth || (a.life < b.life ? -1 : 1))
-    .slice(0, KEPT_CRASHES);
+    .slice(0, MAX_CRASHES_PER_RECORD);
 }
--- a/src/containment/index.ts
+++ b/src/containment/index.ts
@@ -1,4 +1,4 @@
-/** What requests did to the endpoints that ran them, and which requests are kept away from endpoints. */
+/** Crash records of requests, and the decision which requests are blocked from endpoints. */
 export {
   type Admittance,
   CrashLedger,
--- a/src/containment/release.ts
+++ b/src/containment/release.ts
@@ -1,35 +1,39 @@
-/** When a request that was kept away may run again, and what is remembered of it then. Pure. */
+/** When a blocked request may run again, and what its record retains then. Pure. */
 import { create } from "@bufbuild/protobuf";
 import { type CrashRecord, CrashRecordSchema } from "../gen/ploverstage/v1/state_pb";
 
 /**
- * A request is kept away for so long, milliseconds; what only looked suspicious is forgotten after the same
- * time. The endpoint's code or weights may have been mended since, and nobody tells us.
+ * Time for which a request is blocked after its first confirmation, milliseconds. The record of a request
+ * that is only suspected is dropped after the same time. The endpoint's code or weights may have been fixed
+ * since, and no process is notified of that.
  */
 export const KEEP_AWAY_MS = 600_000;
 /**
- * Each time that it ends an instance again it is kept away for so many times as long: after 10 minutes, 1, 6 and
- * 36 hours. One crash is enough then, so that it costs three instances in its first day besides those that
- * proved it.
+ * Each time a released request ends an instance again, its blocking time is multiplied by this factor: after
+ * 10 minutes, 1, 6 and 36 hours. After a release one crash is enough to block the request, so that it costs
+ * three instances in its first day besides those that confirmed it.
  */
-const LONGER_EACH_TIME = 6;
+const BLOCK_GROWTH_FACTOR = 6;
 
 /**
- * Checks whether what is held against a request is to be dropped.
- * @param now - The leader's wall clock, Unix milliseconds.
+ * Checks whether the crashes of a request are to be cleared.
+ * @param now - Wall clock of the leader, Unix milliseconds.
  */
 export function isReleaseDue(now: number, { crashes, releases, crashedAtMs }: CrashRecord): boolean {
-  return crashes.length > 0 && now - crashedAtMs >= KEEP_AWAY_MS * LONGER_EACH_TIME ** releases;
+  return crashes.length > 0 && now - crashedAtMs >= KEEP_AWAY_MS * BLOCK_GROWTH_FACTOR ** releases;
 }
 
-/** Makes the account of a request that may run again; only one that was kept away is watched from then on. */
+/**
+ * Creates the record of a request that may run again. Only a request that was blocked counts the release, and
+ * a single crash blocks it again.
+ */
 export function createRelease(
   { digest, generation, releases }: CrashRecord,
-  wasKeptAway: boolean,
+  wasBlocked: boolean,
 ): CrashRecord {
   return create(CrashRecordSchema, {
     digest,
     generation: generation + 1,
-    releases: wasKeptAway ? releases + 1 : releases,
+    releases: wasBlocked ? releases + 1 : releases,
   });
 }
--- a/src/leases/EntryLease.ts
+++ b/src/leases/EntryLease.ts
@@ -1,31 +1,31 @@
 /**
- * The lease by which an entry may take new work.
+ * The lease that allows an entry to start new work.
  *
- * Counted from when the renewal was sent, on the monotonic clock: a frozen entry finds
- * it run out when it wakes. All times are monotonic milliseconds.
+ * It is counted on the monotonic clock from when the entry sent the renewal, so that an entry that was paused
+ * finds the lease expired when it resumes. All times are monotonic milliseconds.
  */
 export class EntryLease {
   private _expiresAt = Number.NEGATIVE_INFINITY;
 
   /**
-   * Takes a granted renewal.
-   * @param sentAt - When the renewal was sent, not when the answer came.
+   * Extends the lease after a granted renewal.
+   * @param sentAt - When the renewal was sent, not when the response was received.
    */
   renew(sentAt: number, leaseMs: number): void {
     this._expiresAt = Math.max(this._expiresAt, sentAt + leaseMs);
   }
 
-  /** Gives the lease up before it runs out. */
+  /** Ends the lease before it expires. */
   release(): void {
     this._expiresAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Checks whether new work may go out now. */
+  /** Checks whether the entry may start new work now. */
   isHeld(now: number): boolean {
     return now < this._expiresAt;
   }
 
-  /** Gets how long the lease still runs, 0 when it has run out. */
+  /** Gets the remaining time of the lease in milliseconds, 0 when it has expired. */
   getLeftMs(now: number): number {
     return Math.max(0, this._expiresAt - now);
   }
--- a/src/leases/LeaseTable.ts
+++ b/src/leases/LeaseTable.ts
@@ -1,13 +1,13 @@
 /**
- * The leases that a control leader gave to entries, and what they still allow.
+ * The leases that a control leader granted to entries, and which versions entries may still use under them.
  *
- * Leases are not in the log: at 460 entries that would be a write a renewal. Instead
- * a new leader waits until every lease of its predecessors must have run out before
- * it calls anything in force. All times are monotonic milliseconds of this process.
+ * Leases are not written to the log: with 460 entries that would be one write for each renewal. Instead, a
+ * new leader waits until all leases of earlier leaders must have expired before it reports anything as in
+ * force. All times are monotonic milliseconds of this process.
  */
 import type { EntryId } from "../ids";
 
-/** What an entry told when it renewed. */
+/** The state that an entry reported with a renewal. */
 export interface Renewal {
   readonly entryId: EntryId;
   /** Configuration version that the entry has in force. */
@@ -16,82 +16,82 @@
   readonly knownAssignment: number;
 }
 
-/** What the leader knows of one entry. */
+/** An entry and its newest lease, as the leader recorded them. */
 export interface LeaseHolder extends Renewal {
-  /** When the newest lease has run out at the entry, at the latest. */
+  /** The latest time at which the newest lease expires at the entry. */
   readonly expiresAt: number;
 }
 
-/** Clocks of two machines run apart by less than this share of an interval. */
+/** The clocks of two machines differ by less than this share of an interval. */
 const CLOCK_RATE_MARGIN = 0.01;
 /** Added to every interval, milliseconds. */
 const CLOCK_STEP_MARGIN_MS = 20;
 
-/** Gets how long a leader must wait for a lease of some length to have run out anywhere. */
+/** Gets the time after which a lease of a given length must have expired at any entry, in milliseconds. */
 export function getSafeWait(leaseMs: number): number {
   return leaseMs * (1 + CLOCK_RATE_MARGIN) + CLOCK_STEP_MARGIN_MS;
 }
 
-/** Leases given in one term of leadership. */
+/** Leases that were granted in one term of leadership. */
 export class LeaseTable {
   private readonly _holders = new Map<EntryId, LeaseHolder>();
-  private readonly _clearAt: number;
+  private readonly _earlierLeasesExpireAt: number;
 
   /**
    * @param now - When this leadership began.
-   * @param longestLeaseMs - The longest lease that any earlier leader may have given.
+   * @param longestLeaseMs - The longest lease that any earlier leader may have granted.
    */
   constructor(now: number, longestLeaseMs: number) {
-    this._clearAt = now + getSafeWait(longestLeaseMs);
+    this._earlierLeasesExpireAt = now + getSafeWait(longestLeaseMs);
   }
 
   /**
-   * Notes a lease that is about to be given.
-   * @param now - When the renewal was received; the entry counts from when it sent it.
+   * Records a lease that is about to be granted.
+   * @param now - When the renewal was received; the entry counts from when it sent the renewal.
    */
   addLease(now: number, renewal: Renewal, leaseMs: number): void {
     const expiresAt = now + getSafeWait(leaseMs);
-    const before = this._holders.get(renewal.entryId);
+    const previous = this._holders.get(renewal.entryId);
     this._holders.set(renewal.entryId, {
       entryId: renewal.entryId,
-      // A renewal that was overtaken on the way must not take knowledge back.
-      knownConfiguration: Math.max(renewal.knownConfiguration, before?.knownConfiguration ?? 0),
-      knownAssignment: Math.max(renewal.knownAssignment, before?.knownAssignment ?? 0),
-      expiresAt: Math.max(expiresAt, before?.expiresAt ?? 0),
+      // A renewal that arrives out of order must not lower the recorded versions.
+      knownConfiguration: Math.max(renewal.knownConfiguration, previous?.knownConfiguration ?? 0),
+      knownAssignment: Math.max(renewal.knownAssignment, previous?.knownAssignment ?? 0),
+      expiresAt: Math.max(expiresAt, previous?.expiresAt ?? 0),
     });
   }
 
-  /** Forgets an entry that gave its lease back after its last request. */
+  /** Removes an entry that returned its lease after its last request. */
   removeLease(entryId: EntryId): void {
     this._holders.delete(entryId);
   }
 
-  /** Checks whether leases of earlier leaders have all run out. */
+  /** Checks whether all leases of earlier leaders have expired. */
   isClear(now: number): boolean {
-    return now >= this._clearAt;
+    return now >= this._earlierLeasesExpireAt;
   }
 
-  /** Gets entries whose lease has not run out. */
+  /** Gets the entries whose lease has not expired. */
   getLiveHolders(now: number): LeaseHolder[] {
     return [...this._holders.values()].filter((holder) => holder.expiresAt > now);
   }
 
-  /** Gets live entries that may still act on a configuration older than a version. */
+  /** Gets the live entries that may still use a configuration older than a version. */
   getHoldersBefore(now: number, version: number): LeaseHolder[] {
     return this.getLiveHolders(now).filter((holder) => holder.knownConfiguration < version);
   }
 
-  /** Checks whether a configuration version is in force everywhere. */
+  /** Checks whether every entry with a lease uses a configuration version or a newer one. */
   isConfigurationInForce(now: number, version: number): boolean {
     return this.isClear(now) && this.getHoldersBefore(now, version).length === 0;
   }
 
-  /** Checks whether no lease allows anything that an assignment index has ended. */
+  /** Checks whether no entry with a lease may still use an assignment that ended at or before an index. */
   isAssignmentInForce(now: number, index: number): boolean {
     return this.isClear(now) && this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index);
   }
 
-  /** Forgets entries whose lease ran out long ago. */
+  /** Removes entries whose lease expired more than a given time ago. */
   removeExpired(now: number, olderThanMs: number): void {
     for (const holder of this._holders.values()) {
       if (holder.expiresAt + olderThanMs < now) this._holders.delete(holder.entryId);
--- a/src/log/FileStorage.ts
+++ b/src/log/FileStorage.ts
@@ -1,9 +1,9 @@
 /**
- * The data folder: one identity, the newest snapshot, and the log that follows it.
+ * The data folder of a member: its identity, the newest snapshot, and the log that follows the snapshot.
  *
- * `identity` names the member; `snapshot-N` holds the state up to index N; `log-K`
- * holds batches, one frame a sync. A torn last frame was never acknowledged and is
- * cut; a bad frame before a good one is damage and refuses the start.
+ * `identity` contains the member id; `snapshot-N` contains the state up to index N; `log-K` contains batches
+ * of log entries, one frame for each sync. A torn last frame was never acknowledged and is truncated at the
+ * start. A bad frame before a good one is damage: the member refuses to start.
  */
 import { type FileHandle, mkdir, open, readdir, readFile, truncate, unlink } from "node:fs/promises";
 import { join } from "node:path";
@@ -38,40 +38,43 @@
     this._handle = handle;
   }
 
-  /** Gets the member id of a data folder, or `undefined` when it holds none. */
+  /**
+   * Gets the member id of a data folder, or `undefined` when the folder contains no member's data.
+   * @throws ForeignData - When the folder contains data files but no identity.
+   */
   static async getMemberId(folder: string): Promise<string | undefined> {
     const names = await readdir(folder).catch((): string[] => []);
     if (names.includes(IDENTITY_FILE)) return (await readFile(join(folder, IDENTITY_FILE), "utf8")).trim();
-    const leftover = names.find((name) => isDataFile(name));
-    if (leftover === undefined) return undefined;
-    throw new ForeignData({ folder, reason: `it holds ${leftover} but no identity` });
+    const dataFile = names.find((name) => isDataFile(name));
+    if (dataFile === undefined) return undefined;
+    throw new ForeignData({ folder, reason: `it contains ${dataFile} but no identity file` });
   }
 
   /**
-   * Makes a data folder for a member.
-   * @param snapshot - Where the member starts; none for a joiner.
-   * @throws ForeignData - When the folder is in use already.
+   * Creates a data folder for a member.
+   * @param snapshot - The state from which the member starts; `undefined` for a joining member.
+   * @throws ForeignData - When the folder already belongs to a member.
    */
   static async create(folder: string, memberId: string, snapshot: Snapshot | undefined): Promise<void> {
     await mkdir(folder, { recursive: true });
     if ((await FileStorage.getMemberId(folder)) !== undefined) {
-      throw new ForeignData({ folder, reason: "it belongs to a member already" });
+      throw new ForeignData({ folder, reason: "it already belongs to a member" });
     }
     if (snapshot !== undefined) {
       await writeFileDurably(join(folder, getSnapshotName(0)), encodeSnapshot(snapshot));
     }
-    // The identity comes last: a folder half made is not taken for a member's.
+    // Written last, so that a partially created folder has no identity and is not used as a member's.
     await writeFileDurably(join(folder, IDENTITY_FILE), Buffer.from(`${memberId}\n`));
   }
 
   /**
-   * Opens a data folder and reads what it holds.
-   * @throws ForeignData - When it holds no identity.
-   * @throws DamagedData - When something that was synced can't be read.
+   * Opens a data folder and reads its contents.
+   * @throws ForeignData - When the folder contains no identity.
+   * @throws DamagedData - When data that was synced can't be read.
    */
   static async open(folder: string): Promise<{ storage: FileStorage; stored: StoredState }> {
     const memberId = await FileStorage.getMemberId(folder);
-    if (memberId === undefined) throw new ForeignData({ folder, reason: "it holds no identity" });
+    if (memberId === undefined) throw new ForeignData({ folder, reason: "it contains no identity file" });
     const names = await readdir(folder);
     const snapshot = await readNewestSnapshot(folder, names);
     const sequence = Math.max(0, ...getNumbers(names, LOG_PREFIX));
@@ -83,18 +86,21 @@
     return { storage: new FileStorage(folder, sequence, handle), stored };
   }
 
-  /** Makes a batch durable with one write and one sync. */
+  /**
+   * Makes a batch durable with one write and one sync.
+   * @throws FailedStorage - When the write or the sync fails; the process must stop.
+   */
   async writeBatch(batch: StorageBatch): Promise<void> {
     try {
       await writeFully(this._handle, encodeBatch(batch.hardState, batch.entries, undefined));
       await this._handle.datasync();
     } catch (cause) {
-      // After a failed sync nobody knows what the disk holds: the process must stop.
+      // After a failed sync the contents of the disk are undefined, so the process must stop.
       throw new FailedStorage({ file: getLogName(this._sequence), cause });
     }
   }
 
-  /** Makes a snapshot durable, starts a new log behind it, then drops the older files. */
+  /** Makes a snapshot durable, starts a new log after it, then deletes the older files. */
   async writeSnapshot(snapshot: Snapshot, hardState: HardState, tail: readonly LogEntry[]): Promise<void> {
     await writeFileDurably(join(this._folder, getSnapshotName(snapshot.index)), encodeSnapshot(snapshot));
     const sequence = this._sequence + 1;
@@ -175,7 +181,7 @@
   return fromBinary(SnapshotSchema, frame.payload);
 }
 
-/** Reads the batches of a log file, cutting a torn last one off. */
+/** Reads the batches of a log file and truncates a torn last one. */
 async function readBatches(path: string): Promise<LogBatch[]> {
   const buffer = await readFile(path).catch(ignoreMissing);
   const batches: LogBatch[] = [];
@@ -183,7 +189,7 @@
   while (offset < buffer.length) {
     const frame = getFrame(buffer, offset);
     if (frame === undefined) {
-      await cutTornTail(path, buffer, offset);
+      await truncateTornTail(path, buffer, offset);
       break;
     }
     batches.push(fromBinary(LogBatchSchema, frame.payload));
@@ -197,9 +203,9 @@
   throw cause;
 }
 
-async function cutTornTail(path: string, buffer: Buffer, offset: number): Promise<void> {
+async function truncateTornTail(path: string, buffer: Buffer, offset: number): Promise<void> {
   if (hasFrameAfter(buffer, offset + 1)) {
-    throw new DamagedData({ file: path, offset, reason: "a bad record stands before a good one" });
+    throw new DamagedData({ file: path, offset, reason: "a bad frame precedes a good one" });
   }
   await truncate(path, offset);
   const handle = await open(path, "r+");
@@ -207,7 +213,10 @@
   await handle.close();
 }
 
-/** Replays batches: the newest hard state, and the entries that follow the snapshot. */
+/**
+ * Replays batches.
+ * @returns The newest hard state, and the entries that follow the snapshot.
+ */
 function mergeBatches(
   batches: readonly LogBatch[],
   snapshot: Snapshot | undefined,
@@ -226,14 +235,14 @@
   return { hardState, entries: getEntriesAfter(snapshot, batches[0], entries) };
 }
 
-/** Keeps entries only if they continue the snapshot's own history. */
+/** Gets the entries after a snapshot, or none when the log does not continue the snapshot's history. */
 function getEntriesAfter(
   snapshot: Snapshot,
   firstBatch: LogBatch | undefined,
   entries: readonly LogEntry[],
 ): LogEntry[] {
-  const last = entries.find((entry) => entry.index === snapshot.index);
+  const snapshotEntry = entries.find((entry) => entry.index === snapshot.index);
   const isBase = firstBatch?.baseIndex === snapshot.index && firstBatch.baseTerm === snapshot.term;
-  const continues = isBase || last?.term === snapshot.term;
-  return continues ? entries.filter((entry) => entry.index > snapshot.index) : [];
+  const isContinuation = isBase || snapshotEntry?.term === snapshot.term;
+  return isContinuation ? entries.filter((entry) => entry.index > snapshot.index) : [];
 }
--- a/src/log/Frame.ts
+++ b/src/log/Frame.ts
@@ -1,18 +1,18 @@
 /**
- * Checksummed frames, the unit in which files of the data folder are written.
+ * Checksummed frames, the unit in which the files of the data folder are written.
  *
- * Layout, little endian: magic (4 bytes), payload length (4), CRC-32 of the payload
- * (4), CRC-32 of the first 12 bytes (4), payload. The CRC is zlib's.
+ * Layout, little endian: magic (4 bytes), payload length (4), CRC-32 of the payload (4), CRC-32 of the first
+ * 12 bytes (4), payload. The CRC is the one of zlib.
  */
 import { crc32 } from "node:zlib";
 
 const MAGIC = 0x50_4c_56_31;
 const HEADER_BYTES = 16;
 
-/** A frame read from a buffer. */
+/** A frame that was read from a buffer. */
 export interface Frame {
   readonly payload: Uint8Array;
-  /** Offset of the byte after the frame. */
+  /** Offset of the first byte after the frame. */
   readonly end: number;
 }
 
@@ -27,7 +27,7 @@
   return frame;
 }
 
-/** Gets the frame at an offset, or `undefined` when the bytes there are no whole frame. */
+/** Gets the frame at an offset, or `undefined` when no complete frame with valid checksums starts there. */
 export function getFrame(buffer: Buffer, offset: number): Frame | undefined {
   if (!hasHeader(buffer, offset)) return undefined;
   const length = buffer.readUInt32LE(offset + 4);
@@ -38,7 +38,7 @@
   return { payload, end };
 }
 
-/** Checks whether a whole frame starts anywhere at or after an offset. */
+/** Checks whether a complete frame starts at or after an offset. */
 export function hasFrameAfter(buffer: Buffer, offset: number): boolean {
   for (let start = offset; start + HEADER_BYTES <= buffer.length; start++) {
     if (getFrame(buffer, start) !== undefined) return true;
--- a/src/log/Storage.ts
+++ b/src/log/Storage.ts
@@ -1,7 +1,7 @@
-/** Where a member keeps what it must not forget. */
+/** Durable storage of the state that a member needs after a restart. */
 import type { HardState, LogEntry, Snapshot } from "../gen/ploverstage/v1/consensus_pb";
 
-/** What a data folder held at the start. */
+/** The contents of a data folder when it was opened. */
 export interface StoredState {
   readonly memberId: string;
   readonly hardState: HardState;
@@ -10,7 +10,7 @@
   readonly entries: readonly LogEntry[];
 }
 
-/** One sync's worth of writes. */
+/** Data that is written with one sync. */
 export interface StorageBatch {
   readonly hardState: HardState | undefined;
   readonly entries: readonly LogEntry[];
@@ -18,11 +18,11 @@
 
 /** Durable storage of one member. */
 export interface Storage {
-  /** Makes a batch durable with one sync; resolves only once it is. */
+  /** Makes a batch durable with one sync; resolves after the sync has finished. */
   writeBatch(batch: StorageBatch): Promise<void>;
   /**
-   * Makes a snapshot durable and drops what it covers.
-   * @param tail - Entries to keep after it.
+   * Makes a snapshot durable and deletes the log entries that it covers.
+   * @param tail - Entries after the snapshot that stay in the log.
    */
   writeSnapshot(snapshot: Snapshot, hardState: HardState, tail: readonly LogEntry[]): Promise<void>;
   /** Closes the files. */
--- a/src/log/files.ts
+++ b/src/log/files.ts
@@ -1,9 +1,9 @@
-/** File operations that count only once the disk has them. */
+/** File operations that finish only after the data is on disk. */
 import { type FileHandle, open, rename } from "node:fs/promises";
 import { dirname } from "node:path";
 import { FailedStorage } from "../errors";
 
-/** Syncs a folder, so that new names in it last. */
+/** Syncs a folder, so that new file names in it survive a crash. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await open(folder, "r");
   try {
@@ -14,27 +14,27 @@
 }
 
 /**
- * Writes a file whole or not at all: write aside, sync, rename, sync the folder.
+ * Writes a file atomically: writes a temporary file, syncs it, renames it and syncs the folder.
  * @throws FailedStorage
  */
 export async function writeFileDurably(path: string, bytes: Uint8Array): Promise<void> {
-  const aside = `${path}.new`;
+  const temporaryPath = `${path}.new`;
   try {
-    const handle = await open(aside, "w");
+    const handle = await open(temporaryPath, "w");
     try {
       await writeFully(handle, bytes);
       await handle.sync();
     } finally {
       await handle.close();
     }
-    await rename(aside, path);
+    await rename(temporaryPath, path);
     await syncFolder(dirname(path));
   } catch (cause) {
     throw new FailedStorage({ file: path, cause });
   }
 }
 
-/** Writes all bytes at the handle's position, however many calls that takes. */
+/** Writes all bytes at the handle's position, with as many calls as that needs. */
 export async function writeFully(handle: FileHandle, bytes: Uint8Array): Promise<void> {
   let offset = 0;
   while (offset < bytes.length) {
--- a/src/log/index.ts
+++ b/src/log/index.ts
@@ -1,4 +1,4 @@
-/** Durable files of a control process. */
+/** Durable log and snapshots of a control process. */
 
 export { FileStorage } from "./FileStorage";
 export { encodeFrame, type Frame, getFrame, hasFrameAfter } from "./Frame";
--- a/src/membership/LeaderGuard.ts
+++ b/src/membership/LeaderGuard.ts
@@ -1,16 +1,17 @@
-/** Gives calls the present leadership, once a majority confirmed it after the call came in. */
+/** Runs calls with the current leadership, confirmed by a majority after the call was received. */
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { ConsensusDriver } from "../consensus";
 import { AbsentLeader, FullProposalQueue, UnknownProposal } from "../errors";
 import { createLeaderRefusal } from "../rpc";
 
-/** Guards what only the leader answers. */
+/** Guards the calls that only the leader may answer. */
 export class LeaderGuard<L> {
   private readonly _driver: ConsensusDriver;
   private readonly _getLeadership: () => L | undefined;
 
   /**
-   * @param getLeadership - Gives the leadership of the present term, if this process leads.
+   * @param getLeadership - Gets the leadership of the current term; `undefined` when this process does not
+   * lead.
    */
   constructor(driver: ConsensusDriver, getLeadership: () => L | undefined) {
     this._driver = driver;
@@ -18,8 +19,9 @@
   }
 
   /**
-   * Runs a call that proposes: what is committed proves the leadership, so no round is
-   * spent on confirming it first.
+   * Runs a call that proposes a command. Its commit confirms the leadership, so no extra round confirms it
+   * first.
+   * @throws ConnectError - As for `run`.
    */
   async propose<R>(action: (leadership: L) => R | Promise<R>): Promise<R> {
     try {
@@ -31,8 +33,9 @@
 
   /**
    * Runs a call as the confirmed leader.
-   * @throws ConnectError - FAILED_PRECONDITION naming the leader, or UNAVAILABLE when
-   * the fate of a proposal is unknown; both may be tried again.
+   * @throws ConnectError - FAILED_PRECONDITION with the leader's address when another process leads, or
+   * UNAVAILABLE when the outcome of a proposal is unknown; the caller may retry both. RESOURCE_EXHAUSTED when
+   * the queue of proposals is full.
    */
   async run<R>(action: (leadership: L) => R | Promise<R>): Promise<R> {
     try {
--- a/src/membership/LeadershipWatch.ts
+++ b/src/membership/LeadershipWatch.ts
@@ -1,52 +1,52 @@
-/** Begins what a process holds only while it leads with each of its terms, and ends it after. */
+/** Starts the work of a leader in each term that this process leads, and ends it with the term. */
 import type { ConsensusDriver } from "../consensus";
 import type { Logger, Metrics } from "../metrics";
 
-/** What a process holds while it leads in one term. */
-export interface TermBound {
+/** The work that a process does while it leads in one term. */
+export interface TermLeadership {
   readonly term: number;
-  /** Starts its work. */
+  /** Starts the work. */
   start(): void;
-  /** Ends its work; called once. */
+  /** Ends the work; called once. */
   end(): void;
 }
 
-/** What a watch works with. */
-export interface LeadershipWatchOptions<L extends TermBound> {
+/** Dependencies of a watch. */
+export interface LeadershipWatchOptions<L extends TermLeadership> {
   readonly driver: ConsensusDriver;
-  /** Makes what the present term needs. */
+  /** Creates the work for the current term. */
   readonly createLeadership: () => L;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-const WATCH_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** Follows whether this process leads. */
-export class LeadershipWatch<L extends TermBound> {
+/** Polls whether this process leads. */
+export class LeadershipWatch<L extends TermLeadership> {
   private readonly _options: LeadershipWatchOptions<L>;
   private readonly _timer: NodeJS.Timeout;
   private _current: L | undefined;
-  private _position = "";
+  private _loggedPosition = "";
 
   /**
-   * @param options - Driver and factory.
+   * @param options - Driver, factory, logger and metrics.
    */
   constructor(options: LeadershipWatchOptions<L>) {
     this._options = options;
     this._timer = setInterval(() => {
       this._update();
       this._report();
-    }, WATCH_MS);
+    }, POLL_INTERVAL_MS);
   }
 
-  /** Gets the leadership of the present term, if this process leads. */
+  /** Gets the leadership of the current term; `undefined` when this process does not lead. */
   getLeadership(): L | undefined {
     this._update();
     return this._current;
   }
 
-  /** Ends the leadership and the watch. */
+  /** Ends the leadership and stops polling. */
   stop(): void {
     clearInterval(this._timer);
     this._current?.end();
@@ -55,29 +55,31 @@
 
   private _update(): void {
     const { driver, createLeadership, logger, metrics } = this._options;
-    const leads = driver.isLeader();
-    if (leads && this._current?.term === driver.node.term) return;
-    if (!leads && this._current === undefined) return;
+    const isLeader = driver.isLeader();
+    if (isLeader && this._current?.term === driver.node.term) return;
+    if (!isLeader && this._current === undefined) return;
     if (this._current !== undefined) {
       const reason = driver.node.leadershipEnd;
       logger.info({ event: "leadership_ended", term: this._current.term, reason });
     }
     this._current?.end();
     this._current = undefined;
-    if (!leads) return;
+    if (!isLeader) return;
     this._current = createLeadership();
     this._current.start();
     metrics.increment("leaderships", 1);
     logger.info({ event: "leadership_began", term: this._current.term });
   }
 
-  /** One line for each change of role, term or leader that lasts until it is looked at. */
+  /**
+   * Logs changes of the role, term and leader. A change that is reverted before the next poll is not logged.
+   */
   private _logPosition(): void {
     const { role, term, leaderId } = this._options.driver.node;
     const position = [role, term, leaderId].join();
-    if (position === this._position) return;
-    this._position = position;
-    // Every line has a field `role` already: the kind of process.
+    if (position === this._loggedPosition) return;
+    this._loggedPosition = position;
+    // The field `role` of every log line is already the kind of process.
     this._options.logger.info({ event: "consensus_position", position: role, term, leader: leaderId });
   }
 
--- a/src/membership/PeerTransport.ts
+++ b/src/membership/PeerTransport.ts
@@ -1,4 +1,4 @@
-/** Messages of the agreement protocol to the other members, in order, over one long call each. */
+/** Sends consensus messages to the other members, in order, over one streaming call to each member. */
 
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import { type Client, createClient } from "@connectrpc/connect";
@@ -11,56 +11,59 @@
 } from "../gen/ploverstage/v1/consensus_pb";
 import type { TransportPool } from "../rpc";
 
-const MAX_QUEUED = 2_000;
-const REOPEN_MS = 50;
+const MAX_QUEUED_MESSAGES = 2_000;
+const REOPEN_DELAY_MS = 50;
 
-/** A queue to one address, sent as one long call that is opened again when it breaks. */
+/** A queue of messages to one address, sent over one streaming call that is reopened when it fails. */
 class PeerQueue {
   private readonly _client: Client<typeof ConsensusService>;
   private _messages: ConsensusMessage[] = [];
-  private _wake: () => void = () => {};
+  private _wakeSender: () => void = () => {};
   private _isOpen = false;
-  private readonly _closed = new AbortController();
+  private readonly _closeController = new AbortController();
 
   constructor(address: string, transports: TransportPool) {
     this._client = createClient(ConsensusService, transports.getTransport(address));
   }
 
   close(): void {
-    this._closed.abort();
-    this._wake();
+    this._closeController.abort();
+    this._wakeSender();
   }
 
   add(message: ConsensusMessage): void {
-    if (this._closed.signal.aborted) return;
-    // Losing messages is allowed; holding them without bound is not.
-    if (this._messages.length >= MAX_QUEUED) this._messages = [];
+    if (this._closeController.signal.aborted) return;
+    // The protocol tolerates lost messages; a queue that grows without bound would exhaust memory.
+    if (this._messages.length >= MAX_QUEUED_MESSAGES) this._messages = [];
     this._messages.push(message);
-    this._wake();
+    this._wakeSender();
     if (!this._isOpen) void this._open();
   }
 
   private async _open(): Promise<void> {
     this._isOpen = true;
-    const controller = new AbortController();
-    const { signal } = this._closed;
-    await this._client.deliver(this._takeBatches(controller.signal), { signal }).catch(() => {});
-    controller.abort();
-    this._wake();
-    // What was queued for a peer that is away is stale by the time it answers.
+    const callController = new AbortController();
+    const { signal } = this._closeController;
+    await this._client.deliver(this._generateBatches(callController.signal), { signal }).catch(() => {});
+    callController.abort();
+    this._wakeSender();
+    // Messages that were queued for an unreachable peer are stale by the time it is reachable again.
     this._messages = [];
-    await pause(REOPEN_MS);
+    await pause(REOPEN_DELAY_MS);
     this._isOpen = false;
   }
 
-  /** A broken call's batches end, so that they take nothing from the next one's. */
-  private async *_takeBatches(
-    broken: AbortSignal,
+  /**
+   * Generates the batches of one call. The generator ends when its call fails, so that it takes no messages
+   * from the generator of the next call.
+   */
+  private async *_generateBatches(
+    callSignal: AbortSignal,
   ): AsyncGenerator<MessageInitShape<typeof DeliverRequestSchema>> {
-    while (!broken.aborted && !this._closed.signal.aborted) {
+    while (!callSignal.aborted && !this._closeController.signal.aborted) {
       if (this._messages.length === 0) {
         await new Promise<void>((resolve) => {
-          this._wake = resolve;
+          this._wakeSender = resolve;
         });
         continue;
       }
@@ -71,19 +74,19 @@
   }
 }
 
-/** Queues to all members. */
+/** Message queues to all members. */
 export class PeerTransport implements Transport {
   private readonly _transports: TransportPool;
   private readonly _queues = new Map<string, PeerQueue>();
 
   /**
-   * @param transports - To the other members.
+   * @param transports - Transports to the other members.
    */
   constructor(transports: TransportPool) {
     this._transports = transports;
   }
 
-  /** Queues a message; one without an address is dropped. */
+  /** Queues a message; a message without an address is dropped. */
   send(message: ConsensusMessage, address: string): void {
     if (address === "") return;
     let queue = this._queues.get(address);
@@ -94,7 +97,7 @@
     queue.add(message);
   }
 
-  /** Ends all calls; nothing is sent any more. */
+  /** Ends all calls; later messages are dropped. */
   close(): void {
     for (const queue of this._queues.values()) queue.close();
   }
--- a/src/membership/consensusRoutes.ts
+++ b/src/membership/consensusRoutes.ts
@@ -1,4 +1,4 @@
-/** Serves the agreement protocol's messages and joining members. */
+/** Serves consensus messages and the join requests of members. */
 import { create } from "@bufbuild/protobuf";
 import type { ConnectRouter } from "@connectrpc/connect";
 import type { ConsensusDriver } from "../consensus";
@@ -8,11 +8,11 @@
 
 /** Adds the consensus service to a router. */
 export function addConsensusRoutes(router: ConnectRouter, driver: ConsensusDriver): void {
-  const delivered = create(DeliverResponseSchema);
+  const response = create(DeliverResponseSchema);
   router.service(ConsensusService, {
     async deliver(requests) {
       for await (const request of requests) driver.deliver(request.messages);
-      return delivered;
+      return response;
     },
     join(request) {
       try {
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -1,8 +1,8 @@
-/** What every kind of control process needs to be a member of the agreed state. */
+/** Membership in the consensus group, shared by all kinds of control process. */
 export { addConsensusRoutes } from "./consensusRoutes";
 export { createInitialSnapshot } from "./createInitialSnapshot";
 export { LeaderGuard } from "./LeaderGuard";
-export { LeadershipWatch, type LeadershipWatchOptions, type TermBound } from "./LeadershipWatch";
+export { LeadershipWatch, type LeadershipWatchOptions, type TermLeadership } from "./LeadershipWatch";
 export {
   createMember,
   createMemberDriver,
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,4 +1,4 @@
-/** What every kind of control process needs to be a member of the agreed state. */
+/** Membership in the consensus group, shared by all kinds of control process. */
 import { randomBytes } from "node:crypto";
 import { Effect } from "effect";
 import type { Clock } from "../clock";
@@ -23,32 +23,42 @@
   type TransportPool,
 } from "../rpc";
 
-const JOIN_MS = 2_000;
-const JOIN_PAUSE_MS = 300;
-/** An election takes less; a voter that hears of no leader for longer may have been replaced. */
-const VOTER_PATIENCE_MS = 2_000;
+const JOIN_TIMEOUT_MS = 2_000;
+const JOIN_INTERVAL_MS = 300;
+/**
+ * An election takes less time; a voter that has received no heartbeat of a leader for longer may have been
+ * replaced.
+ */
+const VOTER_JOIN_TIMEOUT_MS = 2_000;
 
-/** Gets the id of a member that is there from the first start. */
+/** Gets the id of a bootstrap member, which belongs to the group from its first start. */
 export function getFirstId(name: string): MemberId {
   return MemberId(`${name}.0`);
 }
 
-/** Makes a member as the log keeps it. */
+/** Creates a voting member in the form in which the log stores it. */
 export function createMember(name: string, id: MemberId, address: string, failureDomain: string): Member {
   return { $typeName: "ploverstage.v1.Member", id, name, address, learner: false, failureDomain };
 }
 
-/** Opens a data folder; an empty one gets a new identity, without members: it waits to be let in. */
+/**
+ * Opens a data folder. An empty folder gets a new identity without a membership: the member must join the
+ * group.
+ */
 export async function openDataFolder(folder: string, name: string, logger: Logger) {
   if ((await FileStorage.getMemberId(folder)) === undefined) {
     const id = MemberId(`${name}.${randomBytes(6).toString("hex")}`);
     await FileStorage.create(folder, id, undefined);
-    logger.warn({ event: "data_folder_created", member: id, reason: "it was empty; joining as a learner" });
+    logger.warn({
+      event: "data_folder_created",
+      member: id,
+      reason: "the folder was empty; joining as a learner",
+    });
   }
   return FileStorage.open(folder);
 }
 
-/** What a member's driver is made of. */
+/** Dependencies of a member's driver. */
 export interface MemberDriverOptions {
   readonly storage: FileStorage;
   readonly stored: StoredState;
@@ -59,7 +69,7 @@
   readonly onFatal: (cause: unknown) => void;
 }
 
-/** Makes the driver of a member from what its disk held. */
+/** Creates the driver of a member from the contents of its data folder. */
 export function createMemberDriver(options: MemberDriverOptions): ConsensusDriver {
   const { storage, stored, transport, getAddress, clock, maxVoters, onFatal } = options;
   const node = new RaftNode({
@@ -86,16 +96,16 @@
   });
 }
 
-/** Serves interfaces of our own protocol for as long as the scope is open. */
+/** Serves interfaces of the project's own RPC protocol for as long as the scope is open. */
 export function serveRpc(
   listen: string,
   secret: string | undefined,
   interfaceName: string,
   routes: RpcServerOptions["routes"],
-  watching: Pick<RpcServerOptions, "interceptors" | "onSession" | "calls"> = { interceptors: [] },
+  serverOptions: Pick<RpcServerOptions, "interceptors" | "onSession" | "calls"> = { interceptors: [] },
 ) {
-  const guards = secret === undefined ? [] : [createSecretGuard(secret, interfaceName)];
-  const options = { ...watching, interceptors: [...watching.interceptors, ...guards] };
+  const secretGuards = secret === undefined ? [] : [createSecretGuard(secret, interfaceName)];
+  const options = { ...serverOptions, interceptors: [...serverOptions.interceptors, ...secretGuards] };
   return Effect.acquireRelease(
     Effect.tryPromise({
       try: () => RpcServer.start({ listen, routes, ...options }),
@@ -105,12 +115,12 @@
   );
 }
 
-/** What joining needs. */
+/** Dependencies of `joinMembership`. */
 export interface JoinOptions {
   readonly driver: ConsensusDriver;
   /** This member. */
   readonly member: Member;
-  /** Gives where other members may be found now. */
+  /** Gets the addresses at which other members may be reachable now. */
   readonly getAddresses: () => readonly string[];
   readonly followsHints: boolean;
   readonly transports: TransportPool;
@@ -119,32 +129,34 @@
 }
 
 /**
- * When a member asks to be let in.
+ * Decides when a member sends a join request.
  *
- * One that votes mostly hears of no leader because there is none yet: it takes part in electing
- * one, and asks nobody meanwhile. Pure.
+ * A voter without a leader is usually taking part in the election of one, so it sends no join request until
+ * the election must have finished. Pure.
  */
 export class VoterPatience {
   private _leaderlessSince: number | undefined;
 
   /**
-   * Checks whether the member has to ask now.
-   * @param isSettling - Whether it hears a leader, or a majority that elects one.
+   * Checks whether the member must send a join request now.
+   * @param hasLeaderOrElection - Whether the member receives heartbeats of a leader, or messages of a
+   * majority that is electing one.
    */
-  isOver(now: number, votes: boolean, isSettling: boolean): boolean {
-    if (!votes) return true;
-    if (isSettling) {
+  isOver(now: number, isVoting: boolean, hasLeaderOrElection: boolean): boolean {
+    if (!isVoting) return true;
+    if (hasLeaderOrElection) {
       this._leaderlessSince = undefined;
       return false;
     }
     this._leaderlessSince ??= now;
-    return now - this._leaderlessSince > VOTER_PATIENCE_MS;
+    return now - this._leaderlessSince > VOTER_JOIN_TIMEOUT_MS;
   }
 }
 
 /**
- * Asks the leader to let this member in, until it votes; and again whenever it hears of no
- * leader: it may have been taken for gone and its place given to another.
+ * Sends join requests to the leader until this member votes, and again whenever it has received no heartbeat
+ * of a leader for longer than an election takes: the leader may have considered this member removed
+ * permanently and given its place to another one.
  */
 export function joinMembership(options: JoinOptions): Effect.Effect<never> {
   const { driver, member, getAddresses, followsHints, transports, clock, logger } = options;
@@ -157,20 +169,20 @@
     clock,
   };
   let client: LeaderClient<typeof ConsensusService> | undefined;
-  const patience = new VoterPatience();
-  const step = Effect.promise(async () => {
+  const joinTimeout = new VoterPatience();
+  const attempt = Effect.promise(async () => {
     const { node } = driver;
-    const votes = isVoter(node.membership, node.id);
+    const isVoting = isVoter(node.membership, node.id);
     const now = clock.getMonotonicMs();
-    const isSettling = node.leaderId !== "" || node.isElecting(now);
-    if (!patience.isOver(now, votes, isSettling) || getAddresses().length === 0) return;
+    const hasLeaderOrElection = node.leaderId !== "" || node.isElecting(now);
+    if (!joinTimeout.isOver(now, isVoting, hasLeaderOrElection) || getAddresses().length === 0) return;
     client ??= new LeaderClient(ConsensusService, clientOptions);
     await client
-      .call((leader, timeoutMs) => leader.join({ member }, { timeoutMs }), JOIN_MS)
+      .call((leader, timeoutMs) => leader.join({ member }, { timeoutMs }), JOIN_TIMEOUT_MS)
       .catch((cause: unknown) => logger.warn({ event: "join_failed", reason: String(cause) }));
   });
-  return step.pipe(
-    Effect.tap(() => Effect.sleep(JOIN_PAUSE_MS)),
+  return attempt.pipe(
+    Effect.tap(() => Effect.sleep(JOIN_INTERVAL_MS)),
     Effect.forever,
   );
 }
--- a/src/policy/Expression.ts
+++ b/src/policy/Expression.ts
@@ -1,9 +1,8 @@
 /**
- * A CEL expression of a policy: compiled, bounded in cost, and checked before use.
+ * A CEL expression of a policy: compiled, limited in cost, and checked before use.
  *
- * CEL is the Common Expression Language (cel.dev). The library's own checker knows
- * constants and names only, so names are checked by a walk of the syntax tree and
- * types by trying the expression on sample facts.
+ * CEL is the Common Expression Language (cel.dev). The library's checker covers only constants and names. So
+ * this class checks names by walking the syntax tree, and types by evaluating the expression on sample facts.
  */
 import { celEnv, isCelError, parse, plan } from "@bufbuild/cel";
 import { Data } from "effect";
@@ -21,13 +20,13 @@
 
 type Syntax = ReturnType<typeof parse>["expr"];
 
-/** Most nodes that an expression may have; evaluating visits each at most once. */
+/** Maximum number of nodes in an expression; an evaluation visits each node at most once. */
 const MAX_COST = 120;
-/** A regular expression costs as much as this many nodes. */
+/** Cost of a regular expression match, in nodes. */
 const MATCH_COST = 20;
 const environment = celEnv();
 
-/** A compiled expression that gives a bool. */
+/** A compiled expression whose result is a bool. */
 export class Expression {
   /** The expression as written. */
   readonly text: string;
@@ -35,7 +34,8 @@
 
   /**
    * @param text - The expression as written.
-   * @throws InvalidExpression
+   * @throws InvalidExpression - When it does not parse, is too costly, uses an unknown name or does not give
+   * a bool.
    */
   constructor(text: string) {
     this.text = text;
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Checks whether the expression holds.
-   * @remarks An expression that fails on some facts, by a division by zero say, doesn't hold.
+   * Checks whether the expression is true for some facts.
+   * @remarks An expression whose evaluation fails, for example by a division by zero, counts as false.
    */
-  holds(facts: Facts): boolean {
+  isTrue(facts: Facts): boolean {
     return this._evaluate(facts as unknown as Record<string, unknown>) === true;
   }
 
@@ -58,7 +58,7 @@
     try {
       return parse(this.text).expr;
     } catch (cause) {
-      throw this._createError(`it does not parse: ${cause instanceof Error ? cause.message : String(cause)}`);
+      throw this._createError(`syntax error: ${cause instanceof Error ? cause.message : String(cause)}`);
     }
   }
 
@@ -69,14 +69,14 @@
       if (node.exprKind.case === "comprehensionExpr")
         throw this._createError("loops over lists are not allowed");
     });
-    if (cost > MAX_COST) throw this._createError(`it costs ${cost}; ${MAX_COST} at most`);
+    if (cost > MAX_COST) throw this._createError(`its cost is ${cost}; the maximum is ${MAX_COST}`);
   }
 
   private _throwIfUnknownNames(syntax: Syntax): void {
     forEachNode(syntax, (node) => {
       const kind = node.exprKind;
       if (kind.case === "identExpr" && !(kind.value.name in SAMPLE_FACTS)) {
-        throw this._createError(`"${kind.value.name}" is not known; known are ${getNames(SAMPLE_FACTS)}`);
+        throw this._createError(`unknown name "${kind.value.name}"; known names: ${getNames(SAMPLE_FACTS)}`);
       }
       if (kind.case === "selectExpr") this._throwIfUnknownField(kind.value.operand, kind.value.field);
     });
@@ -84,19 +84,19 @@
 
   private _throwIfUnknownField(operand: Syntax | undefined, field: string): void {
     if (operand?.exprKind.case !== "identExpr")
-      throw this._createError(`"${field}" is no field of a known name`);
+      throw this._createError(`"${field}" is not a field of a top-level name`);
     const name = operand.exprKind.value.name;
     const sample = SAMPLE_FACTS[name as keyof Facts];
     if (typeof sample === "object" && field in sample) return;
-    const known = typeof sample === "object" ? getNames(sample) : "none";
-    throw this._createError(`"${name}" has no field "${field}"; known are ${known}`);
+    const knownFields = typeof sample === "object" ? getNames(sample) : "none";
+    throw this._createError(`"${name}" has no field "${field}"; known fields: ${knownFields}`);
   }
 
   private _throwIfNotBool(): void {
     const result = this._evaluate(SAMPLE_FACTS as unknown as Record<string, unknown>);
     if (typeof result === "boolean") return;
-    const found = isCelError(result) ? result.message : `${typeof result} ${String(result)}`;
-    throw this._createError(`it must give a bool, and gives ${found}`);
+    const actual = isCelError(result) ? result.message : `${typeof result} ${String(result)}`;
+    throw this._createError(`it must give a bool, but gives ${actual}`);
   }
 
   private _createError(reason: string): InvalidExpression {
--- a/src/policy/Facts.ts
+++ b/src/policy/Facts.ts
@@ -1,41 +1,41 @@
-/** What policy expressions may look at. */
+/** Facts that policy expressions may use. */
 
-/** Facts about one request; names as expressions write them. */
+/** Facts about one request; the names are those that expressions use. */
 export interface RequestFacts {
-  /** What the caller says the request is for, "" when it doesn't. */
+  /** Purpose of the request as stated by the caller, "" when not stated. */
   readonly kind: string;
-  /** Model asked for, "" for a service call. */
+  /** Requested model, "" for a service call. */
   readonly model: string;
-  /** Service called, "" for a model request. */
+  /** Requested service, "" for a model request. */
   readonly service: string;
   /** Estimated prompt tokens. */
   readonly prompt_tokens: number;
-  /** Most tokens that may be generated. */
+  /** Maximum number of tokens to generate. */
   readonly max_tokens: number;
-  /** Time left until the caller's deadline, milliseconds; 0 when it named none. */
+  /** Time left until the caller's deadline, milliseconds; 0 when the caller set none. */
   readonly deadline_ms: number;
   readonly not_repeatable: boolean;
 }
 
-/** Facts about the calling organisation. */
+/** Facts about the organisation of the caller. */
 export interface OrganisationFacts {
   readonly name: string;
   readonly share: number;
-  /** Its requests waiting at this entry. */
+  /** Requests of the organisation that are queued at this entry. */
   readonly queued: number;
 }
 
 /** Facts about the entry's load. */
 export interface LoadFacts {
-  /** Requests waiting at this entry. */
+  /** Requests that are queued at this entry. */
   readonly queued: number;
-  /** Estimated wait of a request that joins the queue now, milliseconds. */
+  /** Estimated wait of a request that is queued now, milliseconds. */
   readonly queue_ms: number;
-  /** Share of this entry's slots on live replicas that are taken, 0 to 1. */
+  /** Share of this entry's slots on live replicas that are in use, 0 to 1. */
   readonly utilisation: number;
 }
 
-/** Everything an expression may look at. */
+/** All facts that an expression may use. */
 export interface Facts {
   readonly request: RequestFacts;
   readonly organisation: OrganisationFacts;
@@ -44,7 +44,7 @@
   readonly hour: number;
 }
 
-/** Facts with which expressions are tried when a configuration is checked. */
+/** Facts on which expressions are evaluated when a configuration is checked. */
 export const SAMPLE_FACTS: Facts = {
   request: {
     kind: "draft",
--- a/src/policy/PolicyProgram.ts
+++ b/src/policy/PolicyProgram.ts
@@ -1,4 +1,6 @@
-/** The compiled policy: which class a request is in, and whether it is shed at once. */
+/**
+ * The compiled policy: it assigns each request to a class and decides whether the request is shed at once.
+ */
 import type { Configuration, RequestClass } from "../configuration/Configuration";
 import { Expression } from "./Expression";
 import type { Facts } from "./Facts";
@@ -9,12 +11,13 @@
   readonly shedWhen: Expression | undefined;
 }
 
-/** A policy of one configuration version. */
+/** The compiled policy of one configuration version. */
 export class PolicyProgram {
   private readonly _classes: readonly CompiledClass[];
 
   /**
-   * @param policy - Declared classes; checked configurations end in one that always holds.
+   * @param policy - Declared classes. In a checked configuration the condition of the last class is always
+   * true.
    * @throws InvalidExpression
    */
   constructor(policy: Configuration["policy"]) {
@@ -25,15 +28,15 @@
     }));
   }
 
-  /** Gets the first class that takes the request. */
+  /** Gets the first class whose condition is true for a request, or the last class when none is. */
   getClass(facts: Facts): RequestClass {
-    const found = this._classes.find((candidate) => candidate.when.holds(facts));
+    const found = this._classes.find((candidate) => candidate.when.isTrue(facts));
     return (found ?? this._classes.at(-1)!).declaration;
   }
 
   /** Checks whether the policy sheds a request of a class at once. */
   isShed(className: string, facts: Facts): boolean {
     const found = this._classes.find((candidate) => candidate.declaration.name === className);
-    return found?.shedWhen?.holds(facts) ?? false;
+    return found?.shedWhen?.isTrue(facts) ?? false;
   }
 }
--- a/src/presence/PresenceProber.ts
+++ b/src/presence/PresenceProber.ts
@@ -1,76 +1,79 @@
-/** Asks engines whether they are there; each has at most one question open. */
+/** Probes engines for their state; each engine has at most one probe in flight. */
 import type { Clock } from "../clock";
 import type { Engine } from "../engine";
 import type { InstanceId } from "../ids";
 import { PresenceTable } from "./PresenceTable";
 
-/** An engine to be asked. */
+/** An engine to probe. */
 export interface ProbeTarget {
   readonly id: InstanceId;
   /** host:port */
   readonly address: string;
 }
 
-/** Makes the interface of the engine at an address. */
+/** Creates the client of the engine at an address. */
 export type EngineFactory = (address: string) => Engine;
 
-interface Probed {
+interface ProbedEngine {
   readonly target: ProbeTarget;
   readonly engine: Engine;
-  isAsked: boolean;
+  isProbing: boolean;
 }
 
-/** Presence of a set of engines. */
+/** Probes a set of engines and records their presence. */
 export class PresenceProber {
-  /** What the answers come to. */
+  /** Presence as recorded from the answers to the probes. */
   readonly presence = new PresenceTable();
   private readonly _createEngine: EngineFactory;
   private readonly _clock: Clock;
-  private _probed = new Map<InstanceId, Probed>();
+  private _probedEngines = new Map<InstanceId, ProbedEngine>();
 
   /**
-   * @param createEngine - Makes the interface of an engine.
+   * @param createEngine - Creates the client of an engine.
    */
   constructor(createEngine: EngineFactory, clock: Clock) {
     this._createEngine = createEngine;
     this._clock = clock;
   }
 
-  /** Gets the engine interface of a target. */
+  /** Gets the client of an engine; `undefined` when the engine is not a target. */
   getEngine(id: InstanceId): Engine | undefined {
-    return this._probed.get(id)?.engine;
+    return this._probedEngines.get(id)?.engine;
   }
 
-  /** Sets which engines are asked; what is known of the others is forgotten. */
+  /** Sets the engines to probe, and forgets the presence of all others. */
   setTargets(targets: readonly ProbeTarget[]): void {
-    const next = new Map<InstanceId, Probed>();
+    const probedEngines = new Map<InstanceId, ProbedEngine>();
     for (const target of targets) {
-      const known = this._probed.get(target.id);
-      const isSame = known?.target.address === target.address;
-      next.set(
+      const existing = this._probedEngines.get(target.id);
+      const isSame = existing?.target.address === target.address;
+      probedEngines.set(
         target.id,
-        isSame ? known : { target, engine: this._createEngine(target.address), isAsked: false },
+        isSame ? existing : { target, engine: this._createEngine(target.address), isProbing: false },
       );
     }
-    this._probed = next;
-    this.presence.removeUnlisted(new Set(next.keys()));
+    this._probedEngines = probedEngines;
+    this.presence.removeUnlisted(new Set(probedEngines.keys()));
   }
 
-  /** Asks every engine that is not being asked. */
+  /**
+   * Probes every engine that has no probe in flight.
+   * @param timeoutMs - Timeout of each probe, milliseconds.
+   */
   probe(timeoutMs: number): void {
-    for (const probed of this._probed.values()) {
-      if (!probed.isAsked) void this._ask(probed, timeoutMs);
+    for (const probed of this._probedEngines.values()) {
+      if (!probed.isProbing) void this._probeEngine(probed, timeoutMs);
     }
   }
 
-  private async _ask(probed: Probed, timeoutMs: number): Promise<void> {
+  private async _probeEngine(probed: ProbedEngine, timeoutMs: number): Promise<void> {
     const { id } = probed.target;
     const sentAt = this._clock.getMonotonicMs();
-    probed.isAsked = true;
+    probed.isProbing = true;
     const state = await probed.engine.getState(timeoutMs).catch(() => undefined);
-    probed.isAsked = false;
-    const isCurrent = this._probed.get(id) === probed;
-    // An answer of another instance, at a reused address, says nothing of this one.
+    probed.isProbing = false;
+    const isCurrent = this._probedEngines.get(id) === probed;
+    // An answer from another instance, at a reused address, must not count for this one.
     if (isCurrent && state?.instanceId === id) this.presence.addAnswer(sentAt, id, state);
   }
 }
--- a/src/state/ClaimOrder.ts
+++ b/src/state/ClaimOrder.ts
@@ -1,24 +1,24 @@
 /**
- * Claims in the order in which they were made, so that forgetting the old ones costs
- * nothing for those that are kept.
+ * Retained claims in the order of their claim times, so that removing expired claims costs nothing for the
+ * claims that stay.
  */
 
-/** A claim's place in the order. */
+/** A claim's key and its position in time. */
 export interface ClaimPosition {
   readonly key: string;
   readonly claimedAtMs: number;
 }
 
-/** Positions taken before the list is cut down. */
-const COMPACT_AFTER = 1_024;
+/** Removed positions after which the array may be compacted. */
+const MIN_COMPACTED_POSITIONS = 1_024;
 
-/** The order of retained claims. */
-export class ClaimOrder {
+/** A queue of retained claims, oldest first. */
+export class ClaimQueue {
   private _positions: ClaimPosition[];
-  private _head = 0;
+  private _firstIndex = 0;
 
   /**
-   * @param claims - Claims in the order of claiming.
+   * @param claims - Claims in the order of their claim times.
    */
   constructor(claims: readonly ClaimPosition[]) {
     this._positions = claims.map(({ key, claimedAtMs }) => ({ key, claimedAtMs }));
@@ -29,18 +29,22 @@
     this._positions.push(position);
   }
 
-  /** Takes the claims that were made before a time. */
-  takeBefore(ms: number): ClaimPosition[] {
-    const from = this._head;
-    while (this._head < this._positions.length && this._positions[this._head]!.claimedAtMs < ms)
-      this._head += 1;
-    const taken = this._positions.slice(from, this._head);
-    if (this._head >= COMPACT_AFTER && this._head * 2 >= this._positions.length) this._compact();
-    return taken;
+  /**
+   * Removes the claims that were made before a time, and returns them.
+   * @param ms - In the clock of the replicated state, Unix milliseconds.
+   */
+  removeBefore(ms: number): ClaimPosition[] {
+    const firstIndex = this._firstIndex;
+    while (this._firstIndex < this._positions.length && this._positions[this._firstIndex]!.claimedAtMs < ms)
+      this._firstIndex += 1;
+    const removed = this._positions.slice(firstIndex, this._firstIndex);
+    if (this._firstIndex >= MIN_COMPACTED_POSITIONS && this._firstIndex * 2 >= this._positions.length)
+      this._compact();
+    return removed;
   }
 
   private _compact(): void {
-    this._positions = this._positions.slice(this._head);
-    this._head = 0;
+    this._positions = this._positions.slice(this._firstIndex);
+    this._firstIndex = 0;
   }
 }
--- a/src/state/Result.ts
+++ b/src/state/Result.ts
@@ -1,13 +1,13 @@
-/** What a command came to, told to whoever proposed it. */
+/** Results of commands, returned to the process that proposed the command. */
 import type { ConfigurationVersion, Replica, RequestClaim } from "../gen/ploverstage/v1/state_pb";
 
-/** The newest configuration changed, or the change was a resend of one that did. */
+/** The configuration was changed, or the command repeats a change that was accepted before. */
 export interface AcceptedConfiguration {
   readonly kind: "acceptedConfiguration";
   readonly version: number;
 }
 
-/** Another change was accepted on the same base version first. */
+/** Another change on the same base version was accepted first. */
 export interface ConflictingConfiguration {
   readonly kind: "conflictingConfiguration";
   readonly newest: ConfigurationVersion | undefined;
@@ -19,45 +19,51 @@
   readonly replica: Replica;
 }
 
-/** A replica's change no longer fits the state: instances taken, or epoch or phase passed. */
+/**
+ * The change of a replica does not fit the state: an instance belongs to another replica, or the epoch or
+ * phase has passed.
+ */
 export interface RefusedReplica {
   readonly kind: "refusedReplica";
   readonly reason: string;
 }
 
-/** The claim was granted: this request may run, once. */
+/** The claim was granted: the request may run once. */
 export interface GrantedClaim {
   readonly kind: "grantedClaim";
 }
 
-/** The key was claimed before. */
+/** Another request claimed the key before. */
 export interface ExistingClaim {
   readonly kind: "existingClaim";
   readonly claim: RequestClaim;
 }
 
-/** A claim's outcome is recorded, or there was nothing to record. */
+/** The outcome of the claim is recorded, or there was nothing to record. */
 export interface SettledClaim {
   readonly kind: "settledClaim";
 }
 
-/** A declaration holds: the one proposed, or a higher version that came before it. */
+/**
+ * The declaration in force: the proposed one, or one that was accepted before and has the same or a higher
+ * version.
+ */
 export interface HeldDeclaration {
   readonly kind: "heldDeclaration";
   readonly version: number;
 }
 
-/** Departures are on record. */
+/** The departures of instances are recorded. */
 export interface RecordedDepartures {
   readonly kind: "recordedDepartures";
 }
 
-/** What entries told of crashes is on record. */
+/** The crash records that entries reported are recorded. */
 export interface RecordedCrashes {
   readonly kind: "recordedCrashes";
 }
 
-/** Any result of a command. */
+/** The result of any command. */
 export type Result =
   | AcceptedConfiguration
   | ConflictingConfiguration
--- a/src/state/StateMachine.ts
+++ b/src/state/StateMachine.ts
@@ -1,8 +1,8 @@
 /**
- * The agreed state: what every control process computes alike from the log.
+ * The replicated state, which every control process computes from the log with the same outcome.
  *
- * Applying is deterministic: no clock, no randomness, no I/O. Time comes with the
- * commands, from the leader that proposed them, and never goes back.
+ * Applying a command is deterministic: it uses no clock, no randomness and no I/O. The leader that proposes a
+ * command adds the time to it, and the clock of the state never goes back.
  */
 import { clone, create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import { getConfigurationDigest } from "../configuration/ConfigurationPatch";
@@ -34,41 +34,41 @@
   StateSchema,
 } from "../gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life, type LifeKey } from "../ids";
-import { ClaimOrder } from "./ClaimOrder";
+import { ClaimQueue } from "./ClaimOrder";
 import type { Result } from "./Result";
 
-/** Configurations whose whole text is kept; older ones keep their digest. */
-const KEPT_TEXTS = 20;
-/** Configuration versions kept in the history. */
-const KEPT_VERSIONS = 1000;
-/** Released replicas kept, so that entries can be sent changes only. */
-const KEPT_TOMBSTONES = 500;
-/** Departures kept; an instance that left so long ago reports no more. */
-const KEPT_DEPARTURES = 4_096;
+/** Newest configurations whose text is retained; older ones retain only their digest. */
+const MAX_CONFIGURATION_TEXTS = 20;
+/** Configuration versions that are retained in the history. */
+const MAX_CONFIGURATION_VERSIONS = 1000;
+/** Released replicas that are retained, so that entries can be sent only the replicas that changed. */
+const MAX_RELEASED_REPLICAS = 500;
+/** Departures that are retained; an instance whose departure is older than these sends no more reports. */
+const MAX_DEPARTURES = 4_096;
 
-/** The agreed state of one member. */
+/** The replicated state of one member. */
 export class StateMachine {
   private readonly _state: State;
-  private readonly _claimOrder: ClaimOrder;
-  private readonly _departed: Map<LifeKey, Departure>;
-  private readonly _crashes = new CrashTable(KEPT_CRASH_RECORDS);
+  private readonly _claimQueue: ClaimQueue;
+  private readonly _departures: Map<LifeKey, Departure>;
+  private readonly _crashTable = new CrashTable(KEPT_CRASH_RECORDS);
   private _crashIndex = 0;
 
   /**
-   * @param snapshot - An encoded state to start from.
+   * @param snapshot - An encoded state to start from; `undefined` starts with an empty one.
    */
   constructor(snapshot?: Uint8Array) {
     this._state =
       snapshot === undefined ? create(StateSchema, { nextEpoch: 1 }) : fromBinary(StateSchema, snapshot);
-    this._claimOrder = new ClaimOrder(Object.values(this._state.claims));
-    this._departed = new Map(this._state.departures.map((departure) => [getLifeKey(departure), departure]));
+    this._claimQueue = new ClaimQueue(Object.values(this._state.claims));
+    this._departures = new Map(this._state.departures.map((departure) => [getLifeKey(departure), departure]));
     for (const record of this._state.crashRecords) {
-      this._crashes.addRecord(record);
+      this._crashTable.addRecord(record);
       this._crashIndex = Math.max(this._crashIndex, record.changedAtIndex);
     }
   }
 
-  /** Gets the index of the newest entry applied. */
+  /** Gets the index of the newest log entry that was applied. */
   get appliedIndex(): number {
     return this._state.appliedIndex;
   }
@@ -78,44 +78,45 @@
     return this._state.assignmentIndex;
   }
 
-  /** Gets the newest configuration. */
+  /** Gets the newest configuration; `undefined` when none was set. */
   getConfiguration(): ConfigurationVersion | undefined {
     return this._state.configurations.at(-1);
   }
 
-  /** Gets a configuration by its version. */
+  /** Gets the configuration with a version; `undefined` when it is not retained. */
   getConfigurationByVersion(version: number): ConfigurationVersion | undefined {
     return this._state.configurations.find((candidate) => candidate.version === version);
   }
 
-  /** Gets the history, newest first. */
+  /** Gets the configuration history, newest first. */
   getConfigurations(limit: number): ConfigurationVersion[] {
     return this._state.configurations.slice(-limit).reverse();
   }
 
-  /** Gets replicas that are not released. */
+  /** Gets the replicas that are not released. */
   getReplicas(): Replica[] {
     return Object.values(this._state.replicas).filter((replica) => replica.phase !== ReplicaPhase.RELEASED);
   }
 
-  /** Gets all replicas that are known, those that were released lately among them. */
+  /** Gets all retained replicas, including released ones. */
   getKnownReplicas(): Replica[] {
     return Object.values(this._state.replicas);
   }
 
-  /** Gets a replica by its id. */
+  /** Gets a replica by its id; `undefined` when it is not retained. */
   getReplica(id: string): Replica | undefined {
     return this._state.replicas[id];
   }
 
-  /** Gets how many claims are retained. */
+  /** Gets the number of retained claims. */
   getClaimCount(): number {
     return Object.keys(this._state.claims).length;
   }
 
   /**
-   * Gets replicas that changed after an assignment index, tombstones included.
-   * @returns `undefined` when tombstones since then are gone: send the whole list.
+   * Gets the replicas that changed after an assignment index, including released ones.
+   * @returns `undefined` when released replicas since that index were removed: the caller must send the whole
+   * list.
    */
   getReplicasChangedSince(index: number): Replica[] | undefined {
     if (index < this._state.forgottenAssignmentIndex) return undefined;
@@ -128,49 +129,51 @@
   }
 
   /**
-   * Checks whether a life of an instance said that it leaves. Where the start of the one that did is not
-   * known, every life that had begun by then counts as left.
+   * Checks whether an incarnation of an instance reported its departure. A departure without a start time
+   * covers every incarnation that started before the departure was recorded.
    */
-  hasDeparted(life: Life): boolean {
-    if (this._departed.has(getLifeKey(life))) return true;
-    const unborn = this._departed.get(getLifeKey({ instanceId: life.instanceId, born: 0 }));
-    return unborn !== undefined && life.born <= unborn.atMs;
+  hasDeparted(incarnation: Life): boolean {
+    if (this._departures.has(getLifeKey(incarnation))) return true;
+    const undatedDeparture = this._departures.get(
+      getLifeKey({ instanceId: incarnation.instanceId, born: 0 }),
+    );
+    return undatedDeparture !== undefined && incarnation.born <= undatedDeparture.atMs;
   }
 
-  /** Gets the lives that said that they leave, the newest ones. */
+  /** Gets the incarnations that reported their departure, limited to the newest ones. */
   getDepartures(): Life[] {
-    return [...this._departed.values()];
+    return [...this._departures.values()];
   }
 
-  /** Gets the log index of the newest change to what is recorded of crashes. */
+  /** Gets the log index of the newest change to a crash record. */
   get crashIndex(): number {
     return this._crashIndex;
   }
 
-  /** Gets what is recorded of requests under which instances ended. */
+  /** Gets the crash records of all requests. */
   getCrashRecords(): CrashRecord[] {
-    return this._crashes.getRecords();
+    return this._crashTable.getRecords();
   }
 
-  /** Gets what is recorded of a request under which instances ended. */
+  /** Gets the crash record of a request; `undefined` when there is none. */
   getCrashRecord(digest: string): CrashRecord | undefined {
-    return this._crashes.getRecord(digest);
+    return this._crashTable.getRecord(digest);
   }
 
-  /** Checks whether a request is proven guilty of the ends of instances that ran it. */
+  /** Checks whether a request is the confirmed cause of crashes of the instances that ran it. */
   isProven(digest: string): boolean {
-    return this._crashes.getVerdict(digest) === "proven";
+    return this._crashTable.getVerdict(digest) === "proven";
   }
 
   /** Encodes the state for a snapshot. */
   encode(): Uint8Array {
-    this._state.crashRecords = this._crashes.getRecords();
+    this._state.crashRecords = this._crashTable.getRecords();
     return toBinary(StateSchema, this._state);
   }
 
   /**
-   * Applies a committed entry.
-   * @returns The command's result; `undefined` for entries without a command.
+   * Applies a committed log entry.
+   * @returns The result of the command; `undefined` for log entries without a command.
    */
   apply(entry: LogEntry): Result | undefined {
     this._state.appliedIndex = entry.index;
@@ -186,7 +189,7 @@
       case "claim":
         return this._addClaim(command.value);
       case "settle":
-        return this._settleClaim(command.value);
+        return this._completeClaim(command.value);
       case "putDeclaration":
         return this._putDeclaration(command.value);
       case "recordDepartures":
@@ -199,8 +202,9 @@
   }
 
   private _setConfiguration(index: number, change: SetConfiguration): Result {
-    const seen = this._state.changeOutcomes[change.changeId];
-    if (seen !== undefined) return { kind: "acceptedConfiguration", version: Number(seen) };
+    const previousVersion = this._state.changeOutcomes[change.changeId];
+    if (previousVersion !== undefined)
+      return { kind: "acceptedConfiguration", version: Number(previousVersion) };
     const newest = this.getConfiguration();
     if (change.baseVersion !== (newest?.version ?? 0)) return { kind: "conflictingConfiguration", newest };
     const version = change.baseVersion + 1;
@@ -216,31 +220,31 @@
       }),
     );
     this._state.changeOutcomes[change.changeId] = String(version);
-    this._forgetOldConfigurations();
+    this._removeOldConfigurations();
     return { kind: "acceptedConfiguration", version };
   }
 
-  private _forgetOldConfigurations(): void {
+  private _removeOldConfigurations(): void {
     const versions = this._state.configurations;
-    const textless = versions.at(-KEPT_TEXTS - 1);
-    if (textless !== undefined) textless.text = "";
-    if (versions.length <= KEPT_VERSIONS) return;
-    const forgotten = versions.shift()!;
-    delete this._state.changeOutcomes[forgotten.changeId];
+    const outdated = versions.at(-MAX_CONFIGURATION_TEXTS - 1);
+    if (outdated !== undefined) outdated.text = "";
+    if (versions.length <= MAX_CONFIGURATION_VERSIONS) return;
+    const removed = versions.shift()!;
+    delete this._state.changeOutcomes[removed.changeId];
   }
 
   private _formReplica(index: number, form: FormReplica): Result {
-    const holders = this._getHolders();
-    const taken = form.members.find((member) => holders.has(member.instanceId));
+    const replicaIds = this._getReplicaIdsByInstance();
+    const taken = form.members.find((member) => replicaIds.has(member.instanceId));
     if (taken !== undefined) {
       return {
         kind: "refusedReplica",
-        reason: `${taken.instanceId} belongs to ${holders.get(taken.instanceId)}`,
+        reason: `${taken.instanceId} belongs to ${replicaIds.get(taken.instanceId)}`,
       };
     }
-    const names = new Set(form.members.map((member) => member.instanceId));
-    if (names.size !== form.members.length || names.size === 0) {
-      return { kind: "refusedReplica", reason: "its instances are not distinct, or there are none" };
+    const instanceIds = new Set(form.members.map((member) => member.instanceId));
+    if (instanceIds.size !== form.members.length || instanceIds.size === 0) {
+      return { kind: "refusedReplica", reason: "the replica has duplicate instances or none" };
     }
     const epoch = this._state.nextEpoch++;
     const replica = create(ReplicaSchema, {
@@ -262,12 +266,12 @@
     return { kind: "changedReplica", replica: clone(ReplicaSchema, replica) };
   }
 
-  private _getHolders(): Map<string, string> {
-    const holders = new Map<string, string>();
+  private _getReplicaIdsByInstance(): Map<string, string> {
+    const replicaIds = new Map<string, string>();
     for (const replica of this.getReplicas()) {
-      for (const member of replica.members) holders.set(member.instanceId, replica.id);
+      for (const member of replica.members) replicaIds.set(member.instanceId, replica.id);
     }
-    return holders;
+    return replicaIds;
   }
 
   private _moveReplica(index: number, move: MoveReplica): Result {
@@ -275,9 +279,9 @@
     if (replica === undefined || replica.epoch !== move.epoch) {
       return { kind: "refusedReplica", reason: `${move.replicaId} has no epoch ${move.epoch}` };
     }
-    // Phases only go forward, so that a late or doubled move can't revive a replica.
+    // Phases only go forward, so that a delayed or duplicated move can't revive a replica.
     if (move.phase <= replica.phase) {
-      return { kind: "refusedReplica", reason: `${replica.id} is past that phase` };
+      return { kind: "refusedReplica", reason: `${replica.id} has already reached or passed that phase` };
     }
     replica.phase = move.phase;
     if (move.phase === ReplicaPhase.SERVING) replica.servedAtIndex = index;
@@ -285,15 +289,15 @@
     replica.changedAtIndex = index;
     replica.changedAtMs = this._advanceClock(move.atMs);
     this._state.assignmentIndex = index;
-    if (move.phase === ReplicaPhase.RELEASED) this._forgetOldTombstones();
+    if (move.phase === ReplicaPhase.RELEASED) this._removeOldReleasedReplicas();
     return { kind: "changedReplica", replica: clone(ReplicaSchema, replica) };
   }
 
-  private _forgetOldTombstones(): void {
+  private _removeOldReleasedReplicas(): void {
     const released = Object.values(this._state.replicas)
       .filter((replica) => replica.phase === ReplicaPhase.RELEASED)
       .sort((a, b) => a.changedAtIndex - b.changedAtIndex);
-    for (const replica of released.slice(0, Math.max(0, released.length - KEPT_TOMBSTONES))) {
+    for (const replica of released.slice(0, Math.max(0, released.length - MAX_RELEASED_REPLICAS))) {
       delete this._state.replicas[replica.id];
       this._state.forgottenAssignmentIndex = replica.changedAtIndex;
     }
@@ -301,14 +305,14 @@
 
   private _addClaim(request: ClaimRequest): Result {
     const now = this._advanceClock(request.atMs);
-    this._forgetOldClaims(now - request.retentionMs);
+    this._removeOldClaims(now - request.retentionMs);
     const existing = this._state.claims[request.key];
     if (existing !== undefined) {
-      // The same request asking again lost the first answer; it holds the claim still.
+      // The same request claims again when the first response was lost; it still holds the claim.
       if (existing.requestId === request.requestId) return { kind: "grantedClaim" };
       return { kind: "existingClaim", claim: { ...existing } };
     }
-    this._claimOrder.add({ key: request.key, claimedAtMs: now });
+    this._claimQueue.add({ key: request.key, claimedAtMs: now });
     this._state.claims[request.key] = create(RequestClaimSchema, {
       key: request.key,
       requestId: request.requestId,
@@ -320,29 +324,30 @@
     return { kind: "grantedClaim" };
   }
 
-  private _forgetOldClaims(before: number): void {
-    for (const old of this._claimOrder.takeBefore(before)) {
-      // Its key may have been given back and claimed again since.
-      if (this._state.claims[old.key]?.claimedAtMs === old.claimedAtMs) delete this._state.claims[old.key];
+  private _removeOldClaims(beforeMs: number): void {
+    for (const expired of this._claimQueue.removeBefore(beforeMs)) {
+      // The key may have been released and claimed again since.
+      if (this._state.claims[expired.key]?.claimedAtMs === expired.claimedAtMs)
+        delete this._state.claims[expired.key];
     }
   }
 
-  private _settleClaim(settle: SettleRequest): Result {
-    const claim = this._state.claims[settle.key];
-    if (claim === undefined || claim.requestId !== settle.requestId) return { kind: "settledClaim" };
+  private _completeClaim(completion: SettleRequest): Result {
+    const claim = this._state.claims[completion.key];
+    if (claim === undefined || claim.requestId !== completion.requestId) return { kind: "settledClaim" };
     if (claim.state !== ClaimState.RUNNING) return { kind: "settledClaim" };
-    if (settle.state === ClaimState.UNSPECIFIED) {
-      delete this._state.claims[settle.key];
+    if (completion.state === ClaimState.UNSPECIFIED) {
+      delete this._state.claims[completion.key];
       return { kind: "settledClaim" };
     }
-    claim.state = settle.state;
-    claim.status = settle.status;
+    claim.state = completion.state;
+    claim.status = completion.status;
     return { kind: "settledClaim" };
   }
 
   private _putDeclaration(put: PutDeclaration): Result {
-    const held = this._state.declaration?.version ?? 0;
-    if (put.version <= held) return { kind: "heldDeclaration", version: held };
+    const currentVersion = this._state.declaration?.version ?? 0;
+    if (put.version <= currentVersion) return { kind: "heldDeclaration", version: currentVersion };
     this._state.declaration = create(DeclarationSchema, {
       version: put.version,
       document: put.document,
@@ -355,12 +360,12 @@
     const atMs = this._advanceClock(record.atMs);
     for (const { instanceId, born } of record.lives) {
       const departure = create(DepartureSchema, { instanceId, born, logIndex: index, atMs });
-      if (this._departed.has(getLifeKey(departure))) continue;
-      this._departed.set(getLifeKey(departure), departure);
+      if (this._departures.has(getLifeKey(departure))) continue;
+      this._departures.set(getLifeKey(departure), departure);
       this._state.departures.push(departure);
     }
-    while (this._state.departures.length > KEPT_DEPARTURES) {
-      this._departed.delete(getLifeKey(this._state.departures.shift()!));
+    while (this._state.departures.length > MAX_DEPARTURES) {
+      this._departures.delete(getLifeKey(this._state.departures.shift()!));
     }
     return { kind: "recordedDepartures" };
   }
@@ -368,11 +373,11 @@
   private _recordCrashes(index: number, { records, atMs }: RecordCrashes): Result {
     const crashedAtMs = this._advanceClock(atMs);
     for (const record of records) {
-      const joined = this._crashes.addRecord(record);
-      if (joined === undefined) continue;
-      // The account is the table's own.
-      joined.changedAtIndex = index;
-      joined.crashedAtMs = crashedAtMs;
+      const merged = this._crashTable.addRecord(record);
+      if (merged === undefined) continue;
+      // CrashTable stores its own copy of the record, so the copy can be changed here.
+      merged.changedAtIndex = index;
+      merged.crashedAtMs = crashedAtMs;
       this._crashIndex = index;
     }
     return { kind: "recordedCrashes" };
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -1,3 +1,3 @@
-/** The agreed state and its commands. */
+/** The replicated state and the results of its commands. */
 export type * from "./Result";
 export { StateMachine } from "./StateMachine";
