--- a/src/admission/CallOrder.ts
+++ b/src/admission/CallOrder.ts
@@ -18,7 +18,7 @@
 export type CallClass = (typeof CALL_CLASSES)[number];
 
 /** A call that was received and not started yet. */
-export interface ArrivedCall {
+export interface IncomingCall {
   readonly callClass: CallClass;
   /** Checks whether the result is still needed: the caller may have disconnected. */
   readonly isWanted: () => boolean;
@@ -35,7 +35,7 @@
 /** Schedules the calls of one process. */
 export class CallOrder {
   private readonly _metrics: Metrics;
-  private readonly _queues = new Map<CallClass, ArrivedCall[]>();
+  private readonly _queues = new Map<CallClass, IncomingCall[]>();
   private _startedInTurn = 0;
   private _isScheduled = false;
 
@@ -47,7 +47,7 @@
   }
 
   /** Starts a call now, or queues it for a later turn. */
-  add(call: ArrivedCall): void {
+  add(call: IncomingCall): void {
     if (call.callClass === "agreement") {
       call.begin();
       return;
@@ -57,12 +57,12 @@
     else this._enqueue(call);
   }
 
-  private _start(call: ArrivedCall): void {
+  private _start(call: IncomingCall): void {
     this._startedInTurn += 1;
     call.begin();
   }
 
-  private _enqueue(call: ArrivedCall): void {
+  private _enqueue(call: IncomingCall): void {
     const queue = this._queues.get(call.callClass) ?? [];
     if (queue.length >= MAX_QUEUED_PER_CLASS) {
       this._metrics.increment("calls_not_begun", 1, { class: call.callClass, reason: "full" });
@@ -91,7 +91,7 @@
     if (this._startedInTurn > 0) this._schedule();
   }
 
-  private _dequeue(): ArrivedCall | undefined {
+  private _dequeue(): IncomingCall | undefined {
     for (const callClass of CALL_CLASSES) {
       const queue = this._queues.get(callClass);
       const call = queue?.shift();
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,2 +1,2 @@
 /** Scheduling of the calls that a process receives. */
-export { type ArrivedCall, CALL_CLASSES, type CallClass, CallOrder } from "./CallOrder";
+export { CALL_CLASSES, type CallClass, CallOrder, type IncomingCall } from "./CallOrder";
--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -77,10 +77,7 @@
     return this._table.isEmpty;
   }
 
-  /**
-   * Decides whether a request may be sent to endpoints. A returned trial counts as used: the caller must run
-   * it.
-   */
+  /** Decides whether a request may be sent to endpoints. A returned trial counts as started. */
   admit(now: number, digest: RequestDigest): Admittance {
     if (this.isKeptAway(now, digest)) return "keptAway";
     if (this._table.getVerdict(digest) === "free") return "admitted";
@@ -106,7 +103,7 @@
 
   /** Counts the requests that are the confirmed cause of crashes. */
   countProven(): number {
-    return this._table.countProven();
+    return this._table.countConfirmedCauses();
   }
 
   /** Gets the record of a request; `undefined` when there is none. */
@@ -171,15 +168,15 @@
     return this._pending.size > 0;
   }
 
-  private _add(now: number, record: CrashRecord): void {
+  private _add(recordedAt: number, record: CrashRecord): void {
     const merged = this._table.addRecord(record);
     if (merged === undefined) return;
     const { digest, generation } = merged;
     const observations = (this._depthObservations.get(digest) ?? []).filter(
       (depth) => depth.generation === generation,
     );
-    observations.push({ generation, depth: getCrashDepth(merged), recordedAt: now });
-    if (merged.crashes.length > 0) this._delayTrial(now, digest);
+    observations.push({ generation, depth: getCrashDepth(merged), recordedAt });
+    if (merged.crashes.length > 0) this._delayTrial(recordedAt, digest);
     this._depthObservations.delete(digest);
     this._depthObservations.set(digest, observations);
     if (this._depthObservations.size > MAX_RECORDS_AT_ENTRY)
--- a/src/containment/CrashTable.ts
+++ b/src/containment/CrashTable.ts
@@ -6,7 +6,7 @@
  * between. The other requests either succeed or were not running on all of those instances. Pure.
  */
 import type { CrashRecord, RequestCrash } from "../gen/ploverstage/v1/state_pb";
-import { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
+import { getCrashDepth, isCrashRecordKnown, mergeCrashRecords } from "./crashRecords";
 
 /**
  * Crashes in a row that confirm a request as the cause, whatever other requests were running concurrently.
@@ -31,8 +31,8 @@
   private readonly _limit: number;
 
   /**
-   * @param limit - Maximum number of records. Beyond it, the oldest record with fewer than two crashes in a row and
-   * without a release is removed, or else the oldest one.
+   * @param limit - Maximum number of records. Beyond it, the oldest record with fewer than two crashes in a
+   * row and without a release is removed, or else the oldest one.
    */
   constructor(limit: number) {
     this._limit = limit;
@@ -60,7 +60,7 @@
   addRecord(record: CrashRecord): CrashRecord | undefined {
     const known = this._records.get(record.digest);
     if (isCrashRecordKnown(record, known)) return undefined;
-    const merged = joinCrashRecords(known ?? record, record);
+    const merged = mergeCrashRecords(known ?? record, record);
     this._remove(record.digest);
     this._records.set(record.digest, merged);
     for (const { life } of merged.crashes) this._addSuspect(life, record.digest);
@@ -75,7 +75,7 @@
   }
 
   /** Counts the requests that are the confirmed cause of crashes. */
-  countProven(): number {
+  countConfirmedCauses(): number {
     return this.getRecords().filter((record) => this._getRecordVerdict(record) === "proven").length;
   }
 
@@ -100,10 +100,10 @@
     return true;
   }
 
-  private _addSuspect(life: string, digest: string): void {
-    const suspects = this._suspects.get(life) ?? new Set();
+  private _addSuspect(incarnation: string, digest: string): void {
+    const suspects = this._suspects.get(incarnation) ?? new Set();
     suspects.add(digest);
-    this._suspects.set(life, suspects);
+    this._suspects.set(incarnation, suspects);
   }
 
   private _remove(digest: string): void {
--- a/src/containment/crashRecords.ts
+++ b/src/containment/crashRecords.ts
@@ -30,7 +30,7 @@
  * Merges two records of one request: the record of the newer generation replaces the other; records of the
  * same generation are combined.
  */
-export function joinCrashRecords(a: CrashRecord, b: CrashRecord): CrashRecord {
+export function mergeCrashRecords(a: CrashRecord, b: CrashRecord): CrashRecord {
   if (a.generation !== b.generation) return clone(CrashRecordSchema, a.generation > b.generation ? a : b);
   return create(CrashRecordSchema, {
     digest: a.digest,
@@ -47,7 +47,7 @@
   if (known === undefined) {
     return record.generation === 0 && record.crashes.length === 0 && record.releases === 0;
   }
-  const merged = joinCrashRecords(record, known);
+  const merged = mergeCrashRecords(record, known);
   const metadata = { changedAtIndex: known.changedAtIndex, crashedAtMs: known.crashedAtMs };
   return equals(CrashRecordSchema, { ...merged, ...metadata }, known);
 }
--- a/src/containment/index.ts
+++ b/src/containment/index.ts
@@ -8,6 +8,6 @@
 } from "./CrashLedger";
 export { CrashTable, type CrashVerdict } from "./CrashTable";
 export { checkCrashRecord } from "./checkCrashRecord";
-export { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
+export { getCrashDepth, isCrashRecordKnown, mergeCrashRecords } from "./crashRecords";
 export { getRequestDigest, type RequestContent, type RequestDigest } from "./RequestDigest";
 export { createRelease, isReleaseDue, KEEP_AWAY_MS } from "./release";
--- a/src/leases/LeaseTable.ts
+++ b/src/leases/LeaseTable.ts
@@ -28,7 +28,7 @@
 const CLOCK_STEP_MARGIN_MS = 20;
 
 /** Gets the time after which a lease of a given length must have expired at any entry, in milliseconds. */
-export function getSafeWait(leaseMs: number): number {
+export function getExpiryWaitMs(leaseMs: number): number {
   return leaseMs * (1 + CLOCK_RATE_MARGIN) + CLOCK_STEP_MARGIN_MS;
 }
 
@@ -42,7 +42,7 @@
    * @param longestLeaseMs - The longest lease that any earlier leader may have granted.
    */
   constructor(now: number, longestLeaseMs: number) {
-    this._earlierLeasesExpireAt = now + getSafeWait(longestLeaseMs);
+    this._earlierLeasesExpireAt = now + getExpiryWaitMs(longestLeaseMs);
   }
 
   /**
@@ -50,7 +50,7 @@
    * @param now - When the renewal was received; the entry counts from when it sent the renewal.
    */
   addLease(now: number, renewal: Renewal, leaseMs: number): void {
-    const expiresAt = now + getSafeWait(leaseMs);
+    const expiresAt = now + getExpiryWaitMs(leaseMs);
     const previous = this._holders.get(renewal.entryId);
     this._holders.set(renewal.entryId, {
       entryId: renewal.entryId,
--- a/test/admission/CallOrder.test.ts
+++ b/test/admission/CallOrder.test.ts
@@ -1,9 +1,9 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { type CallClass, CallOrder } from "../../src/admission/CallOrder";
 
-const PER_TURN = 4;
+const CALLS_PER_TURN = 4;
 
-describe("CallOrder", () => {
+describe("CallScheduler", () => {
   let order: CallOrder;
   let begun: string[];
   let refused: string[];
@@ -20,7 +20,7 @@
   });
 
   function add(callClass: CallClass, name: string, isWanted = () => true): void {
-    // Calls of an earlier test may wait still.
+    // Calls of an earlier test may still be queued.
     const [nowBegun, nowRefused] = [begun, refused];
     order.add({
       callClass,
@@ -38,16 +38,16 @@
     return new Promise((resolve) => setImmediate(resolve));
   }
 
-  it("begins calls at once while they are few", async () => {
-    addMany("report", PER_TURN);
-    expect(begun).toHaveLength(PER_TURN);
+  it("starts calls at once while there are no more than it starts in a turn", async () => {
+    addMany("report", CALLS_PER_TURN);
+    expect(begun).toHaveLength(CALLS_PER_TURN);
     await passTurn();
     await passTurn();
-    addMany("report", PER_TURN);
-    expect(begun).toHaveLength(2 * PER_TURN);
+    addMany("report", CALLS_PER_TURN);
+    expect(begun).toHaveLength(2 * CALLS_PER_TURN);
   });
 
-  it("begins an order that comes last before the reports that wait, and messages of the agreement at once", async () => {
+  it("starts an operator's command before reports that were queued earlier, and consensus messages at once", async () => {
     addMany("report", 100);
     add("view", "view");
     add("order", "order");
@@ -58,20 +58,20 @@
     expect(begun).toEqual(["order", "view", "report", "report"]);
   });
 
-  it("begins all that wait, a few in each turn", async () => {
+  it("starts the queued calls in several turns, four in each", async () => {
     const counts: number[] = [];
     const note = () => counts.push(begun.length);
-    addMany("report", 3 * PER_TURN);
+    addMany("report", 3 * CALLS_PER_TURN);
     note();
     for (let turn = 0; turn < 3; turn++) {
       await passTurn();
       note();
     }
-    expect(counts).toEqual([1, 2, 3, 3].map((turns) => turns * PER_TURN));
+    expect(counts).toEqual([1, 2, 3, 3].map((turns) => turns * CALLS_PER_TURN));
   });
 
-  it("doesn't begin what is of no use any more, and counts it", async () => {
-    addMany("report", PER_TURN);
+  it("skips and counts a queued call whose result is no longer needed", async () => {
+    addMany("report", CALLS_PER_TURN);
     add("order", "gone", () => false);
     add("order", "order");
     await passTurn();
@@ -80,8 +80,8 @@
     expect(counted).toEqual(["calls_not_begun 1 order gone"]);
   });
 
-  it("refuses what would wait behind too many of its class, and no other", () => {
-    addMany("report", PER_TURN + 1_000);
+  it("refuses a call when the queue of its class is full, but not a call of another class", () => {
+    addMany("report", CALLS_PER_TURN + 1_000);
     add("report", "one too many");
     add("order", "order");
     expect(refused).toEqual(["one too many"]);
--- a/test/containment/CrashLedger.test.ts
+++ b/test/containment/CrashLedger.test.ts
@@ -2,12 +2,12 @@
 import { describe, expect, it } from "vitest";
 import { CrashLedger, CrashTable, KEPT_CRASH_RECORDS, type RequestDigest } from "../../src/containment";
 
-const GUILTY = "guilty" as RequestDigest;
+const CAUSE = "guilty" as RequestDigest;
 const POPULAR = "popular" as RequestDigest;
 
-/** Entries and what they have agreed on, as the agreed state joins it. */
+/** Several entries and the crash records that they have committed, merged as in the replicated state. */
 class Fleet {
-  readonly agreed = new CrashTable(KEPT_CRASH_RECORDS);
+  readonly committed = new CrashTable(KEPT_CRASH_RECORDS);
   readonly entries: readonly CrashLedger[];
   private _now = 0;
 
@@ -19,7 +19,7 @@
     return this._now;
   }
 
-  /** A run that ends its instance 50 ms later. */
+  /** Runs a request that ends its instance 50 ms later. */
   crash(entry: number, digest: RequestDigest, life: string): number {
     const startedAt = this._now;
     this._now += 50;
@@ -27,31 +27,31 @@
     return this.entries[entry]!.addCrash(crash);
   }
 
-  goodEnd(entry: number, digest: RequestDigest): void {
+  succeed(entry: number, digest: RequestDigest): void {
     this.entries[entry]!.addGoodEnd(this._now, digest);
   }
 
-  /** What an entry has to tell is agreed on, and all are told. */
-  tell(entry: number): void {
-    for (const record of this.entries[entry]!.takePending()) this.agreed.addRecord(record);
-    for (const ledger of this.entries) ledger.addAgreed(this._now, this.agreed.getRecords());
+  /** Commits the pending records of an entry and sends all committed records to every entry. */
+  report(entry: number): void {
+    for (const record of this.entries[entry]!.takePending()) this.committed.addRecord(record);
+    for (const ledger of this.entries) ledger.addAgreed(this._now, this.committed.getRecords());
   }
 }
 
 describe("CrashLedger", () => {
-  it("counts crashes in a row over all entries once they are told", () => {
+  it("counts crashes in a row across entries after they were reported", () => {
     const fleet = new Fleet(2);
-    expect(fleet.crash(0, GUILTY, "a")).toBe(1);
-    fleet.tell(0);
-    expect(fleet.crash(1, GUILTY, "b")).toBe(2);
-    expect(fleet.entries[1]!.isKeptAway(fleet.now, GUILTY)).toBe(true);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, GUILTY)).toBe(false);
-    fleet.tell(1);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, GUILTY)).toBe(true);
+    expect(fleet.crash(0, CAUSE, "a")).toBe(1);
+    fleet.report(0);
+    expect(fleet.crash(1, CAUSE, "b")).toBe(2);
+    expect(fleet.entries[1]!.isKeptAway(fleet.now, CAUSE)).toBe(true);
+    expect(fleet.entries[0]!.isKeptAway(fleet.now, CAUSE)).toBe(false);
+    fleet.report(1);
+    expect(fleet.entries[0]!.isKeptAway(fleet.now, CAUSE)).toBe(true);
     expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false]);
   });
 
-  it("counts runs that had begun before anything was known as one, however many instances ended", () => {
+  it("counts the crashes of runs that began before the first crash was recorded as one in a row", () => {
     const ledger = new CrashLedger();
     for (let i = 0; i < 30; i++) {
       const crash = { digest: POPULAR, life: `rack-${i}`, startedAt: 0, brokeAt: 100, wasAnswered: false };
@@ -60,22 +60,22 @@
     expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
   });
 
-  it("begins anew after a good end, at whichever entry that was", () => {
+  it("starts counting again after a successful run at any entry", () => {
     const fleet = new Fleet(3);
     for (let i = 0; i < 11; i++) {
       fleet.crash(i % 3, POPULAR, `life-${i}`);
-      fleet.tell(i % 3);
-      fleet.goodEnd((i + 1) % 3, POPULAR);
-      fleet.tell((i + 1) % 3);
+      fleet.report(i % 3);
+      fleet.succeed((i + 1) % 3, POPULAR);
+      fleet.report((i + 1) % 3);
     }
     expect(fleet.entries.some((ledger) => ledger.isKeptAway(fleet.now, POPULAR))).toBe(false);
   });
 
-  it("comes to the same at all entries, in whatever order and however often they tell", () => {
+  it("reaches the same verdicts at all entries, independent of the order and repetition of reports", () => {
     const step = fc.record({
       entry: fc.integer({ min: 0, max: 3 }),
       kind: fc.constantFrom("crash", "goodEnd", "tell"),
-      digest: fc.constantFrom(GUILTY, POPULAR),
+      digest: fc.constantFrom(CAUSE, POPULAR),
       life: fc.constantFrom("a", "b", "c", "d", "e"),
     });
     fc.assert(
@@ -83,45 +83,57 @@
         const fleet = new Fleet(4);
         for (const { entry, kind, digest, life } of steps) {
           if (kind === "crash") fleet.crash(entry, digest, life);
-          else if (kind === "goodEnd") fleet.goodEnd(entry, digest);
-          else fleet.tell(entry);
+          else if (kind === "goodEnd") fleet.succeed(entry, digest);
+          else fleet.report(entry);
         }
-        for (const entry of [0, 1, 2, 3, 0, 1, 2, 3]) fleet.tell(entry);
-        for (const digest of [GUILTY, POPULAR]) {
+        for (const entry of [0, 1, 2, 3, 0, 1, 2, 3]) fleet.report(entry);
+        for (const digest of [CAUSE, POPULAR]) {
           const verdicts = fleet.entries.map((ledger) => ledger.isProven(digest));
-          expect(new Set([...verdicts, fleet.agreed.getVerdict(digest) === "proven"]).size).toBe(1);
+          expect(new Set([...verdicts, fleet.committed.getVerdict(digest) === "proven"]).size).toBe(1);
         }
         expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false, false, false]);
       }),
     );
   });
 
-  it("lets what ends every instance end three of them at most once each is told of", () => {
+  it("limits a request that crashes every instance to three instances when each crash is reported before the next run", () => {
     fc.assert(
-      fc.property(fc.array(fc.integer({ min: 0, max: 8 }), { minLength: 4, maxLength: 30 }), (tries) => {
-        const fleet = new Fleet(9);
-        let crashes = 0;
-        for (const entry of tries) {
-          if (fleet.entries[entry]!.isKeptAway(fleet.now, GUILTY)) continue;
-          fleet.crash(entry, GUILTY, `life-${crashes++}`);
-          // Another request broke off at the same instance, and never came again.
-          const life = `life-${crashes - 1}`;
-          const beside = { life, startedAt: fleet.now - 10, brokeAt: fleet.now, wasAnswered: false };
-          fleet.entries[entry]!.addCrash({ ...beside, digest: `beside-${crashes}` as RequestDigest });
-          fleet.tell(entry);
-        }
-        expect(crashes).toBeLessThanOrEqual(3);
-      }),
+      fc.property(
+        fc.array(fc.integer({ min: 0, max: 8 }), { minLength: 4, maxLength: 30 }),
+        (entryIndexes) => {
+          const fleet = new Fleet(9);
+          let crashes = 0;
+          for (const entry of entryIndexes) {
+            if (fleet.entries[entry]!.isKeptAway(fleet.now, CAUSE)) continue;
+            fleet.crash(entry, CAUSE, `life-${crashes++}`);
+            // Another request broke off on the same instance and did not run again.
+            const life = `life-${crashes - 1}`;
+            const concurrentCrash = {
+              life,
+              startedAt: fleet.now - 10,
+              brokeAt: fleet.now,
+              wasAnswered: false,
+            };
+            fleet.entries[entry]!.addCrash({
+              ...concurrentCrash,
+              digest: `beside-${crashes}` as RequestDigest,
+            });
+            fleet.report(entry);
+          }
+          expect(crashes).toBeLessThanOrEqual(3);
+        },
+      ),
     );
   });
 
   /**
-   * Callers saw a request that half of them sent refused for good after two instances had ended under another one. A run that was
-   * sent to an instance after its end, over a connection that was not closed yet, counted as one more crash in a row, of
-   * the same instance; and since nothing of the request was run any more, no good end could clear it. Evidence: the
-   * entry's log of one soak, two crashes at one target 43 ms apart, the second one of depth 2, then nothing but refusals.
+   * Guards against a false suspicion: a run that is sent to an instance after its end, over a connection that is
+   * not closed yet, breaks off and was counted as one more crash in a row of the same instance. Callers then got
+   * only refusals for a request that half of them sent, after two instances had ended under another request;
+   * the request had no more runs, so no successful run could clear it. The entry's log of a soak run showed two
+   * crashes on one target 43 ms apart, the second with depth 2, then only refusals.
    */
-  it("takes several runs that broke off at one instance for one crash, whenever they began", () => {
+  it("counts several runs that broke off on one incarnation as one crash", () => {
     const ledger = new CrashLedger();
     const crash = { digest: POPULAR, life: "a", wasAnswered: false };
     expect(ledger.addCrash({ ...crash, startedAt: 0, brokeAt: 50 })).toBe(1);
@@ -129,7 +141,7 @@
     expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
   });
 
-  it("lets one run of a request through that is only doubted, a second after the last crash", () => {
+  it("allows one run of a suspected request one second after its last crash", () => {
     const fleet = new Fleet(1);
     const [ledger] = fleet.entries;
     fleet.crash(0, POPULAR, "a");
@@ -142,18 +154,18 @@
     expect(ledger!.admit(now + 1_101, POPULAR)).toBe("admitted");
   });
 
-  it("lets none through any more once its trial has ended an instance as well", () => {
+  it("blocks a request after its trial run also ended an instance", () => {
     const fleet = new Fleet(1);
     const [ledger] = fleet.entries;
-    for (const life of ["a", "b", "c"]) fleet.crash(0, GUILTY, life);
+    for (const life of ["a", "b", "c"]) fleet.crash(0, CAUSE, life);
     for (const later of [0, 1_000, 10_000, 100_000]) {
-      expect(ledger!.admit(fleet.now + later, GUILTY)).toBe("keptAway");
+      expect(ledger!.admit(fleet.now + later, CAUSE)).toBe("keptAway");
     }
   });
 
-  it("tells no more of what the agreed state has no room for", () => {
+  it("stops reporting a record that is not committed after repeated reports", () => {
     const fleet = new Fleet(1);
-    fleet.crash(0, GUILTY, "a");
+    fleet.crash(0, CAUSE, "a");
     for (let i = 0; i < 100; i++) fleet.entries[0]!.takePending();
     expect(fleet.entries[0]!.hasPending).toBe(false);
   });
--- a/test/containment/CrashTable.test.ts
+++ b/test/containment/CrashTable.test.ts
@@ -1,12 +1,15 @@
 import { create } from "@bufbuild/protobuf";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { CrashTable, joinCrashRecords } from "../../src/containment";
+import { CrashTable, mergeCrashRecords } from "../../src/containment";
 import { type CrashRecord, CrashRecordSchema } from "../../src/gen/ploverstage/v1/state_pb";
 
 const LIMIT = 8;
 
-/** A crash: the life that ended, how many in a row, and whether some of an answer had come. */
+/**
+ * A crash: the incarnation that ended, the number of crashes in a row, and whether part of a response had
+ * been received.
+ */
 type Crash = readonly [life: string, depth: number, answered?: boolean];
 
 function createRecord(digest: string, crashes: readonly Crash[], generation = 0, releases = 0): CrashRecord {
@@ -30,56 +33,58 @@
 );
 const record = fc
   .tuple(crashes, fc.integer({ min: 0, max: 2 }), fc.integer({ min: 0, max: 2 }))
-  .map(([told, generation, releases]) => joinSelf(createRecord("x", told, generation, releases)));
+  .map(([recorded, generation, releases]) =>
+    normalizeRecord(createRecord("x", recorded, generation, releases)),
+  );
 
-/** As tables hold it: each life once, in a fixed order. */
-function joinSelf(told: CrashRecord): CrashRecord {
-  return joinCrashRecords(told, told);
+/** Brings a record into the form in which tables store it: each incarnation once, in a fixed order. */
+function normalizeRecord(record: CrashRecord): CrashRecord {
+  return mergeCrashRecords(record, record);
 }
 
-describe("joinCrashRecords", () => {
-  it("gives the same whoever tells what first, in whatever groups and however often", () => {
+describe("mergeCrashRecords", () => {
+  it("is commutative, associative and idempotent", () => {
     fc.assert(
       fc.property(record, record, record, (a, b, c) => {
-        expect(joinCrashRecords(a, b)).toEqual(joinCrashRecords(b, a));
-        expect(joinCrashRecords(joinCrashRecords(a, b), c)).toEqual(
-          joinCrashRecords(a, joinCrashRecords(b, c)),
+        expect(mergeCrashRecords(a, b)).toEqual(mergeCrashRecords(b, a));
+        expect(mergeCrashRecords(mergeCrashRecords(a, b), c)).toEqual(
+          mergeCrashRecords(a, mergeCrashRecords(b, c)),
         );
-        expect(joinCrashRecords(joinCrashRecords(a, b), b)).toEqual(joinCrashRecords(a, b));
+        expect(mergeCrashRecords(mergeCrashRecords(a, b), b)).toEqual(mergeCrashRecords(a, b));
       }),
     );
   });
 
-  it("takes two entries that tell of one life for one crash", () => {
-    const joined = joinCrashRecords(createRecord("x", [["a", 1, true]]), createRecord("x", [["a", 2]]));
+  it("merges the reports of two entries on one incarnation into one crash", () => {
+    const joined = mergeCrashRecords(createRecord("x", [["a", 1, true]]), createRecord("x", [["a", 2]]));
     expect(joined.crashes).toEqual([expect.objectContaining({ life: "a", depth: 1, answered: false })]);
   });
 });
 
 describe("CrashTable", () => {
-  it("keeps nothing away that was there once, however many instances ended", () => {
+  it("does not suspect a request with one crash in a row, even on many instances", () => {
     const lives = Array.from({ length: 20 }, (_, i): Crash => [`life-${i}`, 1]);
     expect(createTable(createRecord("x", lives)).getVerdict("x")).toBe("free");
   });
 
-  it("doubts what alone was there twice in a row, and proves it with the third crash", () => {
+  it("suspects the sole request of two crashes in a row, and confirms it with the third crash", () => {
     const table = createTable(createRecord("x", [["a", 1]]));
     expect(table.getVerdict("x")).toBe("free");
     table.addRecord(createRecord("x", [["b", 2]]));
     expect(table.getVerdict("x")).toBe("doubted");
     table.addRecord(createRecord("x", [["c", 3]]));
     expect(table.getVerdict("x")).toBe("proven");
-    expect(table.countProven()).toBe(1);
+    expect(table.countConfirmedCauses()).toBe(1);
   });
 
-  it("waits for a third crash where another one was there as well", () => {
-    const beside = createRecord("y", [["b", 1]]);
+  it("does not suspect a request before its third crash if another request ran concurrently", () => {
+    const concurrent = createRecord("y", [["b", 1]]);
     const table = createTable(
       createRecord("x", [
         ["a", 1],
         ["b", 2],
       ]),
-      beside,
+      concurrent,
     );
     expect(table.getVerdict("x")).toBe("free");
     table.addRecord(createRecord("x", [["c", 3]]));
@@ -87,7 +92,7 @@
     expect(table.getVerdict("y")).toBe("free");
   });
 
-  it("knows the guilty one once the others have come to a good end", () => {
+  it("suspects the remaining request after a concurrent one ran successfully", () => {
     const twice: Crash[] = [
       ["a", 1],
       ["b", 2],
@@ -98,7 +103,7 @@
     expect([table.getVerdict("x"), table.getVerdict("y")]).toEqual(["doubted", "free"]);
   });
 
-  it("holds more against a request of which nothing was answered than against one that was being answered", () => {
+  it("suspects a request without a response rather than one that had received part of a response", () => {
     const table = createTable(
       createRecord("x", [
         ["a", 1],
@@ -112,7 +117,7 @@
     expect([table.getVerdict("x"), table.getVerdict("y")]).toEqual(["doubted", "free"]);
   });
 
-  it("drops all that was held against a request with its good end, also what is told late", () => {
+  it("clears a request after a successful run, including crashes that are reported later", () => {
     const table = createTable(
       createRecord("x", [
         ["a", 1],
@@ -125,14 +130,14 @@
     expect(table.getVerdict("x")).toBe("free");
   });
 
-  it("needs one crash of a request that was let run again", () => {
+  it("confirms a released request with one crash", () => {
     const table = createTable(createRecord("x", [], 1, 1));
     expect(table.getVerdict("x")).toBe("doubted");
     table.addRecord(createRecord("x", [["a", 1]], 1, 1));
     expect(table.getVerdict("x")).toBe("proven");
   });
 
-  it("forgets what proves nothing before what does, and never holds more than its limit", () => {
+  it("evicts records without a confirmed cause first, and never exceeds its limit", () => {
     const proven = createRecord("x", [
       ["a", 1],
       ["b", 2],
--- a/test/containment/RequestDigest.test.ts
+++ b/test/containment/RequestDigest.test.ts
@@ -13,7 +13,7 @@
     expect(getRequestDigest({ ...REQUEST, body: Buffer.from("body") })).toBe(getRequestDigest(REQUEST));
   });
 
-  it("differs with each part, and with where a part ends", () => {
+  it("differs when any part differs or when the boundary between two parts moves", () => {
     const others: RequestContent[] = [
       { ...REQUEST, organisation: undefined },
       { ...REQUEST, organisation: "" },
--- a/test/leases/leases.test.ts
+++ b/test/leases/leases.test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { EntryId } from "../../src/ids";
-import { EntryLease, getSafeWait, LeaseTable } from "../../src/leases";
+import { EntryLease, getExpiryWaitMs, LeaseTable } from "../../src/leases";
 
 const LEASE_MS = 1_000;
 const SEED = 20_261_202;
@@ -10,7 +10,7 @@
 describe("EntryLease", () => {
   it("is not held before the first renewal", () => expect(new EntryLease().isHeld(0)).toBe(false));
 
-  it("counts from when the renewal was sent", () => {
+  it("counts the lease from when the renewal was sent", () => {
     const lease = new EntryLease();
     lease.renew(100, LEASE_MS);
     expect(lease.isHeld(1_099)).toBe(true);
@@ -18,14 +18,14 @@
     expect(lease.getLeftMs(600)).toBe(500);
   });
 
-  it("is not held once it was given up", () => {
+  it("is not held after it was released", () => {
     const lease = new EntryLease();
     lease.renew(100, LEASE_MS);
     lease.release();
     expect(lease.isHeld(101)).toBe(false);
   });
 
-  it("is not shortened by a renewal that was overtaken", () => {
+  it("is not shortened by a renewal that arrives out of order", () => {
     const lease = new EntryLease();
     lease.renew(500, LEASE_MS);
     lease.renew(100, LEASE_MS);
@@ -41,10 +41,10 @@
   }
 
   describe("isClear", () => {
-    it("waits until every earlier leader's lease has run out", () => {
+    it("is false until the leases of all earlier leaders have expired", () => {
       const table = new LeaseTable(10_000, LEASE_MS);
       expect(table.isClear(10_000 + LEASE_MS)).toBe(false);
-      expect(table.isClear(10_000 + getSafeWait(LEASE_MS))).toBe(true);
+      expect(table.isClear(10_000 + getExpiryWaitMs(LEASE_MS))).toBe(true);
     });
   });
 
@@ -53,16 +53,17 @@
       expect(createTable().isConfigurationInForce(now, version)).toBe(expected);
     }
 
-    it("holds for what every entry knows", () => doTest(200, 1, true));
-    it("waits for an entry that may not know it", () => doTest(200, 2, false));
-    it("holds once the entry's lease has run out", () => doTest(100 + getSafeWait(LEASE_MS), 2, true));
-    it("never holds for a leader whose predecessors' leases may run", () => {
+    it("is true when all entries have the version", () => doTest(200, 1, true));
+    it("is false while an entry with a lease may have an older version", () => doTest(200, 2, false));
+    it("is true after the lease of an entry with an older version has expired", () =>
+      doTest(100 + getExpiryWaitMs(LEASE_MS), 2, true));
+    it("is false while leases of earlier leaders may not have expired", () => {
       expect(new LeaseTable(0, LEASE_MS).isConfigurationInForce(500, 1)).toBe(false);
     });
   });
 
   describe("addLease", () => {
-    it("takes no knowledge back when a renewal was overtaken", () => {
+    it("does not lower the recorded versions when a renewal arrives out of order", () => {
       const table = createTable();
       table.addLease(200, { entryId: A, knownConfiguration: 3, knownAssignment: 9 }, LEASE_MS);
       table.addLease(210, { entryId: A, knownConfiguration: 1, knownAssignment: 5 }, LEASE_MS);
@@ -72,7 +73,7 @@
   });
 
   describe("removeLease", () => {
-    it("forgets an entry that gave its lease back", () => {
+    it("removes an entry that returned its lease", () => {
       const table = createTable();
       table.removeLease(A);
       expect(table.isConfigurationInForce(200, 2)).toBe(true);
@@ -80,7 +81,7 @@
   });
 
   describe("removeExpired", () => {
-    it("keeps running leases", () => {
+    it("removes expired leases only", () => {
       const table = createTable();
       table.removeExpired(500, LEASE_MS);
       expect(table.getLiveHolders(500)).toHaveLength(1);
@@ -90,21 +91,21 @@
   });
 });
 
-/** The check that did not hold. */
+/** The error of the model when an entry acts on a configuration older than the one in force. */
 class StaleLease extends Error {}
 
-/** A renewal under way. */
-interface Flight {
+/** A renewal that the entry has sent and whose response it has not received. */
+interface PendingRenewal {
   readonly entry: ModelEntry;
   readonly sentAt: number;
-  readonly known: number;
+  readonly version: number;
   granted: number | undefined;
 }
 
 interface ModelEntry {
   readonly id: EntryId;
   readonly lease: EntryLease;
-  known: number;
+  version: number;
 }
 
 type LeaseStep =
@@ -114,22 +115,21 @@
   | { readonly kind: "grant" | "answer" | "lose"; readonly at: number };
 
 /**
- * A leader, its successors, and entries, with renewals that take any time.
+ * A model of a leader, its successors and entries, where a renewal takes any time.
  *
- * An entry that is frozen is one whose steps do not come: its renewals' answers are
- * taken late. What must hold: when the leader says that a version is in force, no
- * entry holds a lease under an older one.
+ * A paused entry takes no steps, so it receives the responses to its renewals late. Invariant: when the
+ * leader reports a version as in force, no entry holds a lease under an older version.
  */
 class LeaseModel {
   private readonly _entries = [0, 1, 2].map((i) => ({
     id: EntryId(`e${i}`),
     lease: new EntryLease(),
-    known: 0,
+    version: 0,
   }));
   private readonly _countsFromAnswer: boolean;
   private readonly _waitsAfterElection: boolean;
   private _table = new LeaseTable(0, 0);
-  private _flights: Flight[] = [];
+  private _pendingRenewals: PendingRenewal[] = [];
   private _now = 0;
   private _version = 0;
   inForceCount = 0;
@@ -144,42 +144,45 @@
     else if (step.kind === "change") this._version += 1;
     else if (step.kind === "elect") this._elect();
     else if (step.kind === "send") this._send(this._entries[step.entry % this._entries.length]!);
-    else if ("at" in step && this._flights.length > 0) this._move(step.kind, step.at % this._flights.length);
+    else if ("at" in step && this._pendingRenewals.length > 0)
+      this._advanceRenewal(step.kind, step.at % this._pendingRenewals.length);
     this._check();
   }
 
   private _elect(): void {
     this._table = new LeaseTable(this._now, this._waitsAfterElection ? LEASE_MS : 0);
-    // The majority that elected the new leader no longer confirms the old one's grants.
-    this._flights = this._flights.filter((flight) => flight.granted !== undefined);
+    // The majority that elected the new leader no longer confirms the grants of the old leader.
+    this._pendingRenewals = this._pendingRenewals.filter((pending) => pending.granted !== undefined);
   }
 
   private _send(entry: ModelEntry): void {
-    this._flights.push({ entry, sentAt: this._now, known: entry.known, granted: undefined });
+    this._pendingRenewals.push({ entry, sentAt: this._now, version: entry.version, granted: undefined });
   }
 
-  private _move(kind: "grant" | "answer" | "lose", at: number): void {
-    const flight = this._flights[at]!;
-    if (kind === "lose") this._flights.splice(at, 1);
-    if (kind === "grant" && flight.granted === undefined) {
-      const renewal = { entryId: flight.entry.id, knownConfiguration: flight.known, knownAssignment: 0 };
+  private _advanceRenewal(kind: "grant" | "answer" | "lose", at: number): void {
+    const pending = this._pendingRenewals[at]!;
+    if (kind === "lose") this._pendingRenewals.splice(at, 1);
+    if (kind === "grant" && pending.granted === undefined) {
+      const renewal = { entryId: pending.entry.id, knownConfiguration: pending.version, knownAssignment: 0 };
       this._table.addLease(this._now, renewal, LEASE_MS);
-      flight.granted = this._version;
+      pending.granted = this._version;
     }
-    if (kind === "answer" && flight.granted !== undefined) {
-      this._flights.splice(at, 1);
-      if (flight.granted < flight.entry.known) return;
-      flight.entry.known = flight.granted;
-      flight.entry.lease.renew(this._countsFromAnswer ? this._now : flight.sentAt, LEASE_MS);
+    if (kind === "answer" && pending.granted !== undefined) {
+      this._pendingRenewals.splice(at, 1);
+      if (pending.granted < pending.entry.version) return;
+      pending.entry.version = pending.granted;
+      pending.entry.lease.renew(this._countsFromAnswer ? this._now : pending.sentAt, LEASE_MS);
     }
   }
 
   private _check(): void {
     if (!this._table.isConfigurationInForce(this._now, this._version)) return;
     this.inForceCount += 1;
-    const stale = this._entries.find((entry) => entry.lease.isHeld(this._now) && entry.known < this._version);
+    const stale = this._entries.find(
+      (entry) => entry.lease.isHeld(this._now) && entry.version < this._version,
+    );
     if (stale !== undefined)
-      throw new StaleLease(`${stale.id} acts on ${stale.known}, ${this._version} is in force`);
+      throw new StaleLease(`${stale.id} acts on ${stale.version}, ${this._version} is in force`);
   }
 }
 
@@ -196,7 +199,7 @@
 describe("leases under generated delays, losses and elections", () => {
   const anySteps = fc.array(anyLeaseStep, { minLength: 20, maxLength: 100, size: "max" });
 
-  it("never let an entry act on an older version than the one in force", () => {
+  it("never allow an entry to act on an older version than the one in force", () => {
     let inForce = 0;
     const property = fc.property(anySteps, (steps) => {
       const model = new LeaseModel("none");
@@ -207,7 +210,7 @@
     expect(inForce).toBeGreaterThan(2_000);
   });
 
-  it.each(["countsFromAnswer", "noWaitAfterElection"] as const)("catch a lease that %s", (defect) => {
+  it.each(["countsFromAnswer", "noWaitAfterElection"] as const)("detect the defect %s", (defect) => {
     const property = fc.property(anySteps, (steps) => {
       const model = new LeaseModel(defect);
       for (const step of steps) model.run(step);
--- a/test/log/FileStorage.test.ts
+++ b/test/log/FileStorage.test.ts
@@ -67,7 +67,7 @@
   }
 
   describe("open", () => {
-    it("gives back what was written", async () => {
+    it("reads the batches that were written", async () => {
       await write({ term: 3, entries: [createEntry(1), createEntry(2)] }, { entries: [createEntry(3, 3)] });
       const stored = await read();
       expect(stored.memberId).toBe("a.0");
@@ -79,7 +79,7 @@
       ]);
     });
 
-    it("replaces the tail that a later batch overwrites", async () => {
+    it("replaces entries that a later batch overwrites", async () => {
       await write(
         { entries: [createEntry(1), createEntry(2), createEntry(3)] },
         { entries: [createEntry(2, 5)] },
@@ -87,7 +87,7 @@
       expect((await read()).entries.map((entry) => entry.term)).toEqual([1, 5]);
     });
 
-    it("cuts a torn last batch at every length, and writes on behind it", async () => {
+    it("truncates a last batch that was torn at any length, and appends after the truncation", async () => {
       await write({ entries: [createEntry(1)] });
       const whole = statSync(getLogPath()).size;
       await write({ entries: [createEntry(2)] });
@@ -101,13 +101,13 @@
       expect((await read()).entries.map((entry) => entry.term)).toEqual([1, 9]);
     });
 
-    it("cuts a last batch of which pages were never written", async () => {
+    it("truncates a last batch whose pages were never written", async () => {
       await write({ entries: [createEntry(1)] });
       appendFileSync(getLogPath(), Buffer.alloc(4_096));
       expect((await read()).entries).toHaveLength(1);
     });
 
-    it("refuses damage before a good batch", async () => {
+    it("refuses a log with a damaged batch before a good one", async () => {
       await write({ entries: [createEntry(1)] }, { entries: [createEntry(2)] });
       const bytes = readFileSync(getLogPath());
       bytes[20]! ^= 1;
@@ -131,13 +131,13 @@
   });
 
   describe("create", () => {
-    it("refuses a folder in use", async () => {
+    it("refuses a folder that already belongs to a member", async () => {
       await expect(FileStorage.create(folder, "b.0", undefined)).rejects.toBeInstanceOf(ForeignData);
     });
   });
 
   describe("writeSnapshot", () => {
-    it("keeps the tail and the hard state, and drops older files", async () => {
+    it("retains the tail and the hard state, and deletes the older files", async () => {
       const { storage } = await FileStorage.open(folder);
       await storage.writeBatch({
         hardState: undefined,
@@ -153,7 +153,7 @@
       expect(readdirSync(folder).sort()).toEqual(["identity", "log-1", "snapshot-2"]);
     });
 
-    it("leaves a readable folder when cut off after the snapshot was written", async () => {
+    it("leaves a readable folder when the process ends after writing the snapshot and before writing the new log", async () => {
       await write({ term: 2, entries: [createEntry(1), createEntry(2), createEntry(3)] });
       const log = readFileSync(getLogPath());
       const { storage } = await FileStorage.open(folder);
@@ -164,7 +164,7 @@
       expect((await read()).entries.map((entry) => entry.index)).toEqual([3]);
     });
 
-    it("drops entries that do not follow a snapshot taken from elsewhere", async () => {
+    it("drops entries that do not continue a snapshot from another member", async () => {
       await write({ term: 2, entries: [createEntry(1), createEntry(2), createEntry(3)] });
       const log = readFileSync(getLogPath());
       const { storage } = await FileStorage.open(folder);
--- a/test/membership/member.test.ts
+++ b/test/membership/member.test.ts
@@ -10,22 +10,22 @@
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
 
-describe("VoterPatience", () => {
-  it("lets a member that does not vote ask at once, and one that votes after an election's time", () => {
-    const patience = new VoterPatience();
-    expect(patience.isOver(0, false, false)).toBe(true);
-    expect(patience.isOver(0, true, false)).toBe(false);
-    expect(patience.isOver(2_000, true, false)).toBe(false);
-    expect(patience.isOver(2_001, true, false)).toBe(true);
-    expect(patience.isOver(2_100, true, true)).toBe(false);
-    expect(patience.isOver(2_200, true, false)).toBe(false);
+describe("JoinTimeout", () => {
+  it("expires at once for a member that does not vote, and after 2 s without a leader or an election for a voter", () => {
+    const timeout = new VoterPatience();
+    expect(timeout.isOver(0, false, false)).toBe(true);
+    expect(timeout.isOver(0, true, false)).toBe(false);
+    expect(timeout.isOver(2_000, true, false)).toBe(false);
+    expect(timeout.isOver(2_001, true, false)).toBe(true);
+    expect(timeout.isOver(2_100, true, true)).toBe(false);
+    expect(timeout.isOver(2_200, true, false)).toBe(false);
   });
 });
 
 describe("joinMembership", () => {
-  it("asks where others are found now, once those that it was told of at its start are gone", async () => {
-    const [gone, listen, own] = await getFreeAddresses(3);
-    let asked = 0;
+  it("sends join requests to the current addresses when the addresses from the start are unreachable", async () => {
+    const [unreachable, listen, own] = await getFreeAddresses(3);
+    let joinRequests = 0;
     let failures = 0;
     const server = await RpcServer.start({
       listen: listen!,
@@ -33,13 +33,13 @@
       routes: (router) => {
         router.service(ConsensusService, {
           join: () => {
-            asked += 1;
+            joinRequests += 1;
             return { voting: true };
           },
         });
       },
     });
-    let addresses = [gone!];
+    let addresses = [unreachable!];
     const node = { id: "m.1", membership: createMembership([]), leaderId: "", isElecting: () => false };
     const fiber = Effect.runFork(
       joinMembership({
@@ -52,9 +52,9 @@
         logger: { warn: () => (failures += 1) } as unknown as Logger,
       }),
     );
-    await waitUntil("nobody answers where it was told to ask", () => failures > 0);
+    await waitUntil("the join request to the unreachable address fails", () => failures > 0);
     addresses = [listen!];
-    await waitUntil("the member asked", () => asked > 0);
+    await waitUntil("the server receives a join request", () => joinRequests > 0);
     await Effect.runPromise(Fiber.interrupt(fiber));
     await server.stop();
   });
--- a/test/state/StateMachine.test.ts
+++ b/test/state/StateMachine.test.ts
@@ -5,7 +5,7 @@
 import { type Result, StateMachine } from "../../src/state";
 import { createLife } from "../support/createLife";
 
-/** Applies commands one after another, as the log would. */
+/** Applies commands one after another, as a member does with its log. */
 class Machine {
   readonly state: StateMachine;
   private _index = 0;
@@ -82,7 +82,7 @@
 
 describe("StateMachine", () => {
   describe("configurations", () => {
-    it("let one of two changes on the same version win", () => {
+    it("accept only the first of two changes on the same base version", () => {
       const machine = new Machine();
       expect(machine.change("a", 0)).toEqual({ kind: "acceptedConfiguration", version: 1 });
       expect(machine.change("b", 0)).toMatchObject({
@@ -91,7 +91,7 @@
       });
     });
 
-    it("give a resend the first version, however many came since", () => {
+    it("return the original version for a repeated change after later changes", () => {
       const machine = new Machine();
       machine.change("a", 0);
       machine.change("b", 1);
@@ -99,14 +99,14 @@
       expect(machine.state.getConfiguration()?.version).toBe(2);
     });
 
-    it("refuse a change on a version that is yet to come", () => {
+    it("refuse a change whose base version does not exist yet", () => {
       expect(new Machine().change("a", 7)).toMatchObject({
         kind: "conflictingConfiguration",
         newest: undefined,
       });
     });
 
-    it("keep the texts of the newest twenty only", () => {
+    it("retain the texts of the newest twenty versions only", () => {
       const machine = new Machine();
       for (let i = 0; i < 30; i++) machine.change(`c${i}`, i);
       expect(machine.state.getConfigurationByVersion(10)?.text).toBe("");
@@ -116,36 +116,36 @@
   });
 
   describe("replicas", () => {
-    it("never share an instance", () => {
+    it("are refused when an instance belongs to another replica", () => {
       const machine = new Machine();
       machine.form("a", "b");
       expect(machine.form("b", "c")).toEqual({ kind: "refusedReplica", reason: "b belongs to g-1" });
     });
 
-    it("never hold an instance twice", () =>
+    it("are refused when they contain an instance twice", () =>
       expect(new Machine().form("a", "a")).toMatchObject({ kind: "refusedReplica" }));
 
-    it("get a new epoch for each forming", () => {
+    it("get a new epoch each time they are formed", () => {
       const machine = new Machine();
       machine.form("a");
       machine.move("g-1", 1, ReplicaPhase.RELEASED);
       expect(machine.form("a")).toMatchObject({ replica: { id: "g-2", epoch: 2 } });
     });
 
-    it("only move forward", () => {
+    it("refuse to move back to an earlier phase", () => {
       const machine = new Machine();
       machine.form("a");
       machine.move("g-1", 1, ReplicaPhase.RETIRING);
       expect(machine.move("g-1", 1, ReplicaPhase.SERVING)).toMatchObject({ kind: "refusedReplica" });
     });
 
-    it("do not move in another epoch", () => {
+    it("refuse to move under a different epoch", () => {
       const machine = new Machine();
       machine.form("a");
       expect(machine.move("g-1", 2, ReplicaPhase.SERVING)).toMatchObject({ kind: "refusedReplica" });
     });
 
-    it("are told as changes since an index, tombstones too", () => {
+    it("are listed as changes since an index, including released ones", () => {
       const machine = new Machine();
       machine.form("a");
       const index = machine.state.assignmentIndex;
@@ -157,7 +157,7 @@
       ]);
     });
 
-    it("must be told whole once tombstones are gone", () => {
+    it("can't be listed as changes once released replicas since the index were removed", () => {
       const machine = new Machine();
       machine.form("a");
       const index = machine.state.assignmentIndex;
@@ -180,13 +180,13 @@
       });
     });
 
-    it("are granted again to the request that holds them", () => {
+    it("are granted again to the request that already holds them", () => {
       const machine = new Machine();
       machine.claim("k", "1");
       expect(machine.claim("k", "1")).toEqual({ kind: "grantedClaim" });
     });
 
-    it("keep the first outcome", () => {
+    it("retain the first outcome that was recorded", () => {
       const machine = new Machine();
       machine.claim("k", "1");
       machine.settle("k", "1", ClaimState.DONE, 201);
@@ -194,21 +194,21 @@
       expect(machine.claim("k", "2")).toMatchObject({ claim: { state: ClaimState.DONE, status: 201 } });
     });
 
-    it("are given back by a request that was not run", () => {
+    it("can be claimed by another request after a request released them without running", () => {
       const machine = new Machine();
       machine.claim("k", "1");
       machine.settle("k", "1", ClaimState.UNSPECIFIED);
       expect(machine.claim("k", "2")).toEqual({ kind: "grantedClaim" });
     });
 
-    it("are not settled by another request", () => {
+    it("are not completed or released by another request", () => {
       const machine = new Machine();
       machine.claim("k", "1");
       machine.settle("k", "2", ClaimState.UNSPECIFIED);
       expect(machine.claim("k", "3")).toMatchObject({ kind: "existingClaim" });
     });
 
-    it("keep a key that was given back and claimed again for its own time", () => {
+    it("use the retention of the newer claim when a key was released and claimed again", () => {
       const machine = new Machine();
       machine.claim("k", "1", 1_000);
       machine.settle("k", "1", ClaimState.UNSPECIFIED);
@@ -218,13 +218,13 @@
       expect(machine.claim("k", "5", 2_901)).toEqual({ kind: "grantedClaim" });
     });
 
-    it("forget in order, however many there were", () => {
+    it("are removed in the order of their claim times", () => {
       const machine = new Machine();
       for (let i = 0; i < 5_000; i++) machine.claim(`k${i}`, "1", i, 1_000);
       expect(machine.state.getClaimCount()).toBe(1_001);
     });
 
-    it("are forgotten after their retention, and time never goes back", () => {
+    it("are removed after their retention, measured on a clock that never goes back", () => {
       const machine = new Machine();
       machine.claim("k", "1", 5_000);
       expect(machine.claim("k", "2", 100)).toMatchObject({ kind: "existingClaim" });
@@ -233,7 +233,7 @@
   });
 
   describe("encode", () => {
-    it("gives a state that goes on as the one it was taken of", () => {
+    it("encodes a state from which a copy applies later commands with the same results", () => {
       const machine = new Machine();
       machine.change("a", 0);
       machine.form("a", "b");
