--- a/src/policy/Expression.ts
+++ b/src/policy/Expression.ts
@@ -69,7 +69,7 @@
       if (node.exprKind.case === "comprehensionExpr")
         throw this._createError("loops over lists are not allowed");
     });
-    if (cost > MAX_COST) throw this._createError(`its cost is ${cost}; the maximum is ${MAX_COST}`);
+    if (cost > MAX_COST) throw this._createError(`its cost is ${cost}; ${MAX_COST} is the maximum`);
   }
 
   private _throwIfUnknownNames(syntax: Syntax): void {
