--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -48,9 +48,9 @@
 const MAX_REPORT_ATTEMPTS = 40;
 
 /**
- * Time after its last crash, milliseconds, after which a suspected request may run again, one run at a time
- * at each entry. A third crash confirms the request as the cause, and a successful run clears it. Without
- * such trial runs, a request that only ran concurrently with the cause was refused for minutes, because it
+ * Minimum time between the last crash of a suspected request and its next run, milliseconds; each entry allows
+ * one such trial run at a time. A third crash confirms the request as the cause, and a successful run clears it.
+ * Without trial runs, a request that only ran concurrently with the cause was refused for minutes, because it
  * had no more runs that could have cleared it (in two of 25 soak runs with a popular request and one that
  * crashes instances).
  */
@@ -70,7 +70,7 @@
   private readonly _pending = new Map<string, number>();
   private readonly _depthObservations = new Map<string, DepthObservation[]>();
   /** When a suspected request may run next. */
-  private readonly _trialAt = new Map<string, number>();
+  private readonly _nextTrialAt = new Map<string, number>();
 
   /** Gets whether there is no record of any request; then no request needs to be looked up. */
   get isEmpty(): boolean {
@@ -88,7 +88,7 @@
   /** Checks whether a request must not be sent to endpoints now. */
   isKeptAway(now: number, digest: RequestDigest): boolean {
     const verdict = this._table.getVerdict(digest);
-    return verdict === "proven" || (verdict === "doubted" && now < (this._trialAt.get(digest) ?? 0));
+    return verdict === "proven" || (verdict === "doubted" && now < (this._nextTrialAt.get(digest) ?? 0));
   }
 
   /** Checks whether a request is the confirmed cause of crashes. */
@@ -184,9 +184,10 @@
   }
 
   private _delayTrial(now: number, digest: string): void {
-    this._trialAt.delete(digest);
-    this._trialAt.set(digest, now + DOUBT_MS);
-    if (this._trialAt.size > MAX_RECORDS_AT_ENTRY) this._trialAt.delete(this._trialAt.keys().next().value!);
+    this._nextTrialAt.delete(digest);
+    this._nextTrialAt.set(digest, now + DOUBT_MS);
+    if (this._nextTrialAt.size > MAX_RECORDS_AT_ENTRY)
+      this._nextTrialAt.delete(this._nextTrialAt.keys().next().value!);
   }
 
   private _getDepthAt(digest: RequestDigest, generation: number, time: number): number {
--- a/src/containment/checkCrashRecord.ts
+++ b/src/containment/checkCrashRecord.ts
@@ -22,7 +22,8 @@
   if (!DIGEST_PATTERN.test(digest)) throw createError("digest", "not 22 base64url characters");
   checkInteger("generation", generation, 0, Number.MAX_SAFE_INTEGER);
   checkInteger("releases", releases, 0, MAX_RELEASES);
-  if (crashes.length > MAX_CRASHES) throw createError("crashes", `the number of crashes exceeds ${MAX_CRASHES}`);
+  if (crashes.length > MAX_CRASHES)
+    throw createError("crashes", `the number of crashes exceeds ${MAX_CRASHES}`);
   for (const crash of crashes) checkCrash(crash);
 }
 
--- a/src/policy/Expression.ts
+++ b/src/policy/Expression.ts
@@ -76,7 +76,9 @@
     forEachNode(syntax, (node) => {
       const kind = node.exprKind;
       if (kind.case === "identExpr" && !(kind.value.name in SAMPLE_FACTS)) {
-        throw this._createError(`unknown name "${kind.value.name}"; known names: ${getNames(SAMPLE_FACTS)}`);
+        throw this._createError(
+          `"${kind.value.name}" is an unknown name; known names: ${getNames(SAMPLE_FACTS)}`,
+        );
       }
       if (kind.case === "selectExpr") this._throwIfUnknownField(kind.value.operand, kind.value.field);
     });
--- a/src/state/StateMachine.ts
+++ b/src/state/StateMachine.ts
@@ -235,11 +235,11 @@
 
   private _formReplica(index: number, form: FormReplica): Result {
     const replicaIds = this._getReplicaIdsByInstance();
-    const taken = form.members.find((member) => replicaIds.has(member.instanceId));
-    if (taken !== undefined) {
+    const assignedMember = form.members.find((member) => replicaIds.has(member.instanceId));
+    if (assignedMember !== undefined) {
       return {
         kind: "refusedReplica",
-        reason: `${taken.instanceId} belongs to ${replicaIds.get(taken.instanceId)}`,
+        reason: `${assignedMember.instanceId} belongs to ${replicaIds.get(assignedMember.instanceId)}`,
       };
     }
     const instanceIds = new Set(form.members.map((member) => member.instanceId));
