--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -48,11 +48,11 @@
 const MAX_REPORT_ATTEMPTS = 40;
 
 /**
- * Minimum time between the last crash of a suspected request and its next run, milliseconds; each entry allows
- * one such trial run at a time. A third crash confirms the request as the cause, and a successful run clears it.
- * Without trial runs, a request that only ran concurrently with the cause was refused for minutes, because it
- * had no more runs that could have cleared it (in two of 25 soak runs with a popular request and one that
- * crashes instances).
+ * Minimum time between the last crash of a suspected request and its next run, milliseconds; each entry
+ * allows one such trial run at a time. A third crash confirms the request as the cause, and a successful run
+ * clears it. Without trial runs, a request that only ran concurrently with the cause was refused for minutes,
+ * because it had no more runs that could have cleared it (in two of 25 soak runs with a popular request and
+ * one that crashes instances).
  */
 export const DOUBT_MS = 1_000;
 
--- a/src/leases/LeaseTable.ts
+++ b/src/leases/LeaseTable.ts
@@ -22,7 +22,7 @@
   readonly expiresAt: number;
 }
 
-/** The clocks of two machines differ by less than this share of an interval. */
+/** The clocks of two machines drift apart by less than this share of an interval. */
 const CLOCK_RATE_MARGIN = 0.01;
 /** Added to every interval, milliseconds. */
 const CLOCK_STEP_MARGIN_MS = 20;
@@ -81,12 +81,12 @@
     return this.getLiveHolders(now).filter((holder) => holder.knownConfiguration < version);
   }
 
-  /** Checks whether every entry with a lease uses a configuration version or a newer one. */
+  /** Checks whether every entry that may hold a lease uses a configuration version or a newer one. */
   isConfigurationInForce(now: number, version: number): boolean {
     return this.isClear(now) && this.getHoldersBefore(now, version).length === 0;
   }
 
-  /** Checks whether no entry with a lease may still use an assignment that ended at or before an index. */
+  /** Checks whether no entry that may hold a lease still uses an assignment that ended by an index. */
   isAssignmentInForce(now: number, index: number): boolean {
     return this.isClear(now) && this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index);
   }
--- a/test/admission/CallOrder.test.ts
+++ b/test/admission/CallOrder.test.ts
@@ -47,7 +47,7 @@
     expect(begun).toHaveLength(2 * CALLS_PER_TURN);
   });
 
-  it("starts an operator's command before reports that were queued earlier, and consensus messages at once", async () => {
+  it("starts an operator's command before reports queued earlier, and consensus messages at once", async () => {
     addMany("report", 100);
     add("view", "view");
     add("order", "order");
--- a/test/containment/CrashLedger.test.ts
+++ b/test/containment/CrashLedger.test.ts
@@ -96,7 +96,7 @@
     );
   });
 
-  it("limits a request that crashes every instance to three instances when each crash is reported before the next run", () => {
+  it("limits a request that crashes every instance to three crashes when each is reported at once", () => {
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 0, max: 8 }), { minLength: 4, maxLength: 30 }),
@@ -127,11 +127,11 @@
   });
 
   /**
-   * Guards against a false suspicion: a run that is sent to an instance after its end, over a connection that is
-   * not closed yet, breaks off and was counted as one more crash in a row of the same instance. Callers then got
-   * only refusals for a request that half of them sent, after two instances had ended under another request;
-   * the request had no more runs, so no successful run could clear it. The entry's log of a soak run showed two
-   * crashes on one target 43 ms apart, the second with depth 2, then only refusals.
+   * Guards against a false suspicion: a run that is sent to an instance after its end, over a connection that
+   * is not closed yet, breaks off and was counted as one more crash in a row of the same instance. After two
+   * instances had ended under another request, callers got only refusals for a request that half of them sent.
+   * That request had no more runs, so no successful run could clear it. The entry's log of a soak run showed
+   * two crashes on one target 43 ms apart, the second with depth 2, then only refusals.
    */
   it("counts several runs that broke off on one incarnation as one crash", () => {
     const ledger = new CrashLedger();
--- a/test/log/FileStorage.test.ts
+++ b/test/log/FileStorage.test.ts
@@ -153,7 +153,7 @@
       expect(readdirSync(folder).sort()).toEqual(["identity", "log-1", "snapshot-2"]);
     });
 
-    it("leaves a readable folder when the process ends after writing the snapshot and before writing the new log", async () => {
+    it("leaves a readable folder when the process ends between writing the snapshot and the new log", async () => {
       await write({ term: 2, entries: [createEntry(1), createEntry(2), createEntry(3)] });
       const log = readFileSync(getLogPath());
       const { storage } = await FileStorage.open(folder);
--- a/test/membership/member.test.ts
+++ b/test/membership/member.test.ts
@@ -11,7 +11,7 @@
 import { waitUntil } from "../support/waitUntil";
 
 describe("JoinTimeout", () => {
-  it("expires at once for a member that does not vote, and after 2 s without a leader or an election for a voter", () => {
+  it("expires at once for a non-voter, and after 2 s without a leader or an election for a voter", () => {
     const timeout = new VoterPatience();
     expect(timeout.isOver(0, false, false)).toBe(true);
     expect(timeout.isOver(0, true, false)).toBe(false);
@@ -23,7 +23,7 @@
 });
 
 describe("joinMembership", () => {
-  it("sends join requests to the current addresses when the addresses from the start are unreachable", async () => {
+  it("sends join requests to new addresses when those from the start are unreachable", async () => {
     const [unreachable, listen, own] = await getFreeAddresses(3);
     let joinRequests = 0;
     let failures = 0;
