--- a/test/leases/leases.test.ts
+++ b/test/leases/leases.test.ts
@@ -40,7 +40,7 @@
     return table;
   }
 
-  describe("isClear", () => {
+  describe("haveEarlierLeasesExpired", () => {
     it("is false until the leases of all earlier leaders have expired", () => {
       const table = new LeaseTable(10_000, LEASE_MS);
       expect(table.isClear(10_000 + LEASE_MS)).toBe(false);
