--- a/bench/containment.ts
+++ b/bench/containment.ts
@@ -4,7 +4,7 @@
  */
 import { create } from "@bufbuild/protobuf";
 import { CrashLedger, getRequestDigest, KEPT_CRASH_RECORDS, type RequestContent } from "../src/containment";
-import { CrashWatch } from "../src/gateway/CrashWatch";
+import { CrashMonitor } from "../src/gateway/CrashMonitor";
 import { CrashRecordSchema } from "../src/gen/ploverstage/v1/state_pb";
 import { SilentMetrics } from "../src/metrics";
 import { createConfig } from "../test/platform/createConfig";
@@ -53,7 +53,7 @@
 /** Gives what one request costs: it is looked for before it is sent, and its good end is noted. */
 function measureChecks(ledger: CrashLedger): number {
   const logger = { info: () => {}, warn: () => {} } as never;
-  const watch = new CrashWatch({ ledger, logger, metrics: new SilentMetrics(), onNews: () => {} });
+  const watch = new CrashMonitor({ ledger, logger, metrics: new SilentMetrics(), onChange: () => {} });
   const body = Buffer.alloc(BODY_BYTES, "x");
   const startedAt = performance.now();
   for (let i = 0; i < ROUNDS; i++) {
@@ -65,8 +65,8 @@
       return digest;
     };
     watch.admit(i, getDigest);
-    watch.isKeptAway(i, getDigest);
-    watch.addGoodEnd(i, getDigest);
+    watch.isBlocked(i, getDigest);
+    watch.addSuccess(i, getDigest);
   }
   return ((performance.now() - startedAt) / ROUNDS) * US_PER_MS;
 }
--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -144,7 +144,7 @@
    * Hands the lead over before a planned stop, so that the others need not miss it first.
    * @param totalMs - The longest time to wait for a successor.
    */
-  async handOver(totalMs: number): Promise<void> {
+  async transferLeadership(totalMs: number): Promise<void> {
     if (!this.node.transferLeadership()) return;
     this._pump();
     const endAt = this._clock.getMonotonicMs() + totalMs;
@@ -208,7 +208,7 @@
    * @returns Whether the joiner votes already.
    * @throws AbsentLeader
    */
-  addJoiner(joiner: Member): boolean {
+  addJoiningMember(joiner: Member): boolean {
     if (!this.isLeader()) throw this._createAbsentLeader();
     const now = this._clock.getMonotonicMs();
     const isCaughtUp = this.node.getProgress(joiner.id)?.isCaughtUp(this.node.commitIndex) === true;
--- a/src/control/ControlProcess.ts
+++ b/src/control/ControlProcess.ts
@@ -100,7 +100,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
     yield* Effect.forkScoped(createJoin(options, driver, clock, transports));
     options.logger.info({ event: "control_started", member: driver.node.id, term: stored.hardState.term });
     return driver;
--- a/src/registration/CrashRegistry.ts
+++ b/src/registration/CrashRegistry.ts
@@ -50,7 +50,7 @@
   }
 
   /** Has requests let run again that were kept away for long enough. */
-  async releaseDue(now: number): Promise<void> {
+  async releaseDueRequests(now: number): Promise<void> {
     if (now - this._checkedAt < RELEASE_CHECK_MS) return;
     this._checkedAt = now;
     const { driver, clock, logger } = this._options;
--- a/test/gateway/GatewayServer.test.ts
+++ b/test/gateway/GatewayServer.test.ts
@@ -215,7 +215,7 @@
         view_control: "10.0.0.1:1",
         view_silence_ms: 80,
       });
-      harness.shown = { control: "", term: 0, silenceMs: Number.POSITIVE_INFINITY };
+      harness.shown = { control: "", term: 0, heartbeatAgeMs: Number.POSITIVE_INFINITY };
       await harness.call();
       expect(getLast()).toMatchObject({ view_term: 0, view_control: "" });
       expect(getLast()).not.toHaveProperty("view_silence_ms");
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -113,7 +113,7 @@
       const since = now;
       while (machine.isProven(DIGEST)) {
         now += 60_000;
-        await registry.releaseDue(now);
+        await registry.releaseDueRequests(now);
       }
       spans.push(now - since);
       const { generation, releases } = machine.getCrashRecord(DIGEST)!;
