--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,2 +1,2 @@
-/** Which calls a process begins, and when. */
-export { type ArrivedCall, CALL_CLASSES, type CallClass, CallOrder } from "./CallOrder";
+/** Scheduling of the calls that a process receives. */
+export { CALL_CLASSES, type CallClass, CallOrder, type IncomingCall } from "./CallOrder";
--- a/src/containment/index.ts
+++ b/src/containment/index.ts
@@ -1,4 +1,4 @@
-/** What requests did to the endpoints that ran them, and which requests are kept away from endpoints. */
+/** Crash records of requests, and the decision which requests are blocked from endpoints. */
 export {
   type Admittance,
   CrashLedger,
@@ -8,6 +8,6 @@
 } from "./CrashLedger";
 export { CrashTable, type CrashVerdict } from "./CrashTable";
 export { checkCrashRecord } from "./checkCrashRecord";
-export { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
+export { getCrashDepth, isCrashRecordKnown, mergeCrashRecords } from "./crashRecords";
 export { getRequestDigest, type RequestContent, type RequestDigest } from "./RequestDigest";
 export { createRelease, isReleaseDue, KEEP_AWAY_MS } from "./release";
