--- a/src/admission/CallOrder.ts
+++ b/src/admission/CallScheduler.ts
@@ -33,7 +33,7 @@
 const MAX_QUEUED_PER_CLASS = 1_000;
 
 /** Schedules the calls of one process. */
-export class CallOrder {
+export class CallScheduler {
   private readonly _metrics: Metrics;
   private readonly _queues = new Map<CallClass, IncomingCall[]>();
   private _startedInTurn = 0;
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,2 +1,2 @@
 /** Scheduling of the calls that a process receives. */
-export { CALL_CLASSES, type CallClass, CallOrder, type IncomingCall } from "./CallOrder";
+export { CALL_CLASSES, type CallClass, CallScheduler, type IncomingCall } from "./CallScheduler";
--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -8,7 +8,7 @@
 import { create } from "@bufbuild/protobuf";
 import { type CrashRecord, CrashRecordSchema } from "../gen/ploverstage/v1/state_pb";
 import { CrashTable, type CrashVerdict } from "./CrashTable";
-import { getCrashDepth, isCrashRecordKnown } from "./crashRecords";
+import { getCrashDepth, isCrashRecordIncluded } from "./crashRecords";
 import type { RequestDigest } from "./RequestDigest";
 
 /** A crash of an instance while it ran a request. */
@@ -36,9 +36,9 @@
  * removed first. Each entry and the replicated state retain them; a record with three crashes of 25 bytes
  * each takes some 150 bytes.
  */
-export const KEPT_CRASH_RECORDS = 1_024;
+export const MAX_CRASH_RECORDS = 1_024;
 /** Maximum number of records at an entry, which also retains the records that it has yet to report. */
-const MAX_RECORDS_AT_ENTRY = 2 * KEPT_CRASH_RECORDS;
+const MAX_RECORDS_AT_ENTRY = 2 * MAX_CRASH_RECORDS;
 /** Maximum number of records in one report. */
 const MAX_RECORDS_PER_REPORT = 256;
 /**
@@ -54,13 +54,13 @@
  * because it had no more runs that could have cleared it (in two of 25 soak runs with a popular request and
  * one that crashes instances).
  */
-export const DOUBT_MS = 1_000;
+export const TRIAL_DELAY_MS = 1_000;
 
 /**
  * Whether a request may be sent to endpoints now; a trial is the single run that a suspected request is
  * allowed.
  */
-export type Admittance = "admitted" | "trial" | "keptAway";
+export type AdmissionDecision = "admitted" | "trial" | "keptAway";
 
 /** The crash records of one entry. */
 export class CrashLedger {
@@ -78,21 +78,21 @@
   }
 
   /** Decides whether a request may be sent to endpoints. A returned trial counts as started. */
-  admit(now: number, digest: RequestDigest): Admittance {
-    if (this.isKeptAway(now, digest)) return "keptAway";
+  admit(now: number, digest: RequestDigest): AdmissionDecision {
+    if (this.isBlocked(now, digest)) return "keptAway";
     if (this._table.getVerdict(digest) === "free") return "admitted";
     this._delayTrial(now, digest);
     return "trial";
   }
 
   /** Checks whether a request must not be sent to endpoints now. */
-  isKeptAway(now: number, digest: RequestDigest): boolean {
+  isBlocked(now: number, digest: RequestDigest): boolean {
     const verdict = this._table.getVerdict(digest);
     return verdict === "proven" || (verdict === "doubted" && now < (this._nextTrialAt.get(digest) ?? 0));
   }
 
   /** Checks whether a request is the confirmed cause of crashes. */
-  isProven(digest: RequestDigest): boolean {
+  isConfirmedCause(digest: RequestDigest): boolean {
     return this._table.getVerdict(digest) === "proven";
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** Counts the requests that are the confirmed cause of crashes. */
-  countProven(): number {
+  countConfirmedCauses(): number {
     return this._table.countConfirmedCauses();
   }
 
@@ -132,7 +132,7 @@
    * Records a successful run, which clears the request: a request that crashes every instance has none.
    * @returns Whether there was a crash or a release to clear.
    */
-  addGoodEnd(now: number, digest: RequestDigest): boolean {
+  addSuccess(now: number, digest: RequestDigest): boolean {
     const known = this._table.getRecord(digest);
     if (known === undefined || (known.crashes.length === 0 && known.releases === 0)) return false;
     this._add(now, create(CrashRecordSchema, { digest, generation: known.generation + 1 }));
@@ -141,7 +141,7 @@
   }
 
   /** Adds records that were committed. */
-  addAgreed(now: number, records: readonly CrashRecord[]): void {
+  addCommitted(now: number, records: readonly CrashRecord[]): void {
     for (const record of records) {
       this._committed.addRecord(record);
       this._add(now, record);
@@ -185,7 +185,7 @@
 
   private _delayTrial(now: number, digest: string): void {
     this._nextTrialAt.delete(digest);
-    this._nextTrialAt.set(digest, now + DOUBT_MS);
+    this._nextTrialAt.set(digest, now + TRIAL_DELAY_MS);
     if (this._nextTrialAt.size > MAX_RECORDS_AT_ENTRY)
       this._nextTrialAt.delete(this._nextTrialAt.keys().next().value!);
   }
@@ -202,7 +202,8 @@
 
   private _updatePending(digest: string): void {
     const record = this._table.getRecord(digest);
-    const isCommitted = record === undefined || isCrashRecordKnown(record, this._committed.getRecord(digest));
+    const isCommitted =
+      record === undefined || isCrashRecordIncluded(record, this._committed.getRecord(digest));
     if (isCommitted) this._pending.delete(digest);
     else this._pending.set(digest, this._pending.get(digest) ?? 0);
   }
--- a/src/containment/CrashTable.ts
+++ b/src/containment/CrashTable.ts
@@ -6,7 +6,7 @@
  * between. The other requests either succeed or were not running on all of those instances. Pure.
  */
 import type { CrashRecord, RequestCrash } from "../gen/ploverstage/v1/state_pb";
-import { getCrashDepth, isCrashRecordKnown, mergeCrashRecords } from "./crashRecords";
+import { getCrashDepth, isCrashRecordIncluded, mergeCrashRecords } from "./crashRecords";
 
 /**
  * Crashes in a row that confirm a request as the cause, whatever other requests were running concurrently.
@@ -59,7 +59,7 @@
    */
   addRecord(record: CrashRecord): CrashRecord | undefined {
     const known = this._records.get(record.digest);
-    if (isCrashRecordKnown(record, known)) return undefined;
+    if (isCrashRecordIncluded(record, known)) return undefined;
     const merged = mergeCrashRecords(known ?? record, record);
     this._remove(record.digest);
     this._records.set(record.digest, merged);
--- a/src/containment/crashRecords.ts
+++ b/src/containment/crashRecords.ts
@@ -43,7 +43,7 @@
 }
 
 /** Checks whether a record adds nothing to another record of the same request. */
-export function isCrashRecordKnown(record: CrashRecord, known: CrashRecord | undefined): boolean {
+export function isCrashRecordIncluded(record: CrashRecord, known: CrashRecord | undefined): boolean {
   if (known === undefined) {
     return record.generation === 0 && record.crashes.length === 0 && record.releases === 0;
   }
--- a/src/containment/release.ts
+++ b/src/containment/release.ts
@@ -7,7 +7,7 @@
  * that is only suspected is dropped after the same time. The endpoint's code or weights may have been fixed
  * since, and no process is notified of that.
  */
-export const KEEP_AWAY_MS = 600_000;
+export const BLOCK_MS = 600_000;
 /**
  * Each time a released request ends an instance again, its blocking time is multiplied by this factor: after
  * 10 minutes, 1, 6 and 36 hours. After a release one crash is enough to block the request, so that it costs
@@ -20,7 +20,7 @@
  * @param now - Wall clock of the leader, Unix milliseconds.
  */
 export function isReleaseDue(now: number, { crashes, releases, crashedAtMs }: CrashRecord): boolean {
-  return crashes.length > 0 && now - crashedAtMs >= KEEP_AWAY_MS * BLOCK_GROWTH_FACTOR ** releases;
+  return crashes.length > 0 && now - crashedAtMs >= BLOCK_MS * BLOCK_GROWTH_FACTOR ** releases;
 }
 
 /**
--- a/src/http/JsonServer.ts
+++ b/src/http/JsonServer.ts
@@ -1,7 +1,7 @@
 /** A plain server of HTTP/1.1 whose calls are short and whose answers are JSON. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { Effect, type Scope } from "effect";
-import type { CallClass, CallOrder } from "../admission";
+import type { CallClass, CallScheduler } from "../admission";
 import { pause } from "../clock";
 import { Connections } from "./Connections";
 import { listen } from "./listen";
@@ -21,7 +21,7 @@
   /** Makes the answer to a call that failed. */
   readonly createFailure: (cause: unknown) => JsonAnswer;
   /** Begins calls at their time. */
-  readonly calls: CallOrder;
+  readonly calls: CallScheduler;
   readonly getCallClass: (path: string) => CallClass;
 }
 
--- a/src/leases/EntryLease.ts
+++ b/src/leases/EntryLease.ts
@@ -26,7 +26,7 @@
   }
 
   /** Gets the remaining time of the lease in milliseconds, 0 when it has expired. */
-  getLeftMs(now: number): number {
+  getRemainingMs(now: number): number {
     return Math.max(0, this._expiresAt - now);
   }
 }
--- a/src/leases/LeaseTable.ts
+++ b/src/leases/LeaseTable.ts
@@ -67,7 +67,7 @@
   }
 
   /** Checks whether all leases of earlier leaders have expired. */
-  isClear(now: number): boolean {
+  haveEarlierLeasesExpired(now: number): boolean {
     return now >= this._earlierLeasesExpireAt;
   }
 
@@ -77,18 +77,21 @@
   }
 
   /** Gets the live entries that may still use a configuration older than a version. */
-  getHoldersBefore(now: number, version: number): LeaseHolder[] {
+  getOutdatedHolders(now: number, version: number): LeaseHolder[] {
     return this.getLiveHolders(now).filter((holder) => holder.knownConfiguration < version);
   }
 
   /** Checks whether every entry that may hold a lease uses a configuration version or a newer one. */
   isConfigurationInForce(now: number, version: number): boolean {
-    return this.isClear(now) && this.getHoldersBefore(now, version).length === 0;
+    return this.haveEarlierLeasesExpired(now) && this.getOutdatedHolders(now, version).length === 0;
   }
 
   /** Checks whether no entry that may hold a lease still uses an assignment that ended by an index. */
   isAssignmentInForce(now: number, index: number): boolean {
-    return this.isClear(now) && this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index);
+    return (
+      this.haveEarlierLeasesExpired(now) &&
+      this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index)
+    );
   }
 
   /** Removes entries whose lease expired more than a given time ago. */
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -32,7 +32,7 @@
 const VOTER_JOIN_TIMEOUT_MS = 2_000;
 
 /** Gets the id of a bootstrap member, which belongs to the group from its first start. */
-export function getFirstId(name: string): MemberId {
+export function getBootstrapMemberId(name: string): MemberId {
   return MemberId(`${name}.0`);
 }
 
@@ -134,7 +134,7 @@
  * A voter without a leader is usually taking part in the election of one, so it sends no join request until
  * the election must have finished. Pure.
  */
-export class VoterPatience {
+export class JoinTimeout {
   private _leaderlessSince: number | undefined;
 
   /**
@@ -142,7 +142,7 @@
    * @param hasLeaderOrElection - Whether the member receives heartbeats of a leader, or messages of a
    * majority that is electing one.
    */
-  isOver(now: number, isVoting: boolean, hasLeaderOrElection: boolean): boolean {
+  isExpired(now: number, isVoting: boolean, hasLeaderOrElection: boolean): boolean {
     if (!isVoting) return true;
     if (hasLeaderOrElection) {
       this._leaderlessSince = undefined;
@@ -169,13 +169,13 @@
     clock,
   };
   let client: LeaderClient<typeof ConsensusService> | undefined;
-  const joinTimeout = new VoterPatience();
+  const joinTimeout = new JoinTimeout();
   const attempt = Effect.promise(async () => {
     const { node } = driver;
     const isVoting = isVoter(node.membership, node.id);
     const now = clock.getMonotonicMs();
     const hasLeaderOrElection = node.leaderId !== "" || node.isElecting(now);
-    if (!joinTimeout.isOver(now, isVoting, hasLeaderOrElection) || getAddresses().length === 0) return;
+    if (!joinTimeout.isExpired(now, isVoting, hasLeaderOrElection) || getAddresses().length === 0) return;
     client ??= new LeaderClient(ConsensusService, clientOptions);
     await client
       .call((leader, timeoutMs) => leader.join({ member }, { timeoutMs }), JOIN_TIMEOUT_MS)
--- a/src/state/Result.ts
+++ b/src/state/CommandResult.ts
@@ -64,7 +64,7 @@
 }
 
 /** The result of any command. */
-export type Result =
+export type CommandResult =
   | AcceptedConfiguration
   | ConflictingConfiguration
   | ChangedReplica
--- a/src/state/StateMachine.ts
+++ b/src/state/StateMachine.ts
@@ -6,7 +6,7 @@
  */
 import { clone, create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import { getConfigurationDigest } from "../configuration/ConfigurationPatch";
-import { CrashTable, KEPT_CRASH_RECORDS } from "../containment";
+import { CrashTable, MAX_CRASH_RECORDS } from "../containment";
 import type { LogEntry } from "../gen/ploverstage/v1/consensus_pb";
 import {
   type ClaimRequest,
@@ -34,8 +34,8 @@
   StateSchema,
 } from "../gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life, type LifeKey } from "../ids";
-import { ClaimQueue } from "./ClaimOrder";
-import type { Result } from "./Result";
+import { ClaimQueue } from "./ClaimQueue";
+import type { CommandResult } from "./CommandResult";
 
 /** Newest configurations whose text is retained; older ones retain only their digest. */
 const MAX_CONFIGURATION_TEXTS = 20;
@@ -51,7 +51,7 @@
   private readonly _state: State;
   private readonly _claimQueue: ClaimQueue;
   private readonly _departures: Map<LifeKey, Departure>;
-  private readonly _crashTable = new CrashTable(KEPT_CRASH_RECORDS);
+  private readonly _crashTable = new CrashTable(MAX_CRASH_RECORDS);
   private _crashIndex = 0;
 
   /**
@@ -161,7 +161,7 @@
   }
 
   /** Checks whether a request is the confirmed cause of crashes of the instances that ran it. */
-  isProven(digest: string): boolean {
+  isConfirmedCause(digest: string): boolean {
     return this._crashTable.getVerdict(digest) === "proven";
   }
 
@@ -175,7 +175,7 @@
    * Applies a committed log entry.
    * @returns The result of the command; `undefined` for log entries without a command.
    */
-  apply(entry: LogEntry): Result | undefined {
+  apply(entry: LogEntry): CommandResult | undefined {
     this._state.appliedIndex = entry.index;
     if (entry.body.case !== "command") return undefined;
     const command = fromBinary(CommandSchema, entry.body.value).body;
@@ -201,7 +201,7 @@
     }
   }
 
-  private _setConfiguration(index: number, change: SetConfiguration): Result {
+  private _setConfiguration(index: number, change: SetConfiguration): CommandResult {
     const previousVersion = this._state.changeOutcomes[change.changeId];
     if (previousVersion !== undefined)
       return { kind: "acceptedConfiguration", version: Number(previousVersion) };
@@ -233,7 +233,7 @@
     delete this._state.changeOutcomes[removed.changeId];
   }
 
-  private _formReplica(index: number, form: FormReplica): Result {
+  private _formReplica(index: number, form: FormReplica): CommandResult {
     const replicaIds = this._getReplicaIdsByInstance();
     const assignedMember = form.members.find((member) => replicaIds.has(member.instanceId));
     if (assignedMember !== undefined) {
@@ -274,7 +274,7 @@
     return replicaIds;
   }
 
-  private _moveReplica(index: number, move: MoveReplica): Result {
+  private _moveReplica(index: number, move: MoveReplica): CommandResult {
     const replica = this._state.replicas[move.replicaId];
     if (replica === undefined || replica.epoch !== move.epoch) {
       return { kind: "refusedReplica", reason: `${move.replicaId} has no epoch ${move.epoch}` };
@@ -303,7 +303,7 @@
     }
   }
 
-  private _addClaim(request: ClaimRequest): Result {
+  private _addClaim(request: ClaimRequest): CommandResult {
     const now = this._advanceClock(request.atMs);
     this._removeOldClaims(now - request.retentionMs);
     const existing = this._state.claims[request.key];
@@ -332,7 +332,7 @@
     }
   }
 
-  private _completeClaim(completion: SettleRequest): Result {
+  private _completeClaim(completion: SettleRequest): CommandResult {
     const claim = this._state.claims[completion.key];
     if (claim === undefined || claim.requestId !== completion.requestId) return { kind: "settledClaim" };
     if (claim.state !== ClaimState.RUNNING) return { kind: "settledClaim" };
@@ -345,7 +345,7 @@
     return { kind: "settledClaim" };
   }
 
-  private _putDeclaration(put: PutDeclaration): Result {
+  private _putDeclaration(put: PutDeclaration): CommandResult {
     const currentVersion = this._state.declaration?.version ?? 0;
     if (put.version <= currentVersion) return { kind: "heldDeclaration", version: currentVersion };
     this._state.declaration = create(DeclarationSchema, {
@@ -356,7 +356,7 @@
     return { kind: "heldDeclaration", version: put.version };
   }
 
-  private _recordDepartures(index: number, record: RecordDepartures): Result {
+  private _recordDepartures(index: number, record: RecordDepartures): CommandResult {
     const atMs = this._advanceClock(record.atMs);
     for (const { instanceId, born } of record.lives) {
       const departure = create(DepartureSchema, { instanceId, born, logIndex: index, atMs });
@@ -370,7 +370,7 @@
     return { kind: "recordedDepartures" };
   }
 
-  private _recordCrashes(index: number, { records, atMs }: RecordCrashes): Result {
+  private _recordCrashes(index: number, { records, atMs }: RecordCrashes): CommandResult {
     const crashedAtMs = this._advanceClock(atMs);
     for (const record of records) {
       const merged = this._crashTable.addRecord(record);
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -1,3 +1,3 @@
 /** The replicated state and the results of its commands. */
-export type * from "./Result";
+export type * from "./CommandResult";
 export { StateMachine } from "./StateMachine";
--- a/test/containment/CrashLedger.test.ts
+++ b/test/containment/CrashLedger.test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { CrashLedger, CrashTable, KEPT_CRASH_RECORDS, type RequestDigest } from "../../src/containment";
+import { CrashLedger, CrashTable, MAX_CRASH_RECORDS, type RequestDigest } from "../../src/containment";
 
 const CAUSE = "guilty" as RequestDigest;
 const POPULAR = "popular" as RequestDigest;
 
 /** Several entries and the crash records that they have committed, merged as in the replicated state. */
 class Fleet {
-  readonly committed = new CrashTable(KEPT_CRASH_RECORDS);
+  readonly committed = new CrashTable(MAX_CRASH_RECORDS);
   readonly entries: readonly CrashLedger[];
   private _now = 0;
 
@@ -28,13 +28,13 @@
   }
 
   succeed(entry: number, digest: RequestDigest): void {
-    this.entries[entry]!.addGoodEnd(this._now, digest);
+    this.entries[entry]!.addSuccess(this._now, digest);
   }
 
   /** Commits the pending records of an entry and sends all committed records to every entry. */
   report(entry: number): void {
     for (const record of this.entries[entry]!.takePending()) this.committed.addRecord(record);
-    for (const ledger of this.entries) ledger.addAgreed(this._now, this.committed.getRecords());
+    for (const ledger of this.entries) ledger.addCommitted(this._now, this.committed.getRecords());
   }
 }
 
@@ -44,10 +44,10 @@
     expect(fleet.crash(0, CAUSE, "a")).toBe(1);
     fleet.report(0);
     expect(fleet.crash(1, CAUSE, "b")).toBe(2);
-    expect(fleet.entries[1]!.isKeptAway(fleet.now, CAUSE)).toBe(true);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, CAUSE)).toBe(false);
+    expect(fleet.entries[1]!.isBlocked(fleet.now, CAUSE)).toBe(true);
+    expect(fleet.entries[0]!.isBlocked(fleet.now, CAUSE)).toBe(false);
     fleet.report(1);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, CAUSE)).toBe(true);
+    expect(fleet.entries[0]!.isBlocked(fleet.now, CAUSE)).toBe(true);
     expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false]);
   });
 
@@ -57,7 +57,7 @@
       const crash = { digest: POPULAR, life: `rack-${i}`, startedAt: 0, brokeAt: 100, wasAnswered: false };
       expect(ledger.addCrash(crash)).toBe(1);
     }
-    expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
+    expect(ledger.isBlocked(100, POPULAR)).toBe(false);
   });
 
   it("starts counting again after a successful run at any entry", () => {
@@ -68,7 +68,7 @@
       fleet.succeed((i + 1) % 3, POPULAR);
       fleet.report((i + 1) % 3);
     }
-    expect(fleet.entries.some((ledger) => ledger.isKeptAway(fleet.now, POPULAR))).toBe(false);
+    expect(fleet.entries.some((ledger) => ledger.isBlocked(fleet.now, POPULAR))).toBe(false);
   });
 
   it("reaches the same verdicts at all entries, independent of the order and repetition of reports", () => {
@@ -88,7 +88,7 @@
         }
         for (const entry of [0, 1, 2, 3, 0, 1, 2, 3]) fleet.report(entry);
         for (const digest of [CAUSE, POPULAR]) {
-          const verdicts = fleet.entries.map((ledger) => ledger.isProven(digest));
+          const verdicts = fleet.entries.map((ledger) => ledger.isConfirmedCause(digest));
           expect(new Set([...verdicts, fleet.committed.getVerdict(digest) === "proven"]).size).toBe(1);
         }
         expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false, false, false]);
@@ -104,7 +104,7 @@
           const fleet = new Fleet(9);
           let crashes = 0;
           for (const entry of entryIndexes) {
-            if (fleet.entries[entry]!.isKeptAway(fleet.now, CAUSE)) continue;
+            if (fleet.entries[entry]!.isBlocked(fleet.now, CAUSE)) continue;
             fleet.crash(entry, CAUSE, `life-${crashes++}`);
             // Another request broke off on the same instance and did not run again.
             const life = `life-${crashes - 1}`;
@@ -138,7 +138,7 @@
     const crash = { digest: POPULAR, life: "a", wasAnswered: false };
     expect(ledger.addCrash({ ...crash, startedAt: 0, brokeAt: 50 })).toBe(1);
     expect(ledger.addCrash({ ...crash, startedAt: 60, brokeAt: 100 })).toBe(1);
-    expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
+    expect(ledger.isBlocked(100, POPULAR)).toBe(false);
   });
 
   it("allows one run of a suspected request one second after its last crash", () => {
@@ -150,7 +150,7 @@
     expect(ledger!.admit(now, POPULAR)).toBe("keptAway");
     expect(ledger!.admit(now + 1_000, POPULAR)).toBe("trial");
     expect(ledger!.admit(now + 1_001, POPULAR)).toBe("keptAway");
-    ledger!.addGoodEnd(now + 1_100, POPULAR);
+    ledger!.addSuccess(now + 1_100, POPULAR);
     expect(ledger!.admit(now + 1_101, POPULAR)).toBe("admitted");
   });
 
--- a/test/membership/member.test.ts
+++ b/test/membership/member.test.ts
@@ -4,7 +4,7 @@
 import { type ConsensusDriver, createMembership } from "../../src/consensus";
 import { ConsensusService } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { MemberId } from "../../src/ids";
-import { createMember, joinMembership, VoterPatience } from "../../src/membership/member";
+import { createMember, JoinTimeout, joinMembership } from "../../src/membership/member";
 import type { Logger } from "../../src/metrics";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
@@ -12,13 +12,13 @@
 
 describe("JoinTimeout", () => {
   it("expires at once for a non-voter, and after 2 s without a leader or an election for a voter", () => {
-    const timeout = new VoterPatience();
-    expect(timeout.isOver(0, false, false)).toBe(true);
-    expect(timeout.isOver(0, true, false)).toBe(false);
-    expect(timeout.isOver(2_000, true, false)).toBe(false);
-    expect(timeout.isOver(2_001, true, false)).toBe(true);
-    expect(timeout.isOver(2_100, true, true)).toBe(false);
-    expect(timeout.isOver(2_200, true, false)).toBe(false);
+    const timeout = new JoinTimeout();
+    expect(timeout.isExpired(0, false, false)).toBe(true);
+    expect(timeout.isExpired(0, true, false)).toBe(false);
+    expect(timeout.isExpired(2_000, true, false)).toBe(false);
+    expect(timeout.isExpired(2_001, true, false)).toBe(true);
+    expect(timeout.isExpired(2_100, true, true)).toBe(false);
+    expect(timeout.isExpired(2_200, true, false)).toBe(false);
   });
 });
 
