--- a/src/engine/Engine.ts
+++ b/src/engine/Engine.ts
@@ -1,88 +1,90 @@
 /**
- * A model engine, as the system uses it.
+ * The interface of a model engine.
  *
- * Tokens are counted from 0 over the whole answer, so that a cut stream can go on at
- * a known offset. Every request and order carries the epoch of its replica; an engine
- * that checks refuses an older one.
+ * Tokens are counted from 0 over the whole answer, so that an interrupted stream can be resumed at a known
+ * offset. Every request and order carries the epoch of its replica. An engine that checks epochs refuses an
+ * older one.
  */
 import type { InstanceId, ReplicaId, RequestId } from "../ids";
 
-/** An engine's load as it reports it; the report lags. */
+/** An engine's load. Reports lag behind the actual load. */
 export interface EngineLoad {
   readonly running: number;
   readonly waiting: number;
-  /** Prompt and output tokens still to be worked on. */
+  /** Prompt and output tokens that are still to be processed. */
   readonly pendingTokens: number;
   /** Share of the KV cache in use, 0 to 1. */
   readonly kvUsed: number;
 }
 
-/** What an instance says of itself. */
+/** The state that an instance reports. */
 export interface EngineState {
   readonly instanceId: InstanceId;
   readonly replicaId: ReplicaId;
-  /** Newest epoch it took an order in, 0 before the first. */
+  /** Highest epoch of the orders that the instance has accepted; 0 before the first order. */
   readonly epoch: number;
   readonly model: string;
   readonly modelVersion: string;
   readonly adapters: readonly string[];
-  /** Whether the model is loaded and the instance joined its replica. */
+  /** Whether the model is loaded and the instance has joined its replica. */
   readonly isReady: boolean;
   readonly load: EngineLoad;
 }
 
-/** A fenced order: load a model for a replica and take a place in it. */
+/** A fenced order to load a model for a replica and join the replica. */
 export interface EngineOrder {
   readonly replicaId: ReplicaId;
   readonly epoch: number;
   readonly model: string;
   readonly modelVersion: string;
   readonly adapters: readonly string[];
-  /** Addresses of all members in rank order; the first one takes requests. */
+  /** Addresses of all members in rank order. The first member receives the requests. */
   readonly members: readonly string[];
   readonly rank: number;
 }
 
-/** One generation. */
+/** A request to generate text. */
 export interface Generation {
   readonly requestId: RequestId;
   readonly replicaId: ReplicaId;
   readonly epoch: number;
   readonly model: string;
-  /** Adapter to use, "" for the base model. */
+  /** Adapter to use; "" for the base model. */
   readonly adapter: string;
   readonly prompt: string;
-  /** Digests of the prompt's leading blocks, by which cache events name prefixes. */
+  /** Digests of the prompt's leading blocks. Cache events identify prefixes by them. */
   readonly prefixDigests: readonly string[];
   readonly maxTokens: number;
-  /** 0 is served first. */
+  /** Priority class; 0 is served first. */
   readonly priority: number;
   readonly temperature: number | undefined;
   readonly stop: readonly string[];
 }
 
-/** How a generation is sent. */
+/** Options for sending a generation. */
 export interface SendOptions {
-  /** Ends the generation from outside. */
+  /** Aborts the generation. */
   readonly signal: AbortSignal;
-  /** Runs right before the first byte goes out; what it throws ends the call unsent. */
+  /** Called right before the first byte is sent. An exception ends the call without sending anything. */
   readonly beforeSend: () => void;
-  /** Uses a connection of its own, so that a failure to send is never taken for a loss. */
+  /**
+   * Whether to use a new connection, so that a request that was not sent is never reported as possibly run.
+   */
   readonly isFresh: boolean;
 }
 
 /** A piece of an answer. */
 export interface Frame {
-  /** Index of its first token in the answer. */
+  /** Index of the frame's first token in the answer. */
   readonly offset: number;
-  /** How many tokens it holds. */
+  /** Number of tokens in the frame. */
   readonly tokens: number;
   readonly text: string;
-  /** Set on the last frame: why the answer ended. */
+  /** Reason why the answer ended; set on the last frame only. */
   readonly finishReason: string | undefined;
 }
 
-/** A change of an engine's prefix cache; events arrive late and with gaps. */
+/** A change to an engine's prefix cache. Events arrive late and may have gaps. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: "stored" | "removed";
@@ -90,33 +92,34 @@
   readonly prefix: string;
 }
 
-/** The interface of one engine. */
+/** A model engine at one address. */
 export interface Engine {
-  /** host:port */
+  /** Address in the form host:port. */
   readonly address: string;
-  /** Gets what the instance says of itself. */
+  /** Gets the state that the instance reports. */
   getState(timeoutMs: number): Promise<EngineState>;
   /**
-   * Gives a fenced order; the instance is ready once `getState` says so.
-   * @throws RefusedOrder - On an older epoch.
+   * Sends a fenced order. The instance has executed it once `getState` reports it as ready.
+   * @throws RefusedOrder - The epoch of the order is older than the instance's.
    */
   sendOrder(order: EngineOrder, timeoutMs: number): Promise<void>;
   /**
    * Starts a generation.
-   * @returns Its frames in order, as many at a time as arrived together, each checked against request, epoch and offset.
-   * @throws UnreachableEndpoint, RefusedOrder - It was not run.
-   * @throws LostAnswer - It may have run.
+   * @returns Its frames in order, in batches of those that arrived together. Each frame is checked against
+   * the request, epoch and offset.
+   * @throws UnreachableEndpoint, RefusedOrder - The generation was not run.
+   * @throws LostAnswer - The generation may have run.
    */
   generate(generation: Generation, options: SendOptions): Promise<AsyncIterable<readonly Frame[]>>;
-  /** Continues a generation at an offset. */
+  /** Resumes a generation at an offset, in tokens. */
   resume(
     generation: Generation,
     offset: number,
     options: SendOptions,
   ): Promise<AsyncIterable<readonly Frame[]>>;
-  /** Ends a generation that nobody waits for. */
+  /** Cancels a generation whose result is no longer needed. */
   cancel(requestId: RequestId, epoch: number, timeoutMs: number): Promise<void>;
-  /** Gets cache events after a sequence number. */
+  /** Gets the cache events that follow a sequence number. */
   getCacheEvents(after: number, timeoutMs: number): Promise<CacheEvent[]>;
   /** Exports the KV cache of a generation. */
   exportKv(requestId: RequestId, epoch: number, timeoutMs: number): Promise<Uint8Array>;
--- a/src/engine/FrameReader.ts
+++ b/src/engine/FrameReader.ts
@@ -1,17 +1,16 @@
 /**
- * Reads an engine's answer: one JSON frame a line.
+ * Reads an engine's answer, which has one JSON frame per line.
  *
- * Each frame names its request, epoch and offset. A doubled frame is dropped; a frame
- * of another request or epoch, or after a gap, ends the reading with a typed error and
- * the connection is given up.
+ * Each frame states its request, epoch and offset. A duplicate frame is dropped. A frame of another request
+ * or epoch, or one that follows a gap, ends the stream with a typed error and closes the connection.
  */
 import type { IncomingMessage } from "node:http";
 import { ForeignAnswer, LostAnswer, MalformedAnswer } from "../errors";
 import type { Frame, Generation } from "./Engine";
 
-/** Longest line accepted, characters. */
+/** Maximum length of a line, in characters. */
 const MAX_LINE = 1_000_000;
-/** Time that an answer has to end after its last frame. */
+/** Time that the response may take to end after its last frame, in milliseconds. */
 const DRAIN_MS = 1_000;
 
 interface WireFrame {
@@ -23,17 +22,15 @@
   readonly finish_reason?: string;
 }
 
-/** Frames of one generation, as many at a time as arrived together. */
+/** The frames of one generation, in batches of those that arrived together. */
 export class FrameReader implements AsyncIterable<readonly Frame[]> {
   private readonly _answer: IncomingMessage;
   private readonly _address: string;
   private readonly _generation: Generation;
   private _offset: number;
-  private _rest = "";
+  private _partialLine = "";
 
-  /**
-   * @param offset - Index of the first token expected.
-   */
+  /** @param offset - Index of the first token expected. */
   constructor(answer: IncomingMessage, address: string, generation: Generation, offset: number) {
     this._answer = answer;
     this._address = address;
@@ -42,15 +39,17 @@
   }
 
   /**
-   * Gives the frames in order.
-   * @throws LostAnswer - When the answer ended without its last frame.
-   * @throws ForeignAnswer, MalformedAnswer
+   * Reads the frames in order.
+   * @throws LostAnswer - The response ended or failed before the last frame.
+   * @throws ForeignAnswer - A frame has another request or epoch, or follows a gap.
+   * @throws MalformedAnswer - A frame is invalid.
    */
   async *[Symbol.asyncIterator](): AsyncGenerator<readonly Frame[]> {
     let isWhole = false;
     try {
       this._answer.setEncoding("utf8");
-      // Leaving the loop must not close the connection: a whole answer leaves it reusable.
+      // Leaving the loop must not close the connection: after a complete answer, the connection can be
+      // reused.
       for await (const chunk of this._answer.iterator({ destroyOnReturn: false }) as AsyncIterable<string>) {
         const { frames, failure } = this._takeFrames(chunk);
         isWhole = frames.at(-1)?.finishReason !== undefined;
@@ -62,14 +61,17 @@
       if (cause instanceof ForeignAnswer || cause instanceof MalformedAnswer) throw cause;
       throw this._createLost(String(cause));
     } finally {
-      if (isWhole) this._drain();
+      if (isWhole) this._finishResponse();
       else this._answer.destroy();
     }
-    throw this._createLost(`it ended at token ${this._offset} without a last frame`);
+    throw this._createLost(`the stream ended at token ${this._offset} without a last frame`);
   }
 
-  /** Lets the answer end by itself; one that goes on after its last frame is cut. */
-  private _drain(): void {
+  /**
+   * Reads the rest of the response after its last frame. Closes the connection if the response does not end
+   * in time.
+   */
+  private _finishResponse(): void {
     if (this._answer.complete) {
       this._answer.resume();
       return;
@@ -80,13 +82,14 @@
     this._answer.resume();
   }
 
-  /** Takes what a chunk completes: good frames up to the last one, or to a bad one. */
+  /** Gets the frames that a chunk completes, up to the last frame of the answer or the first invalid one. */
   private _takeFrames(chunk: string): { frames: Frame[]; failure: unknown } {
-    const lines = (this._rest + chunk).split("\n");
-    this._rest = lines.pop()!;
+    const lines = (this._partialLine + chunk).split("\n");
+    this._partialLine = lines.pop()!;
     const frames: Frame[] = [];
     try {
-      if (this._rest.length > MAX_LINE) throw this._createMalformed("a line is too long");
+      if (this._partialLine.length > MAX_LINE)
+        throw this._createMalformed("a line exceeds the maximum length");
       for (const line of lines) {
         const frame = line === "" ? undefined : this._takeFrame(line);
         if (frame !== undefined) frames.push(frame);
@@ -98,7 +101,7 @@
     return { frames, failure: undefined };
   }
 
-  /** A doubled frame gives nothing. */
+  /** Gets the frame of a line; `undefined` for a duplicate. */
   private _takeFrame(line: string): Frame | undefined {
     const wire = this._parse(line);
     if (wire.request_id !== this._generation.requestId || wire.epoch !== this._generation.epoch) {
@@ -115,9 +118,9 @@
     try {
       value = JSON.parse(line);
     } catch {
-      throw this._createMalformed("a frame is no JSON");
+      throw this._createMalformed("a frame is not valid JSON");
     }
-    if (!isWireFrame(value)) throw this._createMalformed("a frame lacks a field");
+    if (!isWireFrame(value)) throw this._createMalformed("a frame has a missing or invalid field");
     return value;
   }
 
@@ -135,7 +138,7 @@
   }
 }
 
-/** A hand-written check: this runs for every token. */
+/** Checks a frame. The check is written by hand because it runs for every token. */
 function isWireFrame(value: unknown): value is WireFrame {
   if (typeof value !== "object" || value === null) return false;
   const frame = value as Partial<Record<keyof WireFrame, unknown>>;
--- a/src/engine/HttpEngine.ts
+++ b/src/engine/HttpEngine.ts
@@ -1,4 +1,4 @@
-/** An engine over HTTP/1.1 and JSON; `docs/PROTOCOLS.md` gives the forms. */
+/** An engine that is called over HTTP/1.1 with JSON. `docs/PROTOCOLS.md` describes the formats. */
 import type { IncomingMessage } from "node:http";
 import { Result, Schema } from "effect";
 import { MalformedAnswer, RefusedOrder } from "../errors";
@@ -36,33 +36,35 @@
 const decodeState = Schema.decodeUnknownResult(StateSchema);
 const decodeCacheEvents = Schema.decodeUnknownResult(CacheEventsSchema);
 
-/** How an engine is called. */
+/** Options for calling an engine. */
 export interface HttpEngineOptions {
   readonly client: HttpClient;
-  /** host:port */
+  /** Address in the form host:port. */
   readonly address: string;
-  /** Shown with orders, so that an engine that asks for it knows who gives them. */
+  /** Sent with every call as a bearer token, so that an engine can authenticate the sender of an order. */
   readonly orderSecret: string;
+  /** Maximum time to connect, in milliseconds. */
   readonly connectMs: number;
-  /** Gives the longest silence of a stream; it changes with the configuration. */
+  /**
+   * Gets the maximum time without data on a stream, in milliseconds. The value changes with the
+   * configuration.
+   */
   readonly getIdleMs: () => number;
 }
 
 /** An engine at one address. */
 export class HttpEngine implements Engine {
-  /** host:port */
+  /** Address in the form host:port. */
   readonly address: string;
   private readonly _options: HttpEngineOptions;
 
-  /**
-   * @param options - Address, client, secret and time limits.
-   */
+  /** @param options - Address, client, secret and timeouts. */
   constructor(options: HttpEngineOptions) {
     this.address = options.address;
     this._options = options;
   }
 
-  /** Gets what the instance says of itself. */
+  /** Gets the state that the instance reports. */
   async getState(timeoutMs: number): Promise<EngineState> {
     const decoded = decodeState(await this._callJson("GET", "/v1/state", undefined, timeoutMs));
     if (Result.isFailure(decoded)) throw this._createMalformed(decoded.failure);
@@ -84,7 +86,7 @@
     };
   }
 
-  /** Gives a fenced order. */
+  /** Sends a fenced order. */
   async sendOrder(order: EngineOrder, timeoutMs: number): Promise<void> {
     const body = {
       replica_id: order.replicaId,
@@ -103,7 +105,7 @@
     return this._stream("/v1/generate", generation, 0, options);
   }
 
-  /** Continues a generation at an offset. */
+  /** Resumes a generation at an offset, in tokens. */
   async resume(
     generation: Generation,
     offset: number,
@@ -112,12 +114,12 @@
     return this._stream("/v1/resume", generation, offset, options);
   }
 
-  /** Ends a generation that nobody waits for. */
+  /** Cancels a generation whose result is no longer needed. */
   async cancel(requestId: RequestId, epoch: number, timeoutMs: number): Promise<void> {
     await this._callJson("POST", "/v1/cancel", { request_id: requestId, epoch }, timeoutMs);
   }
 
-  /** Gets cache events after a sequence number. */
+  /** Gets the cache events that follow a sequence number. */
   async getCacheEvents(after: number, timeoutMs: number): Promise<CacheEvent[]> {
     const body = await this._callJson("GET", `/v1/cache/events?after=${after}`, undefined, timeoutMs);
     const decoded = decodeCacheEvents(body);
--- a/src/engine/index.ts
+++ b/src/engine/index.ts
@@ -1,4 +1,4 @@
-/** Model engines. */
+/** The interface of model engines and its HTTP implementation. */
 export type {
   CacheEvent,
   Engine,
--- a/src/http/Connections.ts
+++ b/src/http/Connections.ts
@@ -1,26 +1,26 @@
 /**
- * The connections of an HTTP server, and their end.
+ * Tracks the open connections of an HTTP server and closes them on shutdown.
  *
- * A caller that keeps its connection learns of a stop with its next answer only, so a connection is closed once it has
- * carried that answer, or has rested for so long that no request is on its way. Closing it sooner would reset a request
- * that has just been sent.
+ * A caller with a persistent connection learns of the shutdown only from its next response. A connection is
+ * therefore closed after that response, or once it has been idle for long enough that no request is on its
+ * way. Closing it earlier would reset a request that has just been sent.
  */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { Server as NetServer, type Socket } from "node:net";
 
 interface ConnectionUse {
-  /** Answers that are not out yet. */
-  answers: number;
-  /** Monotonic milliseconds. */
+  /** Number of responses that are not complete. */
+  openResponses: number;
+  /** Time of the last activity, in monotonic milliseconds. */
   usedAt: number;
-  /** Bytes that had come when it was looked at last. */
+  /** Number of bytes received at the time of the last check. */
   bytesRead: number;
 }
 
-/** A connection that has carried nothing for so long rests. */
-const REST_MS = 500;
-/** Connections are looked at this often while they end. */
-const LOOK_MS = 50;
+/** Time without traffic after which a connection counts as idle. */
+const IDLE_MS = 500;
+/** Interval at which connections are checked during shutdown. */
+const IDLE_CHECK_MS = 50;
 
 /** The connections of one server. */
 export class Connections {
@@ -28,12 +28,10 @@
   private readonly _getNow: () => number;
   private readonly _uses = new Map<Socket, ConnectionUse>();
   private _accepted = 0;
-  private _isEnding = false;
-  private _onGone: () => void = () => {};
+  private _isClosing = false;
+  private _onAllClosed: () => void = () => {};
 
-  /**
-   * @param getNow - Gets the present time, monotonic milliseconds.
-   */
+  /** @param getNow - Gets the current time in monotonic milliseconds. */
   constructor(server: Server, getNow: () => number) {
     this._server = server;
     this._getNow = getNow;
@@ -43,78 +41,84 @@
     }
   }
 
-  /** Gets how many are open. */
+  /** Gets the number of open connections. */
   get count(): number {
     return this._uses.size;
   }
 
-  /** Has each answer from now on tell its caller that its connection ends with it. */
+  /** Adds `Connection: close` to all responses from now on. */
   announceEnd(): void {
-    this._isEnding = true;
+    this._isClosing = true;
   }
 
   /**
-   * Takes no new connections; resolves once those that are open have been used a last time, or rest.
-   * @param maxAcceptMs - How long callers that connect without a pause may hold that up.
+   * Stops accepting connections. Resolves once each open connection has carried a last response or has become
+   * idle.
+   * @param maxAcceptMs - Maximum time to keep accepting callers that connect without a pause, in
+   * milliseconds.
    */
   async end(maxAcceptMs: number): Promise<void> {
     this.announceEnd();
-    await this._acceptAll(this._getNow() + maxAcceptMs);
-    // The HTTP server's own close would end resting connections at once, with what is on its way to them.
+    await this._acceptPending(this._getNow() + maxAcceptMs);
+    // The close method of the HTTP server would close idle connections at once and lose the requests on their
+    // way to them.
     NetServer.prototype.close.call(this._server);
-    const gone = new Promise<void>((resolve) => {
-      this._onGone = resolve;
+    const allClosed = new Promise<void>((resolve) => {
+      this._onAllClosed = resolve;
     });
-    const timer = setInterval(() => this._closeRested(this._getNow()), LOOK_MS);
-    this._checkGone();
-    await gone;
+    const timer = setInterval(() => this._closeIdle(this._getNow()), IDLE_CHECK_MS);
+    this._notifyIfAllClosed();
+    await allClosed;
     clearInterval(timer);
   }
 
-  /** Waits for a turn that found nothing to accept: what waits for that is lost with the listener. */
-  private async _acceptAll(endAt: number): Promise<void> {
+  /**
+   * Waits for a turn of the event loop that accepts no connection. Connections still in the backlog are lost
+   * when the listener closes.
+   */
+  private async _acceptPending(endAt: number): Promise<void> {
     let before: number;
     do {
       before = this._accepted;
-      // The first one may come before anything arrives.
-      await waitForTurn();
-      await waitForTurn();
+      // The first turn may end before the event loop has polled for connections.
+      await waitForEventLoop();
+      await waitForEventLoop();
     } while (this._accepted > before && this._getNow() < endAt);
   }
 
   private _add(socket: Socket): void {
     this._accepted += 1;
-    this._uses.set(socket, { answers: 0, usedAt: this._getNow(), bytesRead: 0 });
+    this._uses.set(socket, { openResponses: 0, usedAt: this._getNow(), bytesRead: 0 });
     socket.once("close", () => {
       this._uses.delete(socket);
-      this._checkGone();
+      this._notifyIfAllClosed();
     });
   }
 
   private _addRequest({ socket }: IncomingMessage, response: ServerResponse): void {
-    if (this._isEnding) response.setHeader("Connection", "close");
+    if (this._isClosing) response.setHeader("Connection", "close");
     const use = this._uses.get(socket);
     if (use === undefined) return;
-    use.answers += 1;
+    use.openResponses += 1;
     response.once("close", () => {
-      use.answers -= 1;
+      use.openResponses -= 1;
       use.usedAt = this._getNow();
     });
   }
 
-  private _closeRested(now: number): void {
+  private _closeIdle(now: number): void {
     for (const [socket, use] of this._uses) {
       if (socket.bytesRead !== use.bytesRead) use.usedAt = now;
       use.bytesRead = socket.bytesRead;
-      if (use.answers === 0 && now - use.usedAt >= REST_MS) socket.destroySoon();
+      if (use.openResponses === 0 && now - use.usedAt >= IDLE_MS) socket.destroySoon();
     }
   }
 
-  private _checkGone(): void {
-    if (this._uses.size === 0) this._onGone();
+  private _notifyIfAllClosed(): void {
+    if (this._uses.size === 0) this._onAllClosed();
   }
 }
 
-function waitForTurn(): Promise<void> {
+function waitForEventLoop(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/src/http/HttpClient.ts
+++ b/src/http/HttpClient.ts
@@ -1,7 +1,4 @@
-/**
- * Calls over HTTP/1.1 that know how far they came: an error tells whether a byte of
- * the request may have reached the other side.
- */
+/** HTTP/1.1 calls whose errors state whether any byte of the request may have reached the server. */
 import {
   Agent,
   type ClientRequest,
@@ -11,53 +8,60 @@
 } from "node:http";
 import { LostAnswer, MalformedAnswer, UnreachableEndpoint } from "../errors";
 
-/** One call. */
+/** An HTTP request and its limits. */
 export interface HttpCall {
   readonly method: string;
-  /** host:port */
+  /** Address in the form host:port. */
   readonly address: string;
   readonly path: string;
-  /** Named headers, or names and values in turn as they are to stand on the wire. */
+  /** Headers by name, or a list of alternating names and values that is sent unchanged. */
   readonly headers?: IncomingHttpHeaders | readonly string[];
-  /** Whole body, or nothing. */
+  /** The whole body; `undefined` for none. */
   readonly body?: string | Uint8Array;
-  /** Longest time to connect. */
+  /** Maximum time to connect, in milliseconds. */
   readonly connectMs: number;
-  /** Longest silence before and within the answer. */
+  /** Maximum time without data before and during the response, in milliseconds. */
   readonly idleMs: number;
-  /** Ends the call from outside. */
+  /** Aborts the call. */
   readonly signal?: AbortSignal;
-  /** Longest JSON answer that is read; 16 MB if not given. */
+  /** Maximum size of a JSON response; 16 MB by default. */
   readonly maxJsonBytes?: number;
-  /** Uses a connection of its own, so that no idle-close race leaves the outcome unknown. */
+  /**
+   * Whether to use a new connection. A reused one may be closed by the server while the request is sent,
+   * which leaves the outcome unknown.
+   */
   readonly isFresh?: boolean;
-  /** Runs once connected, right before the first byte goes out; what it throws ends the call unsent. */
+  /**
+   * Called once connected, right before the first byte is sent. An exception ends the call without sending
+   * anything.
+   */
   readonly beforeSend?: () => void;
 }
 
-/** An idle connection is closed after this time, unless the other side says sooner. */
+/** Time after which an idle connection is closed, unless the server announces a shorter one. */
 const KEEP_ALIVE_MS = 4_000;
 const MAX_JSON_BYTES = 16_000_000;
-/** Informational answers to one call; whoever sends more sends no answer. */
+/**
+ * Maximum number of informational responses to one call. A server that sends more is treated as sending no
+ * response.
+ */
 const MAX_INFORMATIONAL = 16;
 
-/** A client with its own pool of connections. */
+/** An HTTP client with its own connection pool. */
 export class HttpClient {
   private readonly _agent: Agent;
 
-  /**
-   * @param keepAliveMs - How long an idle connection is kept.
-   */
+  /** @param keepAliveMs - Time after which an idle connection is closed, in milliseconds. */
   constructor(keepAliveMs = KEEP_ALIVE_MS) {
     this._agent = new Agent({ keepAlive: true, timeout: keepAliveMs, scheduling: "lifo" });
   }
 
-  /** Closes idle connections. */
+  /** Closes all pooled connections. */
   close(): void {
     this._agent.destroy();
   }
 
-  /** Closes connections that carry nothing now: after a suspension the other sides may have closed them long ago. */
+  /** Closes idle connections. After a suspension of this process, servers may already have closed them. */
   dropIdle(): void {
     for (const sockets of Object.values(this._agent.freeSockets)) {
       for (const socket of [...(sockets ?? [])]) socket.destroy();
@@ -65,7 +69,7 @@
   }
 
   /**
-   * Sends a call and waits for the head of its answer.
+   * Sends a call and waits for the head of the response.
    * @throws UnreachableEndpoint - No byte was sent.
    * @throws LostAnswer - Bytes may have been sent.
    */
@@ -74,7 +78,7 @@
       const outgoing = this._createRequest(call);
       const progress = new CallProgress(call, outgoing);
       outgoing.once("response", (answer) => {
-        // An answer without a length ends with its connection: a reset must not look like its end.
+        // A response without a length ends with its connection, so a reset must be passed on as an error.
         outgoing.on("error", (cause) => answer.destroy(cause));
         resolve(answer);
       });
@@ -84,9 +88,11 @@
   }
 
   /**
-   * Sends a call and reads a JSON answer whole; all of it comes within the longest silence, or the answer is lost.
-   * @returns Status and decoded body.
-   * @throws UnreachableEndpoint, LostAnswer, MalformedAnswer
+   * Sends a call and reads a JSON response. The whole body must arrive within `idleMs`.
+   * @returns Status and decoded body; the body is `undefined` if empty.
+   * @throws UnreachableEndpoint - No byte was sent.
+   * @throws LostAnswer - Bytes may have been sent, or the response was incomplete or late.
+   * @throws MalformedAnswer - The body is too long or not valid JSON.
    */
   async sendJson(call: HttpCall): Promise<{ status: number; body: unknown }> {
     const answer = await this.send(call);
@@ -94,7 +100,7 @@
     try {
       return { status: answer.statusCode ?? 0, body: text === "" ? undefined : JSON.parse(text) };
     } catch {
-      throw new MalformedAnswer({ address: call.address, reason: "the body is no JSON" });
+      throw new MalformedAnswer({ address: call.address, reason: "the body is not valid JSON" });
     }
   }
 
@@ -113,49 +119,52 @@
   }
 }
 
-/** Follows one call: waits for its connection, then sends it. */
+/** Tracks one call: waits for its connection, then sends the request. */
 class CallProgress {
   private readonly _call: HttpCall;
   private readonly _outgoing: ClientRequest;
   private readonly _timer: NodeJS.Timeout;
   private _isSent = false;
-  private _timedOut = "";
-  private _prevented: unknown;
-  private _informational = 0;
+  private _abortReason = "";
+  private _beforeSendError: unknown;
+  private _informationalCount = 0;
 
   constructor(call: HttpCall, outgoing: ClientRequest) {
     this._call = call;
     this._outgoing = outgoing;
-    this._timer = setTimeout(() => this._giveUp(`no connection within ${call.connectMs} ms`), call.connectMs);
+    this._timer = setTimeout(() => this._abort(`not connected within ${call.connectMs} ms`), call.connectMs);
     outgoing.once("socket", (socket) => {
       if (socket.connecting) socket.once("connect", () => this._sendNow());
       else this._sendNow();
     });
     outgoing.on("information", () => {
-      this._informational += 1;
-      if (this._informational > MAX_INFORMATIONAL) this._giveUp("too many informational answers");
+      this._informationalCount += 1;
+      if (this._informationalCount > MAX_INFORMATIONAL) this._abort("too many informational responses");
     });
-    outgoing.on("timeout", () => this._giveUp(`silent for ${call.idleMs} ms`));
+    outgoing.on("timeout", () => this._abort(`silent for ${call.idleMs} ms`));
     outgoing.once("close", () => clearTimeout(this._timer));
   }
 
   createError(cause: Error): unknown {
     clearTimeout(this._timer);
-    if (this._prevented !== undefined) return this._prevented;
-    const reason = this._timedOut || cause.message;
+    if (this._beforeSendError !== undefined) return this._beforeSendError;
+    const reason = this._abortReason || cause.message;
     const address = this._call.address;
     if (this._isSent) return new LostAnswer({ address, reason });
     return new UnreachableEndpoint({ address, reason });
   }
 
-  /** Nothing is written before this: a request's head goes out with its end. */
+  /**
+   * Sends the request. No byte is written earlier, because Node writes the head of a request together with
+   * its end.
+   */
   private _sendNow(): void {
     clearTimeout(this._timer);
     if (this._outgoing.destroyed) return;
     try {
       this._call.beforeSend?.();
     } catch (cause) {
-      this._prevented = cause;
+      this._beforeSendError = cause;
       this._outgoing.destroy();
       return;
     }
@@ -163,31 +172,32 @@
     this._outgoing.end(this._call.body);
   }
 
-  private _giveUp(reason: string): void {
-    this._timedOut = reason;
+  private _abort(reason: string): void {
+    this._abortReason = reason;
     this._outgoing.destroy();
   }
 }
 
-/** Splits host:port. */
+/** Splits an address of the form host:port. */
 export function splitAddress(address: string): { host: string; port: number } {
-  const at = address.lastIndexOf(":");
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+  const colon = address.lastIndexOf(":");
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Reads an answer's body as text, up to a bound of bytes and of time. */
+/** Reads a response body as text, within the limits on size and time. */
 async function readText(
   answer: IncomingMessage,
   { address, idleMs, maxJsonBytes = MAX_JSON_BYTES }: HttpCall,
 ): Promise<string> {
   const chunks: Buffer[] = [];
   let length = 0;
-  const late = new LostAnswer({ address, reason: `its body took longer than ${idleMs} ms` });
-  const timer = setTimeout(() => answer.destroy(late), idleMs);
+  const timeoutError = new LostAnswer({ address, reason: `the body took longer than ${idleMs} ms` });
+  const timer = setTimeout(() => answer.destroy(timeoutError), idleMs);
   try {
     for await (const chunk of answer as AsyncIterable<Buffer>) {
       length += chunk.length;
-      if (length > maxJsonBytes) throw new MalformedAnswer({ address, reason: "the body is too long" });
+      if (length > maxJsonBytes)
+        throw new MalformedAnswer({ address, reason: "the body exceeds the maximum length" });
       chunks.push(chunk);
     }
   } catch (cause) {
--- a/src/http/JsonServer.ts
+++ b/src/http/JsonServer.ts
@@ -1,4 +1,4 @@
-/** A plain server of HTTP/1.1 whose calls are short and whose answers are JSON. */
+/** An HTTP/1.1 server for short calls with JSON responses. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { Effect, type Scope } from "effect";
 import type { CallClass, CallOrder } from "../admission";
@@ -6,45 +6,43 @@
 import { Connections } from "./Connections";
 import { listen } from "./listen";
 
-/** An answer to one call. */
+/** The response to a call. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: string | Uint8Array;
 }
 
-/** What a server serves. */
+/** Options for a server. */
 export interface JsonServerOptions {
-  /** host:port */
+  /** Address in the form host:port. */
   readonly listen: string;
-  /** Answers one call. */
+  /** Handles one call. */
   readonly handle: (request: IncomingMessage, path: string) => Promise<JsonAnswer>;
-  /** Makes the answer to a call that failed. */
+  /** Creates the response to a call whose handler failed. */
   readonly createFailure: (cause: unknown) => JsonAnswer;
-  /** Begins calls at their time. */
+  /** Schedules the start of calls. */
   readonly calls: CallOrder;
   readonly getCallClass: (path: string) => CallClass;
 }
 
 const KEEP_ALIVE_MS = 20_000;
-/** Callers that connect without a pause hold a stop up for so long at most. */
+/** Maximum time that a stop is delayed by callers that connect without a pause. */
 const MAX_ACCEPT_MS = 500;
-/** Calls are short: what is not answered so long after a stop began is cut. */
-const MAX_END_MS = 1_500;
+/** Maximum time of a stop. Calls are short, so those still open after this time are cut off. */
+const MAX_STOP_MS = 1_500;
 
-/** A server of short calls. */
+/** A server for short calls. */
 export class JsonServer {
   private readonly _options: JsonServerOptions;
   private readonly _server: Server;
   private readonly _connections: Connections;
 
-  /**
-   * @param options - Address, and what answers.
-   */
+  /** @param options - Address, handlers and scheduling of calls. */
   constructor(options: JsonServerOptions) {
     this._options = options;
     this._server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS });
     this._connections = new Connections(this._server, () => performance.now());
-    this._server.on("request", (request, response) => this._add(request, response));
+    this._server.on("request", (request, response) => this._addCall(request, response));
   }
 
   /** Starts listening. */
@@ -52,14 +50,17 @@
     return listen(this._server, this._options.listen);
   }
 
-  /** Answers what its callers have sent on connections that they keep, then closes them. */
+  /**
+   * Stops the server. Requests already sent on open connections are answered before the connections are
+   * closed.
+   */
   async stop(): Promise<void> {
-    await Promise.race([this._connections.end(MAX_ACCEPT_MS), pause(MAX_END_MS)]);
+    await Promise.race([this._connections.end(MAX_ACCEPT_MS), pause(MAX_STOP_MS)]);
     this._server.close();
     this._server.closeAllConnections();
   }
 
-  private _add(request: IncomingMessage, response: ServerResponse): void {
+  private _addCall(request: IncomingMessage, response: ServerResponse): void {
     const { handle, createFailure, calls, getCallClass } = this._options;
     const path = (request.url ?? "").split("?")[0]!;
     const callClass = getCallClass(path);
@@ -70,7 +71,7 @@
     };
     calls.add({
       callClass,
-      // What an instance says of itself holds though it has stopped to wait for the answer.
+      // An instance's report is handled even if the instance no longer waits for the response.
       isWanted: () => callClass === "report" || !response.destroyed,
       begin,
       refuse: () => send(response, createJson(503, { error: "too many calls wait" })),
@@ -78,7 +79,7 @@
   }
 }
 
-/** Serves for as long as the scope is open. */
+/** Starts a server, and stops it when the scope is closed. */
 export function serve(server: JsonServer): Effect.Effect<void, never, Scope.Scope> {
   return Effect.acquireRelease(
     Effect.promise(() => server.start()),
@@ -87,8 +88,8 @@
 }
 
 /**
- * Reads a call's body.
- * @param createTooLong - Makes the failure of one that is longer than may be.
+ * Reads the body of a request.
+ * @param createTooLong - Creates the error for a body of more than `maxBytes`.
  */
 export async function readBody(
   request: IncomingMessage,
@@ -105,7 +106,7 @@
   return Buffer.concat(chunks);
 }
 
-/** Makes an answer of a value. */
+/** Creates a JSON response from a value. */
 export function createJson(status: number, body: object): JsonAnswer {
   return { status, body: JSON.stringify(body) };
 }
--- a/src/http/index.ts
+++ b/src/http/index.ts
@@ -1,4 +1,4 @@
-/** HTTP/1.1 towards endpoints and the platform, and a plain server of it. */
+/** HTTP/1.1 client for endpoints and the platform, and a JSON server. */
 export { Connections } from "./Connections";
 export { type HttpCall, HttpClient, splitAddress } from "./HttpClient";
 export {
--- a/src/http/listen.ts
+++ b/src/http/listen.ts
@@ -1,8 +1,7 @@
-/** Servers and their addresses. */
 import type { Server } from "node:net";
 import { splitAddress } from "./HttpClient";
 
-/** Has a server listen at host:port; resolves once it does. */
+/** Starts a server at an address of the form host:port. Resolves once it listens. */
 export async function listen(server: Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address);
   await new Promise<void>((resolve, reject) => {
--- a/src/planner/FreePool.ts
+++ b/src/planner/FreePool.ts
@@ -1,31 +1,42 @@
-/** Healthy instances that belong to no replica, by fabric domain. */
+/** Healthy instances that belong to no replica, grouped by fabric domain. */
 import type { Group, Model } from "../configuration";
 import type { InstanceFacts } from "./facts";
 
-/** A fabric domain's free instances, best candidates first. */
+/**
+ * The free instances of one fabric domain that would form a replica, and the figures by which domains are
+ * ranked.
+ */
 interface Candidate {
   readonly fabricDomain: string;
   readonly members: readonly InstanceFacts[];
-  readonly loads: number;
-  readonly sameGroup: number;
-  readonly otherGroups: number;
-  readonly leftOver: number;
+  /** Number of members that have to load the model. */
+  readonly loadCount: number;
+  /** Number of the group's replicas in the fabric domain. */
+  readonly sameGroupReplicas: number;
+  /** Number of other groups' replicas in the fabric domain. */
+  readonly otherGroupReplicas: number;
+  /** Number of instances left free in the domain when the members are taken. */
+  readonly remainingCount: number;
 }
 
-/** Instances that may be taken, one at a time of planning. */
+/** The pool of free instances of one planner run; each instance is taken at most once. */
 export class FreePool {
   private readonly _domains = new Map<string, InstanceFacts[]>();
   private readonly _groupCounts = new Map<string, number>();
-  /** Candidates by group and fabric domain; a domain's are made anew once it changed. */
+  /**
+   * Candidates by group and fabric domain; a change to a domain removes its candidates, which are then
+   * computed again.
+   */
   private readonly _candidates = new Map<string, Map<string, Candidate>>();
   private readonly _stagesFirst: boolean;
   private readonly _modelByDomain: ReadonlyMap<string, string>;
 
   /**
-   * @param instances - Present, staying, trusted instances that belong to no replica.
-   * @param stagesFirst - Whether a replica is formed only where either all its instances hold the
-   * model or none does.
-   * @param modelByDomain - With it: the only model that the instances of a domain load together.
+   * @param instances - Instances that belong to no replica, are present and not leaving, and may be used.
+   * @param stagesFirst - Whether a replica is formed only from instances that either all hold the model or
+   * all lack it.
+   * @param modelByDomain - Used with `stagesFirst`: the only model that instances of a domain may load
+   * together.
    */
   constructor(
     instances: readonly InstanceFacts[],
@@ -41,15 +52,15 @@
     }
   }
 
-  /** Gets how many instances are free in a fabric domain. */
+  /** Gets the number of free instances in a fabric domain. */
   getCount(fabricDomain: string): number {
     return this._domains.get(fabricDomain)?.length ?? 0;
   }
 
-  /** Gets how many instances are free in a fabric domain and hold a model's version already. */
+  /** Gets the number of free instances in a fabric domain that hold the given version of a model. */
   getLoadedCount(fabricDomain: string, model: Model): number {
     const free = this._domains.get(fabricDomain) ?? [];
-    return free.filter((instance) => getLoads(instance, model) === 0).length;
+    return free.filter((instance) => getLoadCount(instance, model) === 0).length;
   }
 
   /** Gets all instances that are still free. */
@@ -57,7 +68,9 @@
     return [...this._domains.values()].flat();
   }
 
-  /** Notes a replica of a group in a fabric domain, so that the next one goes elsewhere. */
+  /**
+   * Records a replica of a group in a fabric domain, so that the next replica is placed in another domain.
+   */
   addReplica(group: string, fabricDomain: string): void {
     const key = getKey(group, fabricDomain);
     this._groupCounts.set(key, (this._groupCounts.get(key) ?? 0) + 1);
@@ -65,18 +78,19 @@
   }
 
   /**
-   * Takes instances for one replica out of one fabric domain.
+   * Takes the instances for one replica from one fabric domain.
    *
-   * Fewest loads first, since a replica is down until the last one ended; then the
-   * domain with the fewest replicas of the group; then the tightest fit.
-   * @param reserve - Instances to leave free in the domain.
+   * Prefers the domain with the fewest loads, since a replica is down until its last load has ended, then the
+   * domain with the fewest replicas of the group, then the domain with the fewest instances left over.
+   * @param reserve - Number of instances to leave free in the domain.
+   * @returns `undefined` when no domain has enough free instances.
    */
   takeMembers(group: Group, model: Model, reserve: number): readonly InstanceFacts[] | undefined {
     let best: Candidate | undefined;
     for (const fabricDomain of this._domains.keys()) {
       const candidate = this._getCandidate(fabricDomain, group, model);
-      if (candidate === undefined || candidate.leftOver < reserve) continue;
-      if (this._stagesFirst && !this._mayForm(candidate, model)) continue;
+      if (candidate === undefined || candidate.remainingCount < reserve) continue;
+      if (this._stagesFirst && !this._canForm(candidate, model)) continue;
       if (best === undefined || this._compare(candidate, best) < 0) best = candidate;
     }
     if (best === undefined) return undefined;
@@ -85,13 +99,13 @@
     return best.members;
   }
 
-  private _mayForm({ fabricDomain, loads, members }: Candidate, model: Model): boolean {
-    if (loads === 0) return true;
-    const wanted = this._modelByDomain.get(fabricDomain) ?? model.name;
-    return loads === members.length && wanted === model.name;
+  private _canForm({ fabricDomain, loadCount, members }: Candidate, model: Model): boolean {
+    if (loadCount === 0) return true;
+    const allowedModel = this._modelByDomain.get(fabricDomain) ?? model.name;
+    return loadCount === members.length && allowedModel === model.name;
   }
 
-  /** Takes one instance out, since something else was decided for it. */
+  /** Removes one instance from the pool because it has been assigned to another use. */
   removeInstance(instance: InstanceFacts): void {
     const rest = this._domains.get(instance.fabricDomain)?.filter((other) => other !== instance);
     if (rest !== undefined) this._domains.set(instance.fabricDomain, rest);
@@ -99,7 +113,7 @@
   }
 
   private _compare(a: Candidate, b: Candidate): number {
-    return this._stagesFirst ? compareAlike(a, b) : compareCandidates(a, b);
+    return this._stagesFirst ? compareForStaging(a, b) : compareCandidates(a, b);
   }
 
   private _removeInstances({ fabricDomain, members }: Candidate): void {
@@ -109,7 +123,7 @@
     for (const candidates of this._candidates.values()) candidates.delete(fabricDomain);
   }
 
-  private _getOtherGroups(group: string, fabricDomain: string): number {
+  private _countOtherGroupReplicas(group: string, fabricDomain: string): number {
     const suffix = `/${fabricDomain}`;
     const all = [...this._groupCounts].filter(([key]) => key.endsWith(suffix));
     const total = all.reduce((sum, [, count]) => sum + count, 0);
@@ -139,44 +153,44 @@
     model: Model,
   ): Candidate {
     const ranked = [...free].sort(
-      (a, b) => getLoads(a, model) - getLoads(b, model) || (a.id < b.id ? -1 : 1),
+      (a, b) => getLoadCount(a, model) - getLoadCount(b, model) || (a.id < b.id ? -1 : 1),
     );
     const members = ranked.slice(0, group.instancesPerReplica);
     return {
       fabricDomain,
       members,
-      loads: members.reduce((sum, instance) => sum + getLoads(instance, model), 0),
-      sameGroup: this._groupCounts.get(getKey(group.name, fabricDomain)) ?? 0,
-      otherGroups: this._getOtherGroups(group.name, fabricDomain),
-      leftOver: free.length - members.length,
+      loadCount: members.reduce((sum, instance) => sum + getLoadCount(instance, model), 0),
+      sameGroupReplicas: this._groupCounts.get(getKey(group.name, fabricDomain)) ?? 0,
+      otherGroupReplicas: this._countOtherGroupReplicas(group.name, fabricDomain),
+      remainingCount: free.length - members.length,
     };
   }
 }
 
-/** Gets 0 when an instance holds a model's version already, else 1. */
-export function getLoads(instance: InstanceFacts, model: Model): number {
+/** Gets 0 when an instance already holds the model's version, otherwise 1. */
+export function getLoadCount(instance: InstanceFacts, model: Model): number {
   return instance.model === model.name && instance.modelVersion === model.version ? 0 : 1;
 }
 
 function compareCandidates(a: Candidate, b: Candidate): number {
   return (
-    a.loads - b.loads ||
-    a.sameGroup - b.sameGroup ||
-    a.leftOver - b.leftOver ||
+    a.loadCount - b.loadCount ||
+    a.sameGroupReplicas - b.sameGroupReplicas ||
+    a.remainingCount - b.remainingCount ||
     (a.fabricDomain < b.fabricDomain ? -1 : 1)
   );
 }
 
 /**
- * Prefers fabric domains whose replicas are of one model: what is left of a replica that
- * lost an instance then completes the next one without a load.
+ * Prefers fabric domains whose replicas all run the same model. When a replica loses an instance, its other
+ * instances can then join the next replica of that model without a load.
  */
-function compareAlike(a: Candidate, b: Candidate): number {
+function compareForStaging(a: Candidate, b: Candidate): number {
   return (
-    a.loads - b.loads ||
-    a.otherGroups - b.otherGroups ||
-    b.sameGroup - a.sameGroup ||
-    a.leftOver - b.leftOver ||
+    a.loadCount - b.loadCount ||
+    a.otherGroupReplicas - b.otherGroupReplicas ||
+    b.sameGroupReplicas - a.sameGroupReplicas ||
+    a.remainingCount - b.remainingCount ||
     (a.fabricDomain < b.fabricDomain ? -1 : 1)
   );
 }
--- a/src/planner/GroupView.ts
+++ b/src/planner/GroupView.ts
@@ -1,8 +1,8 @@
-/** A group as one run of the planner sees it. */
+/** A snapshot of a group for one run of the planner. */
 import type { Group, Model } from "../configuration";
 import type { Replica } from "../gen/ploverstage/v1/state_pb";
 
-/** A group with its model, and its replicas by what they do. */
+/** A group with its model and its replicas by phase. */
 export interface GroupView {
   readonly group: Group;
   readonly model: Model;
--- a/src/planner/Planner.ts
+++ b/src/planner/Planner.ts
@@ -1,19 +1,19 @@
 /**
- * The group planner: decides what to form, load, serve, retire and release.
+ * The group planner. It decides which replicas to form, serve, retire and release, and which models to load.
  *
- * Pure: the present time and all facts are arguments. It is run again and again; what
- * it decided is seen in the next facts. It never takes an instance that the agreed
- * state gives to a replica, nor frees one that may still be in use.
+ * Pure: the current time and all facts are arguments. The planner runs periodically, and the effect of its
+ * decisions appears in the facts of a later run. It never takes an instance that the committed state assigns
+ * to a replica, and never frees an instance that may still be in use.
  */
 import type { Model } from "../configuration";
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
-import { FreePool, getLoads } from "./FreePool";
+import { FreePool, getLoadCount } from "./FreePool";
 import type { Action, InstanceFacts, PlanningConfiguration, PlanningFacts } from "./facts";
 import type { GroupView } from "./GroupView";
 import { ExpectedRepair, type RepairPolicy } from "./RepairPolicy";
 import { StagePlanner } from "./StagePlanner";
 
-/** Reasons told with a change of a replica; also the causes of downtime in reports. */
+/** Reasons recorded with a change to a replica. Reports use them as the causes of downtime. */
 export const REASON = {
   shortage: "group is short of replicas",
   whole: "all instances are ready",
@@ -27,46 +27,45 @@
 } as const;
 
 /**
- * A forming replica whose instance has been absent so many presence windows is given up, and at once where
- * others can take the place: what the rest has loaded stays with it, and waiting only kept it idle.
+ * Number of presence windows after which a forming replica with an absent instance is retired. One window
+ * suffices where free instances can replace the absent ones: the remaining instances retain what they have
+ * loaded, and a longer wait would only leave them idle.
  */
-const FORMING_PATIENCE_WINDOWS = 4;
+const FORMING_TIMEOUT_WINDOWS = 4;
 
-/** Time in which instances that hold their model take their places in a new replica. */
+/** Time that instances which already hold their model need to join a new replica, in milliseconds. */
 const REJOIN_MS = 1_000;
 
-/** A forming replica whose instances may have to load. */
+/** A forming replica whose instances may have to load the model. */
 interface LoadCandidate {
   readonly replica: Replica;
   readonly view: GroupView;
-  /** Part of its instances that have not joined. */
+  /** Share of its instances that have not joined, 0 to 1. */
   readonly missing: number;
 }
 
-/** The planner with its way to choose between waiting and rebuilding. */
+/** Plans groups, using a repair policy to choose between waiting for a missing instance and rebuilding. */
 export class Planner {
   private readonly _repair: RepairPolicy;
 
-  /**
-   * @param repair - How long a replica waits for a missing instance.
-   */
+  /** @param repair - Determines how long a replica waits for a missing instance. */
   constructor(repair: RepairPolicy = new ExpectedRepair()) {
     this._repair = repair;
   }
 
   /**
-   * Decides what to do now.
+   * Decides which actions to take now.
    * @param now - Monotonic milliseconds.
-   * @returns Actions in the order in which they matter; any may be left undone.
+   * @returns Actions in descending order of importance; the caller may skip any of them.
    */
   plan(now: number, facts: PlanningFacts, configuration: PlanningConfiguration): Action[] {
-    const turn = new PlanningTurn(now, facts, configuration, this._repair);
-    return turn.run();
+    const run = new PlanningRun(now, facts, configuration, this._repair);
+    return run.run();
   }
 }
 
 /** One run of the planner. */
-class PlanningTurn {
+class PlanningRun {
   private readonly _now: number;
   private readonly _facts: PlanningFacts;
   private readonly _configuration: PlanningConfiguration;
@@ -95,22 +94,22 @@
       pool: this._pool,
       instances: facts.instances,
       isPresent: (instance) => this._isPresent(instance),
-      countStaying: (view) => this._countStaying(view),
+      countActive: (view) => this._countActive(view),
       onStage: (action) => this._actions.push(action),
     });
   }
 
   run(): Action[] {
-    for (const replica of this._facts.replicas) this._continueReplica(replica);
+    for (const replica of this._facts.replicas) this._updateReplica(replica);
     this._retireUndeclared();
     for (const view of this._views) this._retireUnwanted(view);
-    for (const view of this._views) this._repairLost(view);
+    for (const view of this._views) this._repairBroken(view);
     if (this._configuration.stagesFirst) {
-      this._stages.completeHolders(this._configuration.weightStore.concurrentLoads - this._countLoading());
+      this._stages.stageShortfalls(this._configuration.weightStore.concurrentLoads - this._countLoading());
       this._formEvenly();
-    } else for (const view of this._views) this._formMissing(view);
+    } else for (const view of this._views) this._formMissingReplicas(view);
     for (const view of this._views) this._rollOut(view);
-    this._warmSpares(this._loadForming());
+    this._stageSpares(this._loadFormingReplicas());
     return this._actions;
   }
 
@@ -131,12 +130,12 @@
   }
 
   private _getFreeInstances(): InstanceFacts[] {
-    const held = new Set(
+    const assigned = new Set(
       this._facts.replicas.flatMap((replica) => replica.members.map((member) => member.instanceId)),
     );
     return this._facts.instances.filter(
       (instance) =>
-        !held.has(instance.id) &&
+        !assigned.has(instance.id) &&
         this._isPresent(instance) &&
         !instance.isLeaving &&
         !instance.isLoading &&
@@ -166,26 +165,26 @@
     this._actions.push({ kind: "retireReplica", replica, reason });
   }
 
-  private _continueReplica(replica: Replica): void {
-    if (replica.phase === ReplicaPhase.RETIRING) this._releaseIfOver(replica);
-    if (replica.phase === ReplicaPhase.FORMING) this._serveIfWhole(replica);
+  private _updateReplica(replica: Replica): void {
+    if (replica.phase === ReplicaPhase.RETIRING) this._releaseIfUnused(replica);
+    if (replica.phase === ReplicaPhase.FORMING) this._serveIfComplete(replica);
     if (replica.phase === ReplicaPhase.SERVING) this._retireIfLeaving(replica);
   }
 
-  private _releaseIfOver(replica: Replica): void {
+  private _releaseIfUnused(replica: Replica): void {
     if (!this._facts.isClear || !this._facts.retiredInForce.has(replica.id)) return;
     const inFlight = this._facts.inFlight.get(replica.id) ?? 0;
     if (inFlight > 0 && !this._facts.drained.has(replica.id)) return;
     this._actions.push({ kind: "releaseReplica", replica });
   }
 
-  private _serveIfWhole(replica: Replica): void {
+  private _serveIfComplete(replica: Replica): void {
     const members = this._getMembers(replica);
     const absent = members.filter((member) => !this._isPresent(member)).length;
     const isReplaceable = absent > 0 && this._pool.getCount(replica.fabricDomain) >= absent;
-    const windows = isReplaceable ? 1 : FORMING_PATIENCE_WINDOWS;
-    const patienceMs = this._configuration.timing.presenceWindow * windows;
-    if (members.some((member) => member === undefined || this._now - member.answeredAt > patienceMs)) {
+    const windows = isReplaceable ? 1 : FORMING_TIMEOUT_WINDOWS;
+    const timeoutMs = this._configuration.timing.presenceWindow * windows;
+    if (members.some((member) => member === undefined || this._now - member.answeredAt > timeoutMs)) {
       this._retire(replica, REASON.lost);
       return;
     }
@@ -193,7 +192,8 @@
       this._retire(replica, REASON.leaving);
       return;
     }
-    // A head breaks when a member starts again under its id before all are ready: it stayed so for good.
+    // If a member restarts under the same id before all members are ready, the head stays broken permanently;
+    // another join does not repair it.
     if (members.some((member) => member!.isBroken === true && member!.epoch === replica.epoch)) {
       this._retire(replica, REASON.lost);
       return;
@@ -210,8 +210,8 @@
     for (const replica of forming) {
       if (!isCurrent(replica, model)) this._retire(replica, REASON.version);
     }
-    const current = [...serving, ...forming].filter((replica) => this._isStaying(replica, model));
-    // The newest ones go first: they are the least warm.
+    const current = [...serving, ...forming].filter((replica) => this._isRetained(replica, model));
+    // Retire the newest replicas first, because their caches are the least warm.
     const surplus = current.slice(group.replicas).sort((a, b) => b.epoch - a.epoch);
     for (const replica of surplus) this._retire(replica, REASON.surplus);
   }
@@ -219,16 +219,19 @@
   private _retireUndeclared(): void {
     const declared = new Set(this._views.map((other) => other.group.name));
     for (const replica of this._facts.replicas) {
-      const isEnding = replica.phase === ReplicaPhase.RETIRING;
-      if (!declared.has(replica.group) && !isEnding) this._retire(replica, REASON.undeclared);
+      const isRetiring = replica.phase === ReplicaPhase.RETIRING;
+      if (!declared.has(replica.group) && !isRetiring) this._retire(replica, REASON.undeclared);
     }
   }
 
-  private _isStaying(replica: Replica, model: Model): boolean {
+  private _isRetained(replica: Replica, model: Model): boolean {
     return isCurrent(replica, model) && !this._retiring.has(replica.id);
   }
 
-  /** An instance that restarted is present, but out of its replica. */
+  /**
+   * Checks whether any member is not in the replica. A restarted instance is present, but has left the
+   * replica.
+   */
   private _isBroken(replica: Replica): boolean {
     return this._getMembers(replica).some((member) => !this._hasJoined(member, replica));
   }
@@ -237,21 +240,23 @@
     return this._isPresent(member) && member!.epoch === replica.epoch && member!.isReady;
   }
 
-  private _getLostSince(replica: Replica): number {
+  private _getLossTime(replica: Replica): number {
     const answered = this._getMembers(replica).map(
       (member) => member?.answeredAt ?? Number.NEGATIVE_INFINITY,
     );
     return Math.min(...answered);
   }
 
-  /** Rebuilds a replica that lost an instance once waiting no longer pays. */
-  private _repairLost(view: GroupView): void {
+  /**
+   * Rebuilds replicas that lost an instance, once a rebuild is expected to end sooner than further waiting.
+   */
+  private _repairBroken(view: GroupView): void {
     const broken = view.serving.filter(
       (replica) => !this._retiring.has(replica.id) && this._isBroken(replica),
     );
     for (const replica of broken.sort((a, b) => this._countAbsent(a) - this._countAbsent(b))) {
       if (this._retiring.has(replica.id)) continue;
-      if (this._mayComeBack(view, replica)) continue;
+      if (this._shouldWait(view, replica)) continue;
       const donors = this._getDonors(view, replica) ?? (this._repair.isLossFinal ? [] : undefined);
       if (donors === undefined) continue;
       this._retire(replica, REASON.lost);
@@ -259,16 +264,20 @@
     }
   }
 
-  /** A restarted instance has lost its place: only an absent one is worth a wait. */
-  private _mayComeBack(view: GroupView, replica: Replica): boolean {
+  /**
+   * Checks whether to wait for absent instances. A restarted instance has lost its place in the replica, so
+   * only an absent one is waited for.
+   */
+  private _shouldWait(view: GroupView, replica: Replica): boolean {
     if (this._countAbsent(replica) === 0) return false;
-    const isWarm = this._pool.getLoadedCount(replica.fabricDomain, view.model) >= this._countAbsent(replica);
+    const hasLoadedSpares =
+      this._pool.getLoadedCount(replica.fabricDomain, view.model) >= this._countAbsent(replica);
     const waitMs = this._repair.getWaitMs({
-      rebuildMs: isWarm ? this._configuration.timing.lease + REJOIN_MS : view.model.load,
+      rebuildMs: hasLoadedSpares ? this._configuration.timing.lease + REJOIN_MS : view.model.load,
       absences: this._facts.absences,
       maxWaitMs: this._configuration.planning.maxWait,
     });
-    return this._now - this._getLostSince(replica) < waitMs;
+    return this._now - this._getLossTime(replica) < waitMs;
   }
 
   private _countAbsent(replica: Replica): number {
@@ -276,11 +285,11 @@
   }
 
   /**
-   * Gets replicas to break up so that a broken one becomes whole again.
+   * Gets replicas to break up so that a broken replica can be rebuilt with their instances.
    *
-   * None are needed when its fabric domain has spares. Other broken replicas of the
-   * domain come next, since they serve nobody either; then whole ones of less worth.
-   * @returns `undefined` when no way makes it whole: then waiting costs nothing.
+   * The list is empty when the fabric domain has enough spares. Otherwise other broken replicas of the domain
+   * come first, since they do not serve either, then complete replicas of lower value.
+   * @returns `undefined` when the replica cannot be completed; waiting then costs nothing.
    */
   private _getDonors(view: GroupView, replica: Replica): Replica[] | undefined {
     let missing = this._countAbsent(replica) - this._pool.getCount(replica.fabricDomain);
@@ -308,9 +317,9 @@
       .map((other) => other.candidate);
   }
 
-  /** Forms one replica at a time, of the group that is shortest of its size. */
+  /** Forms one replica at a time, each for the group with the lowest share of its declared replicas. */
   private _formEvenly(): void {
-    const open = this._views.map((view) => ({ view, count: this._countStaying(view) }));
+    const open = this._views.map((view) => ({ view, count: this._countActive(view) }));
     for (;;) {
       const short = open.filter(({ view, count }) => count < view.group.replicas);
       const next = short.sort((a, b) => a.count / a.view.group.replicas - b.count / b.view.group.replicas)[0];
@@ -326,17 +335,17 @@
     }
   }
 
-  private _countStaying({ serving, forming }: GroupView): number {
+  private _countActive({ serving, forming }: GroupView): number {
     return [...serving, ...forming].filter((replica) => !this._retiring.has(replica.id)).length;
   }
 
-  private _formMissing(view: GroupView): void {
+  private _formMissingReplicas(view: GroupView): void {
     const { group, model } = view;
-    const staying = [...view.serving, ...view.forming].filter((replica) => !this._retiring.has(replica.id));
-    const healthy = staying.filter((replica) => !this._isBroken(replica)).length;
-    for (let count = staying.length; count < group.replicas; count++) {
+    const active = [...view.serving, ...view.forming].filter((replica) => !this._retiring.has(replica.id));
+    const completeCount = active.filter((replica) => !this._isBroken(replica)).length;
+    for (let count = active.length; count < group.replicas; count++) {
       const reserve =
-        healthy + (count - staying.length) < group.minimum ? 0 : this._configuration.planning.reserve;
+        completeCount + (count - active.length) < group.minimum ? 0 : this._configuration.planning.reserve;
       const members = this._pool.takeMembers(group, model, reserve);
       if (members === undefined) return;
       this._actions.push({ kind: "formReplica", group: group.name, members, reason: REASON.shortage });
@@ -346,30 +355,36 @@
   /**
    * Replaces replicas of an older version one at a time.
    *
-   * A replacement is formed from free instances first where there are any. Else one
-   * is retired, while the others all serve and the minimum is kept; a group whose
-   * minimum equals its size would never roll out, so there the minimum gives way.
+   * Forms a replacement from free instances where there are enough. Otherwise retires one replica, provided
+   * that no other replica of the group is retiring and enough complete replicas remain for the group's
+   * minimum. A group whose minimum equals its number of replicas could never roll out, so its minimum is
+   * lowered by one.
    */
   private _rollOut(view: GroupView): void {
     const { group, model, serving, forming } = view;
-    const old = serving.filter((replica) => !isCurrent(replica, model) && !this._retiring.has(replica.id));
-    const isBusy = forming.length > 0 || this._hasAction("formReplica", group.name);
-    if (old.length === 0 || isBusy) return;
-    const whole = serving.filter((replica) => !this._isBroken(replica) && !this._retiring.has(replica.id));
-    const next = old.find((replica) => this._isBroken(replica)) ?? old[0]!;
+    const outdated = serving.filter(
+      (replica) => !isCurrent(replica, model) && !this._retiring.has(replica.id),
+    );
+    const isForming = forming.length > 0 || this._hasAction("formReplica", group.name);
+    if (outdated.length === 0 || isForming) return;
+    const complete = serving.filter((replica) => !this._isBroken(replica) && !this._retiring.has(replica.id));
+    const next = outdated.find((replica) => this._isBroken(replica)) ?? outdated[0]!;
     const isSurplus = serving.length > group.replicas;
     const members = isSurplus ? undefined : this._pool.takeMembers(group, model, 0);
     if (members !== undefined) {
       this._actions.push({ kind: "formReplica", group: group.name, members, reason: REASON.version });
       return;
     }
-    const floor = Math.min(group.minimum, group.replicas - 1);
-    const remaining = whole.length - (whole.includes(next) ? 1 : 0);
-    if (remaining >= floor && this._allowsRetiring(view)) this._retire(next, REASON.version);
+    const minimum = Math.min(group.minimum, group.replicas - 1);
+    const remaining = complete.length - (complete.includes(next) ? 1 : 0);
+    if (remaining >= minimum && this._canRetire(view)) this._retire(next, REASON.version);
   }
 
-  /** One planned stop at a time in a group: the last one must be over first. */
-  private _allowsRetiring(view: GroupView): boolean {
+  /**
+   * Checks whether a replica of the group may be retired: a group has one planned stop at a time, and the
+   * previous one must have ended.
+   */
+  private _canRetire(view: GroupView): boolean {
     const isRetiring = this._facts.replicas.some(
       (replica) => replica.group === view.group.name && replica.phase === ReplicaPhase.RETIRING,
     );
@@ -382,10 +397,10 @@
   }
 
   /**
-   * Orders loads within the weight store's limit, nearly whole replicas first.
-   * @returns What is left of the limit.
+   * Orders loads within the weight store's limit, starting with the replicas that lack the fewest instances.
+   * @returns The number of loads left within the limit.
    */
-  private _loadForming(): number {
+  private _loadFormingReplicas(): number {
     let budget = this._configuration.weightStore.concurrentLoads - this._countLoading();
     const forming = this._views
       .flatMap((view) => view.forming.map((replica) => ({ replica, view })))
@@ -393,10 +408,10 @@
       .map((item) => ({ ...item, missing: this._getMissingShare(item.replica) }))
       .sort((a, b) => b.view.group.value - a.view.group.value || this._compareLoads(a, b));
     for (const { replica, view } of forming) {
-      for (const { instance, rank } of this._getUnjoined(replica)) {
+      for (const { instance, rank } of this._getUnjoinedMembers(replica)) {
         if (instance.isLoading) continue;
-        const loads = getLoads(instance, view.model);
-        // What needs no load is never held up by loads that go on.
+        const loads = getLoadCount(instance, view.model);
+        // An instance that needs no load joins at once, even while the limit is used up by other loads.
         if (loads > 0 && loads > budget) continue;
         budget -= loads;
         this._actions.push({ kind: "loadInstance", replica, instance, rank });
@@ -405,25 +420,30 @@
     return budget;
   }
 
-  /** Loads onto spares what their fabric domain would need most, once no replica waits for it. */
-  private _warmSpares(budget: number): void {
+  /** Loads models onto spares within the remaining limit, so that later repairs need no load. */
+  private _stageSpares(budget: number): void {
     if (this._configuration.stagesFirst) {
       this._stages.stageSpares(budget);
       return;
     }
-    const busy = this._getRetiringDomains();
+    const retiringDomains = this._getRetiringDomains();
     const spares = this._pool
       .getInstances()
-      .filter((instance) => !this._holdsWanted(instance) && !busy.has(instance.fabricDomain));
+      .filter(
+        (instance) => !this._holdsDeclaredModel(instance) && !retiringDomains.has(instance.fabricDomain),
+      );
     for (const instance of spares.slice(0, Math.max(0, budget))) {
-      const view = this._getNeediest(instance.fabricDomain);
+      const view = this._getGroupToStage(instance.fabricDomain);
       if (view === undefined) continue;
       const { name: model, version: modelVersion, adapters } = view.model;
       this._actions.push({ kind: "warmInstance", instance, model, modelVersion, adapters });
     }
   }
 
-  /** Where a replica is being rebuilt, its spares are about to be taken and must not be busy loading. */
+  /**
+   * Gets the fabric domains where a replica is being rebuilt. Their spares are about to be taken and must not
+   * be busy loading.
+   */
   private _getRetiringDomains(): Set<string> {
     const retiring = this._facts.replicas.filter(
       (replica) => this._retiring.has(replica.id) || replica.phase === ReplicaPhase.RETIRING,
@@ -431,36 +451,43 @@
     return new Set(retiring.map((replica) => replica.fabricDomain));
   }
 
-  private _holdsWanted(instance: InstanceFacts): boolean {
-    return this._views.some((view) => getLoads(instance, view.model) === 0);
+  private _holdsDeclaredModel(instance: InstanceFacts): boolean {
+    return this._views.some((view) => getLoadCount(instance, view.model) === 0);
   }
 
-  /** Views stand in the order of their groups' worth. */
-  private _getNeediest(fabricDomain: string): GroupView | undefined {
+  /** Gets the group of the highest value that serves in a fabric domain; `_views` is sorted by value. */
+  private _getGroupToStage(fabricDomain: string): GroupView | undefined {
     return this._views.find((view) => view.serving.some((replica) => replica.fabricDomain === fabricDomain));
   }
 
-  /** What is gone, or only takes its place with weights that it holds, keeps nobody from the weight store. */
+  /**
+   * Counts the instances that are reading from the weight store. Absent instances, and instances that join
+   * with weights they already hold, take no share of its rate.
+   */
   private _countLoading(): number {
     const reading = this._facts.instances.filter((instance) => instance.readsWeights ?? instance.isLoading);
     return reading.filter((instance) => this._isPresent(instance)).length;
   }
 
-  /** Nearly whole replicas first; of those not begun, the ones that bring their group the furthest. */
+  /**
+   * Compares replicas by the order in which they load. With `stagesFirst`, replicas of which an instance has
+   * joined come first, then those of the groups with the lowest share of their declared replicas. Otherwise
+   * the replicas with the lowest share of missing instances come first.
+   */
   private _compareLoads(a: LoadCandidate, b: LoadCandidate): number {
     if (!this._configuration.stagesFirst) return a.missing - b.missing;
     const getOrder = ({ replica, view, missing }: LoadCandidate) => {
-      const place = view.serving.length + view.forming.indexOf(replica) + 1;
-      return missing < 1 ? 0 : place / Math.max(1, view.group.replicas);
+      const position = view.serving.length + view.forming.indexOf(replica) + 1;
+      return missing < 1 ? 0 : position / Math.max(1, view.group.replicas);
     };
     return getOrder(a) - getOrder(b) || a.missing - b.missing;
   }
 
   private _getMissingShare(replica: Replica): number {
-    return this._getUnjoined(replica).length / replica.members.length;
+    return this._getUnjoinedMembers(replica).length / replica.members.length;
   }
 
-  private _getUnjoined(replica: Replica): { instance: InstanceFacts; rank: number }[] {
+  private _getUnjoinedMembers(replica: Replica): { instance: InstanceFacts; rank: number }[] {
     return this._getMembers(replica).flatMap((instance, rank) => {
       if (instance === undefined || !this._isPresent(instance)) return [];
       return this._hasJoined(instance, replica) ? [] : [{ instance, rank }];
--- a/src/planner/RepairPolicy.ts
+++ b/src/planner/RepairPolicy.ts
@@ -1,66 +1,69 @@
 /**
- * How long a replica with a missing instance waits for it before it is rebuilt.
+ * Decides how long a replica waits for a missing instance before it is rebuilt.
  *
- * Waiting and rebuilding cost the same a second: the replica is down and its other
- * instances are stranded. So the choice is which of the two is over sooner. The wait
- * that is expected to be over soonest is found from past absences.
+ * Waiting and rebuilding cost the same per second: the replica is down and its other instances are stranded.
+ * The better choice is therefore the one that ends sooner. The wait with the shortest expected outage is
+ * computed from past absences.
  */
 import type { Absence } from "./facts";
 
-/** What a choice of waiting time looks at; milliseconds. */
+/** Input for choosing the waiting time; durations are in milliseconds. */
 export interface RepairFacts {
-  /** How long a rebuilding is expected to take once it starts. */
+  /** Expected duration of a rebuild once it starts. */
   readonly rebuildMs: number;
   readonly absences: readonly Absence[];
   readonly maxWaitMs: number;
 }
 
-/** A way to choose the waiting time. */
+/** A policy for choosing the waiting time. */
 export interface RepairPolicy {
-  /** Whether a lost instance never takes its place again, so that its replica holds the others for nothing. */
+  /**
+   * Whether a lost instance never returns to its replica, so that waiting leaves the other instances stranded
+   * to no purpose.
+   */
   readonly isLossFinal: boolean;
-  /** Gets how long to wait from the loss on, milliseconds. */
+  /** Gets how long to wait, in milliseconds from the time of the loss. */
   getWaitMs(facts: RepairFacts): number;
 }
 
-/** Waits as long as is allowed: a baseline. */
+/** Always waits for the maximum time. Serves as a baseline. */
 export class WaitingRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
-  /** Gets the longest wait allowed. */
   getWaitMs(facts: RepairFacts): number {
     return facts.maxWaitMs;
   }
 }
 
-/** Rebuilds at once: a baseline, and right where an instance that comes back has lost its place. */
+/**
+ * Rebuilds at once. Serves as a baseline, and is the right policy where a returning instance has lost its
+ * place in the replica.
+ */
 export class ImmediateRepair implements RepairPolicy {
   readonly isLossFinal: boolean;
 
-  /**
-   * @param isLossFinal - Whether a lost instance never takes its place again.
-   */
+  /** @param isLossFinal - Whether a lost instance never returns to its replica. */
   constructor(isLossFinal = false) {
     this.isLossFinal = isLossFinal;
   }
 
-  /** Gets no wait. */
+  /** Gets 0, since this policy never waits. */
   getWaitMs(): number {
     return 0;
   }
 }
 
-/** Absences assumed before any was seen: half are short pauses, half are for good. */
+/** Absences assumed before any has been observed: one short pause and one permanent loss. */
 const PRIOR_ABSENCES: readonly Absence[] = [
   { durationMs: 5_000, cameBack: true },
   { durationMs: 600_000, cameBack: false },
 ];
 
-/** Waits as long as makes the expected end of the outage soonest. */
+/** Waits for the time that minimises the expected outage. */
 export class ExpectedRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
-  /** Gets the wait with the least expected outage; ties go to the shorter one. */
+  /** Gets the wait with the shortest expected outage; of equal ones, the shorter wait. */
   getWaitMs(facts: RepairFacts): number {
     const absences = [...PRIOR_ABSENCES, ...facts.absences];
     const candidates = absences.filter((absence) => absence.cameBack).map((absence) => absence.durationMs);
@@ -77,7 +80,7 @@
   }
 }
 
-/** Gets the mean time until the replica serves again if it waits at most so long. */
+/** Gets the mean time, in milliseconds, until the replica serves again if it waits for at most `waitMs`. */
 function getExpectedOutage(waitMs: number, absences: readonly Absence[], rebuildMs: number): number {
   const total = absences.reduce((sum, absence) => {
     const returnsInTime = absence.cameBack && absence.durationMs <= waitMs;
--- a/src/planner/StagePlanner.ts
+++ b/src/planner/StagePlanner.ts
@@ -1,61 +1,64 @@
 /**
- * Decides which spares load a model ahead of need, where replicas are formed only from
- * instances that hold their model. Pure.
+ * Decides which spares load a model ahead of need. Used where a replica is formed only from instances that
+ * either all hold its model or all lack it. Pure.
  */
 import type { Model } from "../configuration";
-import { type FreePool, getLoads } from "./FreePool";
+import { type FreePool, getLoadCount } from "./FreePool";
 import type { InstanceFacts, WarmInstanceAction } from "./facts";
 import type { GroupView } from "./GroupView";
 
-/** What staging looks at, and what it does. */
+/** Input of staging, and the callback for its decisions. */
 export interface StagePlannerOptions {
   readonly views: readonly GroupView[];
   readonly pool: FreePool;
   readonly instances: readonly InstanceFacts[];
   readonly isPresent: (instance: InstanceFacts) => boolean;
-  /** Counts a group's replicas that serve or form and are not about to retire. */
-  readonly countStaying: (view: GroupView) => number;
+  /** Counts a group's serving and forming replicas that are not about to retire. */
+  readonly countActive: (view: GroupView) => number;
+  /** Called with each load that is decided. */
   readonly onStage: (action: WarmInstanceAction) => void;
 }
 
-/** Free holders of a model in a fabric domain that are too few for a replica. */
-interface Lack {
+/** A fabric domain whose free holders of a model are too few for a replica. */
+interface Shortfall {
   readonly view: GroupView;
   readonly fabricDomain: string;
+  /** Number of further holders needed. */
   readonly missing: number;
 }
 
-/** Stages spares in one run of the planner. */
+/** Plans staging for one run of the planner. */
 export class StagePlanner {
   private readonly _options: StagePlannerOptions;
 
-  /**
-   * @param options - Groups, free instances, and where decisions go.
-   */
+  /** @param options - Groups, free instances, and the callback for decisions. */
   constructor(options: StagePlannerOptions) {
     this._options = options;
   }
 
   /**
-   * Loads a model onto as many spares as its free holders in a fabric domain lack for a
-   * replica. Loads are scarce: where few lack, of a group that is short, comes first.
+   * Loads a model onto as many spares as a fabric domain's free holders lack for a replica.
+   *
+   * The number of loads is limited. Domains that lack few holders, and groups that have a low share of their
+   * declared replicas, come first.
+   * @param limit - Maximum number of loads to start.
    */
-  completeHolders(limit: number): void {
+  stageShortfalls(limit: number): void {
     let budget = limit;
-    const getOrder = ({ view, missing }: Lack) =>
-      missing / view.group.instancesPerReplica + this._options.countStaying(view) / view.group.replicas;
-    const lacks = this._getLacks().sort((a, b) => getOrder(a) - getOrder(b));
-    for (const { view, fabricDomain, missing } of lacks) {
-      const cold = this._getColdSpares(fabricDomain);
-      if (missing > cold.length || missing > budget) continue;
+    const getOrder = ({ view, missing }: Shortfall) =>
+      missing / view.group.instancesPerReplica + this._options.countActive(view) / view.group.replicas;
+    const shortfalls = this._getShortfalls().sort((a, b) => getOrder(a) - getOrder(b));
+    for (const { view, fabricDomain, missing } of shortfalls) {
+      const spares = this._getUnloadedSpares(fabricDomain);
+      if (missing > spares.length || missing > budget) continue;
       budget -= missing;
-      for (const instance of cold.slice(0, missing)) this._stage(instance, view.model);
+      for (const instance of spares.slice(0, missing)) this._stage(instance, view.model);
     }
   }
 
-  private _getLacks(): Lack[] {
+  private _getShortfalls(): Shortfall[] {
     const domains = [...new Set(this._options.instances.map((instance) => instance.fabricDomain))];
-    const short = this._options.views.filter((view) => this._isShort(view));
+    const short = this._options.views.filter((view) => this._lacksReplicas(view));
     return short.flatMap((view) =>
       domains.flatMap((fabricDomain) => {
         const holders = this._countHolders(fabricDomain, view.model);
@@ -65,25 +68,25 @@
     );
   }
 
-  private _isShort(view: GroupView): boolean {
-    return this._options.countStaying(view) < view.group.replicas;
+  private _lacksReplicas(view: GroupView): boolean {
+    return this._options.countActive(view) < view.group.replicas;
   }
 
-  /** Counts free instances that hold a model, or will soon. */
+  /** Counts free instances that hold a model or are staging it. */
   private _countHolders(fabricDomain: string, model: Model): number {
-    const isHere = (instance: InstanceFacts) => instance.fabricDomain === fabricDomain;
-    const free = this._options.pool.getInstances().filter((instance) => getLoads(instance, model) === 0);
+    const isInDomain = (instance: InstanceFacts) => instance.fabricDomain === fabricDomain;
+    const free = this._options.pool.getInstances().filter((instance) => getLoadCount(instance, model) === 0);
     const staging = this._options.instances.filter(
       (instance) =>
         instance.stagingModel === model.name && this._options.isPresent(instance) && !instance.isLeaving,
     );
-    return free.filter(isHere).length + staging.filter(isHere).length;
+    return free.filter(isInDomain).length + staging.filter(isInDomain).length;
   }
 
-  private _getColdSpares(fabricDomain: string): InstanceFacts[] {
+  private _getUnloadedSpares(fabricDomain: string): InstanceFacts[] {
     return this._options.pool
       .getInstances()
-      .filter((instance) => instance.fabricDomain === fabricDomain && !this._holdsWanted(instance));
+      .filter((instance) => instance.fabricDomain === fabricDomain && !this._holdsDeclaredModel(instance));
   }
 
   private _stage(instance: InstanceFacts, { name: model, version: modelVersion, adapters }: Model): void {
@@ -91,27 +94,32 @@
     this._options.onStage({ kind: "warmInstance", instance, model, modelVersion, adapters });
   }
 
-  /** Loads onto spares that hold no wanted model the one whose replicas in their domain they would repair. */
+  /**
+   * Loads models onto spares that hold no declared model. Each spare gets the model that has the fewest
+   * holders per replica in its fabric domain, so that the spare can repair one of those replicas.
+   */
   stageSpares(budget: number): void {
-    const spares = this._options.pool.getInstances().filter((instance) => !this._holdsWanted(instance));
+    const spares = this._options.pool
+      .getInstances()
+      .filter((instance) => !this._holdsDeclaredModel(instance));
     for (const instance of spares.slice(0, Math.max(0, budget))) {
-      const view = this._getLeastInsured(instance.fabricDomain);
+      const view = this._getGroupWithFewestHolders(instance.fabricDomain);
       if (view !== undefined) this._stage(instance, view.model);
     }
   }
 
-  private _getLeastInsured(fabricDomain: string): GroupView | undefined {
-    const insured = this._options.views.flatMap((view) => {
+  private _getGroupWithFewestHolders(fabricDomain: string): GroupView | undefined {
+    const shares = this._options.views.flatMap((view) => {
       const replicas = [...view.serving, ...view.forming].filter(
         (replica) => replica.fabricDomain === fabricDomain,
       ).length;
       const holders = this._countHolders(fabricDomain, view.model);
       return replicas === 0 ? [] : [{ view, share: holders / replicas }];
     });
-    return insured.sort((a, b) => a.share - b.share)[0]?.view;
+    return shares.sort((a, b) => a.share - b.share)[0]?.view;
   }
 
-  private _holdsWanted(instance: InstanceFacts): boolean {
-    return this._options.views.some((view) => getLoads(instance, view.model) === 0);
+  private _holdsDeclaredModel(instance: InstanceFacts): boolean {
+    return this._options.views.some((view) => getLoadCount(instance, view.model) === 0);
   }
 }
--- a/src/planner/facts.ts
+++ b/src/planner/facts.ts
@@ -1,78 +1,90 @@
-/** What the group planner knows, and what it may decide. Plain data. */
+/** Input and output types of the group planner. Plain data. */
 import type { Configuration } from "../configuration";
 import type { Replica } from "../gen/ploverstage/v1/state_pb";
 import type { InstanceId } from "../ids";
 
-/** The part of a configuration that the planner looks at. */
+/** The part of a configuration that the planner uses. */
 export type PlanningConfiguration = Pick<Configuration, "models" | "groups" | "planning" | "weightStore"> & {
   readonly timing: Pick<Configuration["timing"], "presenceWindow" | "lease">;
   /**
-   * Whether instances that hold a model wait for others to load it before they form a
-   * replica, so that they stay free for one that can be formed sooner.
+   * Whether a replica is formed only from instances that either all hold its model or all lack it. Instances
+   * that hold a model then stay free until enough others have loaded it, so that a replica that can be formed
+   * sooner may use them.
    */
   readonly stagesFirst?: boolean;
-  /** With it: the only model that instances of a fabric domain load when none of them holds one. */
+  /**
+   * Used with `stagesFirst`: the only model that instances of a fabric domain load when none of them holds
+   * one.
+   */
   readonly modelByDomain?: ReadonlyMap<string, string>;
 };
 
-/** One engine instance as the planner sees it. Times are monotonic milliseconds. */
+/** The planner's data on one engine instance. Times are monotonic milliseconds. */
 export interface InstanceFacts {
   readonly id: InstanceId;
-  /** Start of its present life, Unix milliseconds by its own clock; 0 when it does not tell. */
+  /**
+   * Start time of the current incarnation, in Unix milliseconds by the instance's own clock; 0 when not
+   * reported.
+   */
   readonly born: number;
   readonly address: string;
   readonly failureDomain: string;
   readonly fabricDomain: string;
   readonly isLeaving: boolean;
-  /** Whether it refuses orders and requests of an older epoch. */
+  /** Whether the instance refuses orders and requests of an older epoch. */
   readonly checksOrders: boolean;
-  /** When it last answered; -Infinity when it never did. */
+  /** Time of the last answer; -Infinity when there was none. */
   readonly answeredAt: number;
-  /** Epoch it says it is in. */
+  /** The epoch that the instance reports. */
   readonly epoch: number;
-  /** Whether it says that the replica of this epoch is broken: joining again does not mend that. */
+  /**
+   * Whether the instance reports that the replica of this epoch is broken. Joining again does not repair it.
+   */
   readonly isBroken?: boolean;
-  /** Whether it says that its model is loaded and its place in the replica taken. */
+  /** Whether the instance reports that its model is loaded and that it has joined the replica. */
   readonly isReady: boolean;
   readonly model: string;
   readonly modelVersion: string;
-  /** Whether an order to load is on its way or being carried out. */
+  /** Whether an order to load has been sent or is being executed. */
   readonly isLoading: boolean;
-  /** Whether it takes up a part of the weight store's rate; by default whenever it is loading. */
+  /** Whether the instance takes up a share of the weight store's rate; by default, whenever it is loading. */
   readonly readsWeights?: boolean;
-  /** Model that it loads ahead of need, if it does. */
+  /** Model that the instance is loading ahead of need, if any. */
   readonly stagingModel?: string;
-  /** Whether it may have ended, as far as is known, so that it is not chosen for a replica. */
+  /** Whether the instance may have ended. It is then not chosen for a replica. */
   readonly isUncertain?: boolean;
-  /** When it was lost lately, ascending. */
+  /** Times of the most recent losses, ascending. */
   readonly losses: readonly number[];
 }
 
-/** Everything the planner looks at. */
+/** The input of a planner run. */
 export interface PlanningFacts {
   readonly instances: readonly InstanceFacts[];
-  /** Replicas of the agreed state that are not released. */
+  /** Replicas of the committed state that are not released. */
   readonly replicas: readonly Replica[];
-  /** Whether leases of earlier leaders have run out, so that instances may be moved. */
+  /** Whether all leases of earlier leaders have expired, so that instances may be moved. */
   readonly isClear: boolean;
   /** Retiring replicas that no lease allows any more. */
   readonly retiredInForce: ReadonlySet<string>;
-  /** Retiring replicas whose time to drain is over. */
+  /** Retiring replicas whose drain time has ended. */
   readonly drained: ReadonlySet<string>;
-  /** Requests in flight by replica, as live entries report them. */
+  /** Requests in flight by replica, as reported by live entries. */
   readonly inFlight: ReadonlyMap<string, number>;
-  /** How long instances were away lately before they came back, or gave up on; milliseconds. */
+  /** Recent absences of instances that have returned or been abandoned. */
   readonly absences: readonly Absence[];
 }
 
-/** One past absence of an instance. */
+/** A past absence of an instance. */
 export interface Absence {
   readonly durationMs: number;
-  /** Whether it came back with its place; else it was away at least so long, or had restarted. */
+  /**
+   * Whether the instance returned with its place in the replica. If not, it restarted or was absent for at
+   * least this duration.
+   */
   readonly cameBack: boolean;
 }
 
-/** Takes free instances as a new replica. */
+/** Forms a new replica from free instances. */
 export interface FormReplicaAction {
   readonly kind: "formReplica";
   readonly group: string;
@@ -80,7 +92,7 @@
   readonly reason: string;
 }
 
-/** Orders an instance of a forming replica to load and join. */
+/** Orders an instance of a forming replica to load the model and join. */
 export interface LoadInstanceAction {
   readonly kind: "loadInstance";
   readonly replica: Replica;
@@ -97,13 +109,13 @@
   readonly adapters: readonly string[];
 }
 
-/** Lets a whole replica serve. */
+/** Lets a complete replica serve. */
 export interface ServeReplicaAction {
   readonly kind: "serveReplica";
   readonly replica: Replica;
 }
 
-/** Ends new work on a replica. */
+/** Stops new requests to a replica. */
 export interface RetireReplicaAction {
   readonly kind: "retireReplica";
   readonly replica: Replica;
@@ -116,7 +128,7 @@
   readonly replica: Replica;
 }
 
-/** Any decision of the planner. */
+/** Any action that the planner returns. */
 export type Action =
   | FormReplicaAction
   | LoadInstanceAction
--- a/src/planner/index.ts
+++ b/src/planner/index.ts
@@ -1,4 +1,4 @@
-/** The group planner. */
+/** The planner of groups and replicas. */
 export { FreePool } from "./FreePool";
 export type * from "./facts";
 export { Planner, REASON } from "./Planner";
--- a/src/routing/AdmissionQueue.ts
+++ b/src/routing/AdmissionQueue.ts
@@ -1,31 +1,31 @@
 /**
- * The bounded queue of one entry: who goes next, and who is given up on at once.
+ * The bounded queue of one entry. It orders requests and refuses those that cannot meet their deadline.
  *
- * Order: priority class; then weighted fair share between organisations by token cost
- * (start-time fair queueing, charged when a request leaves the queue); then the
- * earliest deadline. A request that can't be answered before its deadline is refused
- * when it arrives, or as soon as that becomes so, never after it cost a prefill.
+ * Requests are ordered by priority class, then by weighted fair share between organisations by token cost
+ * (start-time fair queueing, charged when a request leaves the queue), then by earliest deadline. A request
+ * that cannot be answered before its deadline is refused on arrival or as soon as this becomes known. It is
+ * never refused after a prefill has been spent on it.
  *
  * Pure: times are monotonic milliseconds given by the caller.
  */
 import { DrainRate } from "./DrainRate";
 
-/** A request that waits, or asks to. */
+/** A request in the queue, or one to be added. */
 export interface Ticket {
   readonly id: string;
-  /** Model or service. */
+  /** Name of the model or service. */
   readonly target: string;
   readonly organisation: string;
-  /** The organisation's weight. */
+  /** Weight of the organisation. */
   readonly share: number;
-  /** 0 goes first. */
+  /** Priority class; lower numbers are served first, starting with 0. */
   readonly priority: number;
-  /** Estimated tokens, prompt and answer. */
+  /** Estimated number of tokens in prompt and answer. */
   readonly cost: number;
   readonly deadlineAt: number;
 }
 
-/** Why a ticket was refused, and when to come back. */
+/** The reason why a ticket was refused, and the time after which the caller may retry. */
 export interface Refused {
   readonly reason: "queueFull" | "infeasible" | "expired";
   readonly retryAfterMs: number;
@@ -33,39 +33,41 @@
 
 interface OrganisationQueue {
   readonly tickets: Ticket[];
-  /** Virtual time at which its next ticket starts. */
-  start: number;
+  /** Virtual start time of the organisation's next ticket. */
+  startTag: number;
+  /** Total cost of the queued tickets. */
   cost: number;
 }
 
-/** Tickets of one target and priority. */
-interface Level {
+/** The queued tickets of one target and priority. */
+interface PriorityLevel {
   readonly organisations: Map<string, OrganisationQueue>;
-  /** Virtual time: the start of the ticket that left last. */
-  virtual: number;
+  /** Virtual time: the start tag of the ticket that was dequeued last. */
+  virtualTime: number;
+  /** Total cost of the queued tickets of all organisations. */
   cost: number;
 }
 
 interface TargetQueue {
-  readonly levels: Map<number, Level>;
+  readonly levels: Map<number, PriorityLevel>;
   readonly rate: DrainRate;
 }
 
-/** Without a known rate callers are asked to come back after this. */
+/** Time after which callers may retry while no drain rate is known. */
 const DEFAULT_RETRY_MS = 1_000;
 const MIN_RETRY_MS = 200;
 
-/** The queue of one entry. */
+/** The admission queue of one entry. */
 export class AdmissionQueue {
   private readonly _targets = new Map<string, TargetQueue>();
   private _length = 0;
 
-  /** Gets how many tickets wait. */
+  /** Gets the number of queued tickets. */
   get length(): number {
     return this._length;
   }
 
-  /** Gets how many tickets of an organisation wait. */
+  /** Gets the number of an organisation's queued tickets. */
   getOrganisationLength(organisation: string): number {
     let count = 0;
     for (const target of this._targets.values()) {
@@ -75,22 +77,25 @@
     return count;
   }
 
-  /** Gets why a ticket can't be answered before its deadline, if it can't. */
+  /**
+   * Gets the refusal for a ticket that cannot be answered before its deadline; `undefined` for a feasible
+   * one.
+   */
   getInfeasibility(now: number, ticket: Ticket): Refused | undefined {
-    const serviceMs = this._getTarget(ticket.target).rate.getServiceMs(ticket.cost);
+    const serviceMs = this._getOrAddTarget(ticket.target).rate.getServiceMs(ticket.cost);
     const lateMs = now + this.getWaitMs(ticket) + serviceMs - ticket.deadlineAt;
-    return lateMs > 0 ? this._refuse("infeasible", lateMs) : undefined;
+    return lateMs > 0 ? this._createRefusal("infeasible", lateMs) : undefined;
   }
 
   /**
    * Adds a ticket.
-   * @param maxLength - Tickets that may wait.
-   * @returns Why it was refused; `undefined` when it waits now.
+   * @param maxLength - Maximum number of queued tickets.
+   * @returns The refusal; `undefined` when the ticket was added.
    */
   add(ticket: Ticket, maxLength: number): Refused | undefined {
-    if (this._length >= maxLength) return this._refuse("queueFull", this.getWaitMs(ticket));
-    const level = this._getLevel(ticket);
-    const queue = getOrganisationQueue(level, ticket);
+    if (this._length >= maxLength) return this._createRefusal("queueFull", this.getWaitMs(ticket));
+    const level = this._getOrAddLevel(ticket);
+    const queue = getOrAddOrganisationQueue(level, ticket);
     insertByDeadline(queue.tickets, ticket);
     queue.cost += ticket.cost;
     level.cost += ticket.cost;
@@ -98,41 +103,44 @@
     return undefined;
   }
 
-  /** Gets the ticket that goes next for a target; it goes on waiting. */
+  /** Gets the next ticket for a target without removing it. */
   getNext(target: string): Ticket | undefined {
-    return this._getHead(target)?.queue.tickets[0];
+    return this._getNextQueue(target)?.queue.tickets[0];
   }
 
-  /** Takes the ticket that goes next for a target. */
+  /** Removes and returns the next ticket for a target. */
   takeNext(target: string): Ticket | undefined {
-    const head = this._getHead(target);
-    if (head === undefined) return undefined;
-    const { level, queue } = head;
+    const next = this._getNextQueue(target);
+    if (next === undefined) return undefined;
+    const { level, queue } = next;
     const ticket = queue.tickets[0]!;
-    level.virtual = Math.max(level.virtual, queue.start);
-    queue.start = level.virtual + ticket.cost / ticket.share;
-    this._removeFrom(level, queue, ticket);
+    level.virtualTime = Math.max(level.virtualTime, queue.startTag);
+    queue.startTag = level.virtualTime + ticket.cost / ticket.share;
+    this._removeTicket(level, queue, ticket);
     return ticket;
   }
 
-  /** Removes a ticket whose caller left. */
+  /**
+   * Removes a ticket whose caller disconnected.
+   * @returns Whether the ticket was queued.
+   */
   remove(ticket: Ticket): boolean {
     const level = this._targets.get(ticket.target)?.levels.get(ticket.priority);
     const queue = level?.organisations.get(ticket.organisation);
     if (level === undefined || queue === undefined || !queue.tickets.includes(ticket)) return false;
-    this._removeFrom(level, queue, ticket);
+    this._removeTicket(level, queue, ticket);
     return true;
   }
 
-  /** Takes out tickets that can't be answered in time any more. */
+  /** Removes and returns tickets that can no longer be answered before their deadline. */
   takeExpired(now: number): { ticket: Ticket; refused: Refused }[] {
     const expired: { ticket: Ticket; refused: Refused }[] = [];
     for (const [name, target] of this._targets) {
       for (const level of target.levels.values()) {
         for (const queue of level.organisations.values()) {
           for (const ticket of queue.tickets.filter((waiting) => this._isExpired(now, name, waiting))) {
-            this._removeFrom(level, queue, ticket);
-            expired.push({ ticket, refused: this._refuse("expired", this.getWaitMs(ticket)) });
+            this._removeTicket(level, queue, ticket);
+            expired.push({ ticket, refused: this._createRefusal("expired", this.getWaitMs(ticket)) });
           }
         }
       }
@@ -141,23 +149,25 @@
   }
 
   /**
-   * Notes an answered request, from which drain rates are worked out.
-   * @param serviceMs - From its dispatch to the end of its answer.
+   * Records an answered request; drain rates are computed from these.
+   * @param serviceMs - Time from dispatch to the end of the answer.
    */
   addCompletion(target: string, cost: number, serviceMs: number): void {
-    this._getTarget(target).rate.addCompletion(cost, serviceMs);
+    this._getOrAddTarget(target).rate.addCompletion(cost, serviceMs);
   }
 
-  /** Sets how many requests this entry may have in flight at a target. */
+  /** Sets the maximum number of requests that this entry may have in flight at a target. */
   setSlots(target: string, slots: number): void {
-    this._getTarget(target).rate.setSlots(slots);
+    this._getOrAddTarget(target).rate.setSlots(slots);
   }
 
   /**
-   * Estimates how long a ticket that joins now waits until it is dispatched.
+   * Estimates how long a ticket added now would wait until it is dispatched.
    *
-   * Higher classes go first entirely; within its class the organisation gets its share
-   * of the rate among those that wait, or what is left over if that is sooner.
+   * All tickets of higher priority go first. Within a priority, the organisation gets at least its share of
+   * the rate among the organisations with queued tickets. The wait never exceeds the time needed for
+   * everything queued at that priority.
+   * @returns Milliseconds; 0 while no drain rate is known.
    */
   getWaitMs(ticket: Ticket): number {
     const target = this._targets.get(ticket.target);
@@ -171,8 +181,8 @@
     return (ahead + getCostBefore(level, ticket)) / rate;
   }
 
-  private _getHead(target: string): { level: Level; queue: OrganisationQueue } | undefined {
-    const levels = this._targets.get(target)?.levels ?? new Map<number, Level>();
+  private _getNextQueue(target: string): { level: PriorityLevel; queue: OrganisationQueue } | undefined {
+    const levels = this._targets.get(target)?.levels ?? new Map<number, PriorityLevel>();
     for (const priority of [...levels.keys()].sort((a, b) => a - b)) {
       const level = levels.get(priority)!;
       const queue = getNextOrganisation(level);
@@ -181,69 +191,69 @@
     return undefined;
   }
 
-  private _refuse(reason: Refused["reason"], ms: number): Refused {
+  private _createRefusal(reason: Refused["reason"], ms: number): Refused {
     return { reason, retryAfterMs: Math.max(MIN_RETRY_MS, ms > 0 ? ms : DEFAULT_RETRY_MS) };
   }
 
   private _isExpired(now: number, target: string, ticket: Ticket): boolean {
-    return now + this._getTarget(target).rate.getServiceMs(ticket.cost) > ticket.deadlineAt;
+    return now + this._getOrAddTarget(target).rate.getServiceMs(ticket.cost) > ticket.deadlineAt;
   }
 
-  private _removeFrom(level: Level, queue: OrganisationQueue, ticket: Ticket): void {
+  private _removeTicket(level: PriorityLevel, queue: OrganisationQueue, ticket: Ticket): void {
     queue.tickets.splice(queue.tickets.indexOf(ticket), 1);
     queue.cost -= ticket.cost;
     level.cost -= ticket.cost;
     this._length -= 1;
-    // An idle organisation saves up no credit: it starts again at the present virtual time.
-    if (queue.tickets.length === 0 && queue.start <= level.virtual)
+    // An idle organisation accumulates no credit: its next ticket starts at the current virtual time.
+    if (queue.tickets.length === 0 && queue.startTag <= level.virtualTime)
       level.organisations.delete(ticket.organisation);
   }
 
-  private _getLevel(ticket: Ticket): Level {
-    const { levels } = this._getTarget(ticket.target);
-    const known = levels.get(ticket.priority);
-    if (known !== undefined) return known;
-    const level: Level = { organisations: new Map(), virtual: 0, cost: 0 };
+  private _getOrAddLevel(ticket: Ticket): PriorityLevel {
+    const { levels } = this._getOrAddTarget(ticket.target);
+    const existing = levels.get(ticket.priority);
+    if (existing !== undefined) return existing;
+    const level: PriorityLevel = { organisations: new Map(), virtualTime: 0, cost: 0 };
     levels.set(ticket.priority, level);
     return level;
   }
 
-  private _getTarget(name: string): TargetQueue {
-    const known = this._targets.get(name);
-    if (known !== undefined) return known;
+  private _getOrAddTarget(name: string): TargetQueue {
+    const existing = this._targets.get(name);
+    if (existing !== undefined) return existing;
     const target: TargetQueue = { levels: new Map(), rate: new DrainRate() };
     this._targets.set(name, target);
     return target;
   }
 }
 
-function getOrganisationQueue(level: Level, ticket: Ticket): OrganisationQueue {
-  const known = level.organisations.get(ticket.organisation);
-  if (known !== undefined) {
-    if (known.tickets.length === 0) known.start = Math.max(known.start, level.virtual);
-    return known;
+function getOrAddOrganisationQueue(level: PriorityLevel, ticket: Ticket): OrganisationQueue {
+  const existing = level.organisations.get(ticket.organisation);
+  if (existing !== undefined) {
+    if (existing.tickets.length === 0) existing.startTag = Math.max(existing.startTag, level.virtualTime);
+    return existing;
   }
-  const queue: OrganisationQueue = { tickets: [], start: level.virtual, cost: 0 };
+  const queue: OrganisationQueue = { tickets: [], startTag: level.virtualTime, cost: 0 };
   level.organisations.set(ticket.organisation, queue);
   return queue;
 }
 
 function insertByDeadline(tickets: Ticket[], ticket: Ticket): void {
-  let at = tickets.length;
-  while (at > 0 && tickets[at - 1]!.deadlineAt > ticket.deadlineAt) at -= 1;
-  tickets.splice(at, 0, ticket);
+  let index = tickets.length;
+  while (index > 0 && tickets[index - 1]!.deadlineAt > ticket.deadlineAt) index -= 1;
+  tickets.splice(index, 0, ticket);
 }
 
-function getNextOrganisation(level: Level): OrganisationQueue | undefined {
+function getNextOrganisation(level: PriorityLevel): OrganisationQueue | undefined {
   let next: OrganisationQueue | undefined;
   for (const queue of level.organisations.values()) {
-    if (queue.tickets.length > 0 && (next === undefined || queue.start < next.start)) next = queue;
+    if (queue.tickets.length > 0 && (next === undefined || queue.startTag < next.startTag)) next = queue;
   }
   return next;
 }
 
-/** Cost that is served before a ticket in its class. */
-function getCostBefore(level: Level | undefined, ticket: Ticket): number {
+/** Gets the cost that is served before a new ticket within its priority. */
+function getCostBefore(level: PriorityLevel | undefined, ticket: Ticket): number {
   if (level === undefined) return 0;
   let otherShares = 0;
   for (const [organisation, queue] of level.organisations) {
--- a/src/routing/DrainRate.ts
+++ b/src/routing/DrainRate.ts
@@ -1,14 +1,14 @@
 /**
- * How fast the work for one target is done.
+ * Estimates how fast requests to one target are completed.
  *
- * By Little's law a target with N slots, all taken, does N / T requests a millisecond,
- * T being how long one takes. The rate so found holds for a burst that follows a calm,
- * where the rate of completions would only tell how little was asked for. Pure.
+ * By Little's law, a target with N slots, all in use, and a service time of T milliseconds completes N / T
+ * requests per millisecond. This estimate also holds for a burst after a calm period, when the measured rate
+ * of completions would reflect only the low demand. Pure.
  */
 
 /** Weight of the newest request in the running means. */
 const SMOOTHING = 0.05;
-/** Requests before the means are trusted. */
+/** Number of completed requests before the means are used. */
 const MIN_COMPLETIONS = 5;
 
 /** The drain rate of one target. */
@@ -18,15 +18,15 @@
   private _meanCost = 0;
   private _meanServiceMs = 0;
 
-  /** Sets how many requests this entry may have in flight at the target. */
+  /** Sets the maximum number of requests that this entry may have in flight at the target. */
   setSlots(slots: number): void {
     this._slots = slots;
   }
 
   /**
-   * Notes a request that was answered.
+   * Records a request that was answered.
    * @param cost - Its tokens.
-   * @param serviceMs - From its dispatch to the end of its answer.
+   * @param serviceMs - Time from dispatch to the end of the answer.
    */
   addCompletion(cost: number, serviceMs: number): void {
     this._completions += 1;
@@ -36,21 +36,23 @@
   }
 
   /**
-   * Gets the cost done a millisecond with all slots taken.
-   * @returns `undefined` while too little is known.
+   * Gets the cost completed per millisecond with all slots in use.
+   * @returns `undefined` while there are too few completions.
    */
   getRate(): number | undefined {
-    if (!this._isKnown() || this._slots === 0 || this._meanServiceMs === 0) return undefined;
+    if (!this._hasEstimate() || this._slots === 0 || this._meanServiceMs === 0) return undefined;
     return (this._slots * this._meanCost) / this._meanServiceMs;
   }
 
-  /** Gets how long a request of some cost takes once dispatched; 0 while unknown. */
+  /**
+   * Gets the estimated service time in milliseconds of a dispatched request; 0 while there is no estimate.
+   */
   getServiceMs(cost: number): number {
-    if (!this._isKnown() || this._meanCost === 0) return 0;
+    if (!this._hasEstimate() || this._meanCost === 0) return 0;
     return (this._meanServiceMs * cost) / this._meanCost;
   }
 
-  private _isKnown(): boolean {
+  private _hasEstimate(): boolean {
     return this._completions >= MIN_COMPLETIONS;
   }
 }
--- a/src/routing/Placement.ts
+++ b/src/routing/Placement.ts
@@ -1,69 +1,72 @@
 /**
- * Chooses a replica for a request over reports that lag.
+ * Chooses a replica for a request, based on load reports that lag.
  *
- * Pure: candidates, time and randomness are arguments. Nine entries that all took the
- * replica with the lowest report would take the same one; each therefore looks at a
- * few candidates drawn at random, and at the one that holds the longest prefix.
+ * Pure: candidates and randomness are arguments. If all entries chose the replica with the lowest report,
+ * nine entries would all choose the same one. Each entry therefore considers a few candidates drawn at
+ * random, and the candidate that holds the longest prefix of the prompt.
  */
 import type { RandomSource } from "../consensus";
 
-/** A replica as the choice sees it; work is counted in tokens. */
+/** A replica that a request may be sent to. Work is counted in tokens. */
 export interface Candidate {
   readonly replicaId: string;
-  /** This entry's requests in flight there. */
+  /** Number of this entry's requests in flight at the replica. */
   readonly ownRequests: number;
-  /** Requests that this entry may have in flight there. */
+  /** Maximum number of requests that this entry may have in flight at the replica. */
   readonly ownLimit: number;
-  /** This entry's tokens still to be worked on there. */
+  /** This entry's tokens in flight at the replica. */
   readonly ownTokens: number;
-  /** Tokens pending there as it last reported, 0 when it never did. */
+  /** Pending tokens in the replica's last report; 0 without a report. */
   readonly reportedTokens: number;
-  /** This entry's tokens pending there when the report was made. */
+  /** This entry's tokens in flight at the time of that report. */
   readonly ownTokensAtReport: number;
-  /** Prompt tokens that it probably holds in its prefix cache. */
+  /** Prompt tokens that are probably in the replica's prefix cache. */
   readonly heldTokens: number;
-  /** How much longer its first tokens take than its peers', 1 when alike. */
+  /** Ratio of the replica's first-token time to that of its peers; 1 for a similar one. */
   readonly slowness: number;
 }
 
-/** A way to choose. */
+/** A policy for choosing a replica. */
 export interface Placement {
   /**
-   * Chooses a candidate with room.
-   * @param promptTokens - Tokens that a replica without the prefix must prefill.
-   * @returns `undefined` when none has room.
+   * Chooses a candidate with capacity.
+   * @param promptTokens - Tokens that a replica without the cached prefix must prefill.
+   * @returns `undefined` when no candidate has capacity.
    */
   choose(candidates: readonly Candidate[], promptTokens: number, random: RandomSource): Candidate | undefined;
 }
 
-/** Candidates drawn at random for each choice. */
+/** Number of candidates drawn at random for each choice. */
 const SAMPLE_SIZE = 3;
 
-/** Weighs queued work against the prefill that a held prefix saves. */
+/**
+ * Chooses the candidate with the least work: queued tokens plus prefill, less the prefill that a cached
+ * prefix saves.
+ */
 export class WeighedPlacement implements Placement {
   private readonly _reuseWeight: number;
   private readonly _sampleSize: number;
 
   /**
-   * @param reuseWeight - What a held prompt token is worth against a queued one.
-   * @param sampleSize - Candidates drawn for each choice.
+   * @param reuseWeight - Value of a cached prompt token relative to a queued token.
+   * @param sampleSize - Number of candidates drawn for each choice.
    */
   constructor(reuseWeight = 1, sampleSize = SAMPLE_SIZE) {
     this._reuseWeight = reuseWeight;
     this._sampleSize = sampleSize;
   }
 
-  /** Chooses the sampled candidate with the least work left, prefill included. */
+  /** Chooses the candidate with the least work among the sample and the holder of the longest prefix. */
   choose(
     candidates: readonly Candidate[],
     promptTokens: number,
     random: RandomSource,
   ): Candidate | undefined {
-    const open = candidates.filter(hasRoom);
+    const open = candidates.filter(hasCapacity);
     const sample = drawSample(open, this._sampleSize, random);
-    const holder = getLongestHolder(open);
+    const holder = getLongestPrefixHolder(open);
     if (holder !== undefined && this._reuseWeight > 0) sample.push(holder);
-    return getLeast(sample, (candidate) => this._getWork(candidate, promptTokens));
+    return getCheapest(sample, (candidate) => this._getWork(candidate, promptTokens));
   }
 
   private _getWork(candidate: Candidate, promptTokens: number): number {
@@ -72,13 +75,13 @@
   }
 }
 
-/** Takes candidates in turn: a baseline. */
+/** Uses candidates in turn. Serves as a baseline. */
 export class RoundRobinPlacement implements Placement {
   private _next = 0;
 
-  /** Chooses the next candidate with room. */
+  /** Chooses the next candidate with capacity. */
   choose(candidates: readonly Candidate[]): Candidate | undefined {
-    const open = candidates.filter(hasRoom);
+    const open = candidates.filter(hasCapacity);
     if (open.length === 0) return undefined;
     const chosen = open[this._next % open.length];
     this._next += 1;
@@ -86,27 +89,30 @@
   }
 }
 
-/** Takes the lowest report: a baseline. */
+/** Uses the last reports only. Serves as a baseline. */
 export class LeastReportedPlacement implements Placement {
-  /** Chooses the candidate with room that reported the least work. */
+  /** Chooses the candidate with capacity that reported the least work. */
   choose(candidates: readonly Candidate[]): Candidate | undefined {
-    return getLeast(candidates.filter(hasRoom), (candidate) => candidate.reportedTokens);
+    return getCheapest(candidates.filter(hasCapacity), (candidate) => candidate.reportedTokens);
   }
 }
 
-/** Takes the least of one's own work in flight: a baseline. */
+/** Uses this entry's own work in flight only. Serves as a baseline. */
 export class OwnInFlightPlacement implements Placement {
-  /** Chooses the candidate with room that has the least of this entry's work. */
+  /** Chooses the candidate with capacity that has the least of this entry's work. */
   choose(candidates: readonly Candidate[]): Candidate | undefined {
-    return getLeast(candidates.filter(hasRoom), (candidate) => candidate.ownTokens);
+    return getCheapest(candidates.filter(hasCapacity), (candidate) => candidate.ownTokens);
   }
 }
 
-function hasRoom(candidate: Candidate): boolean {
+function hasCapacity(candidate: Candidate): boolean {
   return candidate.ownRequests < candidate.ownLimit;
 }
 
-/** Own work is known exactly; of the report, only what others sent is taken. */
+/**
+ * Gets the queued tokens: this entry's own work, which is exact, and the part of the report that other
+ * entries sent.
+ */
 function getQueuedTokens(candidate: Candidate): number {
   const others = Math.max(0, candidate.reportedTokens - candidate.ownTokensAtReport);
   return candidate.ownTokens + others;
@@ -117,31 +123,31 @@
   const rest = [...candidates];
   const sample: Candidate[] = [];
   while (sample.length < size) {
-    const at = Math.floor(random.next() * rest.length);
-    sample.push(rest[at]!);
-    rest[at] = rest.at(-1)!;
+    const index = Math.floor(random.next() * rest.length);
+    sample.push(rest[index]!);
+    rest[index] = rest.at(-1)!;
     rest.pop();
   }
   return sample;
 }
 
-function getLongestHolder(candidates: readonly Candidate[]): Candidate | undefined {
-  const holder = getLeast(candidates, (candidate) => -candidate.heldTokens);
+function getLongestPrefixHolder(candidates: readonly Candidate[]): Candidate | undefined {
+  const holder = getCheapest(candidates, (candidate) => -candidate.heldTokens);
   return holder !== undefined && holder.heldTokens > 0 ? holder : undefined;
 }
 
-function getLeast(
+function getCheapest(
   candidates: readonly Candidate[],
   getCost: (candidate: Candidate) => number,
 ): Candidate | undefined {
-  let least: Candidate | undefined;
-  let leastCost = Number.POSITIVE_INFINITY;
+  let cheapest: Candidate | undefined;
+  let lowestCost = Number.POSITIVE_INFINITY;
   for (const candidate of candidates) {
     const cost = getCost(candidate);
-    if (cost < leastCost) {
-      least = candidate;
-      leastCost = cost;
+    if (cost < lowestCost) {
+      cheapest = candidate;
+      lowestCost = cost;
     }
   }
-  return least;
+  return cheapest;
 }
--- a/src/routing/PrefixTable.ts
+++ b/src/routing/PrefixTable.ts
@@ -1,13 +1,13 @@
 /**
- * Which replicas probably hold which prompt prefixes in their cache.
+ * Records which replicas probably have which prompt prefixes in their cache.
  *
- * An optimisation only: what it says may be stale, and a miss costs a prefill, never
- * an answer. Prefixes are known by digests of their leading blocks, per organisation,
- * model and adapter, so that no organisation can learn of another's prompts.
+ * The table is only an optimisation: an entry may be stale, and a miss costs a prefill but never an answer.
+ * Prefixes are identified by digests of their leading blocks, per organisation, model and adapter, so that no
+ * organisation can learn about another's prompts.
  */
 import { createHash } from "node:crypto";
 
-/** Characters a block; a prompt shorter than one block has no prefix. */
+/** Number of characters in a block. A prompt shorter than one block has no prefix. */
 export const BLOCK_CHARACTERS = 256;
 const MAX_BLOCKS = 16;
 const DIGEST_CHARACTERS = 22;
@@ -15,7 +15,11 @@
 /** Digests of a prompt's leading blocks, shortest prefix first. */
 export type PrefixDigests = readonly string[];
 
-/** Gets the digests of a prompt's leading blocks. */
+/**
+ * Gets the digests of a prompt's leading blocks.
+ * @param scope - Identifies organisation, model and adapter; equal prompts of different scopes have different
+ * digests.
+ */
 export function getPrefixDigests(scope: string, prompt: string): PrefixDigests {
   const blocks = Math.min(MAX_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS));
   if (blocks === 0) return [];
@@ -28,57 +32,54 @@
   return digests;
 }
 
-/** Prefixes by replica, the longest unused ones forgotten first. */
+/** The prefixes of each replica. The least recently used ones are removed first. */
 export class PrefixTable {
   private readonly _capacity: number;
   private readonly _replicas = new Map<string, Set<string>>();
 
-  /**
-   * @param capacity - Prefixes remembered a replica.
-   */
+  /** @param capacity - Maximum number of prefixes per replica. */
   constructor(capacity: number) {
     this._capacity = capacity;
   }
 
-  /** Notes that a replica works on a prompt, and so will have its prefixes. */
+  /** Records that a replica processes a prompt, and therefore will have its prefixes cached. */
   addPrefixes(replicaId: string, digests: PrefixDigests): void {
     if (digests.length === 0) return;
-    let known = this._replicas.get(replicaId);
-    if (known === undefined) {
-      known = new Set();
-      this._replicas.set(replicaId, known);
+    let prefixes = this._replicas.get(replicaId);
+    if (prefixes === undefined) {
+      prefixes = new Set();
+      this._replicas.set(replicaId, prefixes);
     }
     for (const digest of digests) {
-      known.delete(digest);
-      known.add(digest);
+      prefixes.delete(digest);
+      prefixes.add(digest);
     }
-    this._trim(known);
+    this._trim(prefixes);
   }
 
-  /** Notes that a replica gave a prefix up. */
+  /** Removes a prefix that a replica has evicted. */
   removePrefix(replicaId: string, digest: string): void {
     this._replicas.get(replicaId)?.delete(digest);
   }
 
-  /** Forgets a replica. */
   removeReplica(replicaId: string): void {
     this._replicas.delete(replicaId);
   }
 
-  /** Gets how many leading characters of a prompt a replica probably holds. */
+  /** Gets the number of leading characters of a prompt that a replica has probably cached. */
   getHeldCharacters(replicaId: string, digests: PrefixDigests): number {
-    const known = this._replicas.get(replicaId);
-    if (known === undefined) return 0;
+    const prefixes = this._replicas.get(replicaId);
+    if (prefixes === undefined) return 0;
     for (let blocks = digests.length; blocks > 0; blocks--) {
-      if (known.has(digests[blocks - 1]!)) return blocks * BLOCK_CHARACTERS;
+      if (prefixes.has(digests[blocks - 1]!)) return blocks * BLOCK_CHARACTERS;
     }
     return 0;
   }
 
-  private _trim(known: Set<string>): void {
-    for (const digest of known) {
-      if (known.size <= this._capacity) return;
-      known.delete(digest);
+  private _trim(prefixes: Set<string>): void {
+    for (const digest of prefixes) {
+      if (prefixes.size <= this._capacity) return;
+      prefixes.delete(digest);
     }
   }
 }
--- a/src/routing/RetryBudget.ts
+++ b/src/routing/RetryBudget.ts
@@ -1,26 +1,29 @@
-/** Keeps retries to a share of first attempts, so that a failure is not multiplied. Pure. */
+/** Limits retries to a share of first attempts, so that retries do not multiply a failure. Pure. */
 
-/** Retries that may be made however few requests there were. */
+/** Number of retries that are allowed regardless of the number of requests. */
 const RESERVE = 3;
-/** Retries that can be saved up, as a multiple of the reserve. */
-const MAX_SAVED = 10;
+/** Maximum number of retries that can accumulate, as a multiple of the reserve. */
+const MAX_RESERVES = 10;
 
 /** The retry budget of one entry. */
 export class RetryBudget {
-  private _saved = RESERVE;
+  private _available = RESERVE;
 
   /**
-   * Notes a first attempt.
-   * @param ratio - Retries allowed a first attempt.
+   * Records a first attempt.
+   * @param ratio - Number of retries allowed per first attempt.
    */
   addRequest(ratio: number): void {
-    this._saved = Math.min(RESERVE * MAX_SAVED, this._saved + ratio);
+    this._available = Math.min(RESERVE * MAX_RESERVES, this._available + ratio);
   }
 
-  /** Takes one retry if the budget has it. */
+  /**
+   * Takes one retry from the budget.
+   * @returns Whether the budget had one.
+   */
   takeRetry(): boolean {
-    if (this._saved < 1) return false;
-    this._saved -= 1;
+    if (this._available < 1) return false;
+    this._available -= 1;
     return true;
   }
 }
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,7 +1,7 @@
-/** Decisions about where and whether a request goes. */
+/** Admission of requests, choice of a replica, and limits on retries. */
 export { AdmissionQueue, type Refused, type Ticket } from "./AdmissionQueue";
 export { EndpointHealth } from "./EndpointHealth";
-export { type EndpointFacts, EndpointPool, getSlowness, Work, type WorkEnd } from "./EndpointPool";
+export { type EndpointFacts, EndpointPool, getSlowness, Work, type WorkOutcome } from "./EndpointPool";
 export {
   type Candidate,
   LeastReportedPlacement,
--- a/test/http/Connections.test.ts
+++ b/test/http/Connections.test.ts
@@ -15,7 +15,7 @@
 const MAX_REST_MS = 3_000;
 
 /** What a caller saw of a call. */
-type Seen = "answered" | "unanswered" | "not connected";
+type CallResult = "answered" | "unanswered" | "not connected";
 
 describe("Connections", () => {
   let server: Server;
@@ -42,7 +42,7 @@
     return agent;
   }
 
-  function call(agent: Agent): Promise<Seen> {
+  function call(agent: Agent): Promise<CallResult> {
     return new Promise((resolve) => {
       const outgoing = request({ host: "127.0.0.1", port, agent }, (answer) => {
         answer.resume();
@@ -57,7 +57,7 @@
 
   it("resets no request of callers that use their connections until they are gone", async () => {
     await start((_request, response) => response.end("ok"));
-    const seen: Seen[] = [];
+    const seen: CallResult[] = [];
     const callUntilGone = async (agent: Agent) => {
       for (;;) {
         const what = await call(agent);
--- a/test/planner/Planner.property.test.ts
+++ b/test/planner/Planner.property.test.ts
@@ -65,20 +65,20 @@
     });
   });
 
-function getHeld(facts: PlanningFacts): Set<string> {
+function getAssignedIds(facts: PlanningFacts): Set<string> {
   return new Set(facts.replicas.flatMap((replica) => replica.members.map((member) => member.instanceId)));
 }
 
-function isFit(instance: InstanceFacts): boolean {
+function isUsable(instance: InstanceFacts): boolean {
   const isPresent = NOW - instance.answeredAt <= CONFIGURATION.timing.presenceWindow;
   return isPresent && !instance.isLeaving && !instance.isLoading && instance.losses.length < 3;
 }
 
 function checkForming(facts: PlanningFacts, actions: readonly Action[]): void {
-  const held = getHeld(facts);
+  const assigned = getAssignedIds(facts);
   const taken = actions.flatMap((action) => (action.kind === "formReplica" ? action.members : []));
   expect(new Set(taken).size).toBe(taken.length);
-  for (const instance of taken) expect(!held.has(instance.id) && isFit(instance)).toBe(true);
+  for (const instance of taken) expect(!assigned.has(instance.id) && isUsable(instance)).toBe(true);
   for (const action of actions) {
     if (action.kind !== "formReplica") continue;
     expect(action.members).toHaveLength(SIZE);
@@ -86,7 +86,7 @@
   }
 }
 
-function checkOne(facts: PlanningFacts, action: Action): void {
+function checkAction(facts: PlanningFacts, action: Action): void {
   if (action.kind === "releaseReplica") {
     expect(action.replica.phase).toBe(ReplicaPhase.RETIRING);
     expect(facts.isClear && facts.retiredInForce.has(action.replica.id)).toBe(true);
@@ -100,7 +100,7 @@
       expect(NOW - instance.answeredAt).toBeLessThanOrEqual(CONFIGURATION.timing.presenceWindow);
     }
   }
-  if (action.kind === "warmInstance") expect(getHeld(facts).has(action.instance.id)).toBe(false);
+  if (action.kind === "warmInstance") expect(getAssignedIds(facts).has(action.instance.id)).toBe(false);
   if (action.kind === "retireReplica") expect(action.replica.phase).not.toBe(ReplicaPhase.RETIRING);
 }
 
@@ -111,7 +111,7 @@
       const actions = new Planner().plan(NOW, facts, CONFIGURATION);
       for (const action of actions) {
         kinds.add(action.kind);
-        checkOne(facts, action);
+        checkAction(facts, action);
       }
       checkForming(facts, actions);
       const retired = actions.flatMap((action) =>
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -5,7 +5,7 @@
 import { createConfiguration, type TestConfiguration } from "../support/configuration";
 import { createFacts, createInstance, createInstances, createReplica, NOW } from "../support/planning";
 
-const GONE = { answeredAt: NOW - 100_000 };
+const ABSENT = { answeredAt: NOW - 100_000 };
 
 function plan(facts: Parameters<typeof createFacts>[0], options: TestConfiguration = {}): Action[] {
   const configuration = parseConfiguration("test", createConfiguration(options));
@@ -72,7 +72,7 @@
       const held = createReplica(1, createInstances(4, { fabricDomain: "h" }));
       const instances = [
         ...held.instances,
-        createInstance("gone", GONE),
+        createInstance("gone", ABSENT),
         createInstance("leaving", { isLeaving: true }),
         createInstance("loading", { isLoading: true }),
         createInstance("free"),
@@ -152,7 +152,7 @@
 
     it("gives a forming replica up that lost an instance", () => {
       const facts = createForming({ epoch: 1, isReady: true });
-      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...GONE } : instance));
+      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...ABSENT } : instance));
       doTest({ ...facts, instances }, {}, `retire g-1: ${REASON.lost}`);
     });
   });
@@ -195,7 +195,7 @@
       }));
       const second = createReplica(2, others);
       const lose = (instances: InstanceFacts[]) =>
-        instances.map((instance, i) => (i === 0 ? { ...instance, ...GONE } : instance));
+        instances.map((instance, i) => (i === 0 ? { ...instance, ...ABSENT } : instance));
       doTest(
         {
           replicas: [first.replica, second.replica],
@@ -316,7 +316,7 @@
       ));
 
     it("waits while another replica is down, with a minimum to keep", () => {
-      const broken = instances.map((instance, i) => (i === 7 ? { ...instance, ...GONE } : instance));
+      const broken = instances.map((instance, i) => (i === 7 ? { ...instance, ...ABSENT } : instance));
       const facts = { replicas, instances: broken };
       doTest(facts, { replicas: 2, version: "2" }, `retire g-2: ${REASON.version}`);
     });
--- a/test/planner/staging.test.ts
+++ b/test/planner/staging.test.ts
@@ -2,7 +2,7 @@
 import { ImmediateRepair, type InstanceFacts, Planner, type PlanningConfiguration } from "../../src/planner";
 import { createFacts, createInstances, createReplica, NOW } from "../support/planning";
 
-const HELD = { model: "m", modelVersion: "1" };
+const LOADED = { model: "m", modelVersion: "1" };
 
 function createConfiguration(replicas: number): PlanningConfiguration {
   return {
@@ -23,7 +23,7 @@
 describe("Planner that stages first", () => {
   it("forms from instances that hold the model", () => {
     const [first, ...rest] = plan([
-      ...createInstances(4, HELD),
+      ...createInstances(4, LOADED),
       ...createInstances(2, { fabricDomain: "x" }),
     ]);
     expect(first).toMatchObject({ kind: "formReplica" });
@@ -36,7 +36,7 @@
 
   it("keeps holders free and loads onto as many others as they lack", () => {
     const actions = plan([
-      ...createInstances(3, HELD),
+      ...createInstances(3, LOADED),
       ...createInstances(2).map((instance, i) => ({ ...instance, id: `c${i}` as InstanceFacts["id"] })),
     ]);
     expect(actions).toEqual([expect.objectContaining({ kind: "warmInstance", model: "m" })]);
@@ -44,7 +44,7 @@
 
   it("loads onto no further one while the one that lacks is loading", () => {
     const loading = createInstances(1, { fabricDomain: "f", isLoading: true, stagingModel: "m" });
-    const all = [...createInstances(3, HELD), ...loading, ...createInstances(2)];
+    const all = [...createInstances(3, LOADED), ...loading, ...createInstances(2)];
     const instances = all.map((instance, i) => ({ ...instance, id: `i${i}` as InstanceFacts["id"] }));
     expect(plan(instances)).toEqual([]);
   });
@@ -61,7 +61,7 @@
 
   it("never holds up a join without a load for loads that go on", () => {
     const { replica } = createReplica(1, createInstances(4), { phase: 1 });
-    const members = createInstances(4, HELD);
+    const members = createInstances(4, LOADED);
     const busy = createInstances(8, { fabricDomain: "x", isLoading: true });
     const actions = plan([...members, ...busy], 1, { replicas: [replica] });
     expect(actions.filter((action) => action.kind === "loadInstance").length).toBe(4);
@@ -72,14 +72,14 @@
     const rejoining = createInstances(6, { fabricDomain: "y", isLoading: true, readsWeights: false });
     const [cold] = createInstances(1, { fabricDomain: "z" });
     const actions = plan(
-      [...createInstances(3, { ...HELD, fabricDomain: "z" }), cold!, ...gone, ...rejoining].map(
+      [...createInstances(3, { ...LOADED, fabricDomain: "z" }), cold!, ...gone, ...rejoining].map(
         (instance, i) => ({ ...instance, id: `i${i}` as InstanceFacts["id"] }),
       ),
     );
     expect(actions).toEqual([expect.objectContaining({ kind: "warmInstance", model: "m" })]);
     const busy = createInstances(6, { fabricDomain: "x", isLoading: true });
     const none = plan(
-      [...createInstances(3, { ...HELD, fabricDomain: "z" }), cold!, ...busy].map((instance, i) => ({
+      [...createInstances(3, { ...LOADED, fabricDomain: "z" }), cold!, ...busy].map((instance, i) => ({
         ...instance,
         id: `i${i}` as InstanceFacts["id"],
       })),
--- a/test/routing/AdmissionQueue.test.ts
+++ b/test/routing/AdmissionQueue.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** Ten requests of cost 10 that took 100 ms each, over two slots: 0.2 a millisecond. */
-function learn(queue: AdmissionQueue): AdmissionQueue {
+function addCompletions(queue: AdmissionQueue): AdmissionQueue {
   queue.setSlots("m", 2);
   for (let i = 0; i < 10; i++) queue.addCompletion("m", 10, 100);
   return queue;
@@ -96,7 +96,7 @@
 
   describe("add", () => {
     it("refuses beyond its length, with when to come back", () => {
-      const queue = learn(fill([createTicket("a")], 1));
+      const queue = addCompletions(fill([createTicket("a")], 1));
       expect(queue.add(createTicket("b"), 1)).toEqual({ reason: "queueFull", retryAfterMs: 200 });
     });
   });
@@ -107,13 +107,13 @@
     });
 
     it("refuses what takes longer than its deadline", () => {
-      const queue = learn(new AdmissionQueue());
+      const queue = addCompletions(new AdmissionQueue());
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 99 }))?.reason).toBe("infeasible");
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 101 }))).toBeUndefined();
     });
 
     it("counts the wait, and says how much too late it would be", () => {
-      const queue = learn(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
+      const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
       // 400 of cost at 0.2 a millisecond, then 100 ms of service.
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 1_100 }))?.retryAfterMs).toBeCloseTo(
         1_000,
@@ -121,19 +121,19 @@
     });
 
     it("does not count another class that comes after", () => {
-      const queue = learn(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`, { priority: 5 }))));
+      const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`, { priority: 5 }))));
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 200 }))).toBeUndefined();
     });
 
     it("gives an organisation that waits for nothing its share of the rate", () => {
-      const queue = learn(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
+      const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
       expect(queue.getWaitMs(createTicket("x", { organisation: "b" }))).toBe(0);
     });
   });
 
   describe("takeExpired", () => {
     it("takes out what can't be answered in time any more, and only that", () => {
-      const queue = learn(fill([createTicket("soon", { deadlineAt: 500 }), createTicket("late")]));
+      const queue = addCompletions(fill([createTicket("soon", { deadlineAt: 500 }), createTicket("late")]));
       expect(queue.takeExpired(399)).toEqual([]);
       expect(queue.takeExpired(401).map(({ ticket }) => ticket.id)).toEqual(["soon"]);
       expect(takeAll(queue)).toEqual(["late"]);
