--- a/src/planner/FreePool.ts
+++ b/src/planner/FreePool.ts
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Records a replica of a group in a fabric domain, so that the next replica is placed in another domain.
+   * Records a replica of a group in a fabric domain, so that the group's next replica prefers another domain.
    */
   addReplica(group: string, fabricDomain: string): void {
     const key = getKey(group, fabricDomain);
--- a/src/planner/Planner.ts
+++ b/src/planner/Planner.ts
@@ -229,8 +229,8 @@
   }
 
   /**
-   * Checks whether any member is not in the replica. A restarted instance is present, but has left the
-   * replica.
+   * Checks whether any member is absent, not ready or not in the replica's epoch. A restarted instance is
+   * present, but no longer belongs to the replica.
    */
   private _isBroken(replica: Replica): boolean {
     return this._getMembers(replica).some((member) => !this._hasJoined(member, replica));
--- a/src/routing/PrefixTable.ts
+++ b/src/routing/PrefixTable.ts
@@ -1,7 +1,7 @@
 /**
  * Records which replicas probably have which prompt prefixes in their cache.
  *
- * The table is only an optimisation: an entry may be stale, and a miss costs a prefill but never an answer.
+ * The table is only an optimisation: a record may be stale, and a miss costs a prefill but never an answer.
  * Prefixes are identified by digests of their leading blocks, per organisation, model and adapter, so that no
  * organisation can learn about another's prompts.
  */
--- a/src/routing/SharedRetryBudget.ts
+++ b/src/routing/SharedRetryBudget.ts
@@ -16,7 +16,7 @@
 
 /**
  * Size of all buckets together, relative to the fixed extra. A full bucket that also refills over a window
- * can give twice its size in that window.
+ * can give twice its size in that window, so the share is below one half.
  */
 const BUCKET_SHARE = 0.45;
 /** Share of the ratio that is granted, since requests are not spread evenly over entries and windows. */
--- a/test/engine/FrameReader.test.ts
+++ b/test/engine/FrameReader.test.ts
@@ -55,25 +55,27 @@
     else expect(result.failure).toBeInstanceOf(failure);
   }
 
-  it("reads a whole answer", () => doTest([createLine(0), createLine(1, LAST)], "t0 t1 "));
-  it("reads on from an offset", () => doTest([createLine(4), createLine(5, LAST)], "t4 t5 ", undefined, 4));
-  it("drops doubled frames", () => doTest([createLine(0), createLine(0), createLine(1, LAST)], "t0 t1 "));
-  it("drops frames from before its offset", () =>
+  it("reads a complete answer", () => doTest([createLine(0), createLine(1, LAST)], "t0 t1 "));
+  it("reads an answer from an offset", () =>
+    doTest([createLine(4), createLine(5, LAST)], "t4 t5 ", undefined, 4));
+  it("drops duplicate frames", () => doTest([createLine(0), createLine(0), createLine(1, LAST)], "t0 t1 "));
+  it("drops frames before its offset", () =>
     doTest([createLine(0), createLine(1, LAST)], "t1 ", undefined, 1));
-  it("refuses a gap", () => doTest([createLine(0), createLine(2, LAST)], "t0 ", ForeignAnswer));
-  it("refuses another request's frame", () =>
+  it("fails on a gap", () => doTest([createLine(0), createLine(2, LAST)], "t0 ", ForeignAnswer));
+  it("fails on a frame of another request", () =>
     doTest([createLine(0), createLine(1, { request_id: "other", ...LAST })], "t0 ", ForeignAnswer));
-  it("refuses another epoch's frame", () => doTest([createLine(0, { epoch: 2 })], "", ForeignAnswer));
-  it("is never whole without a last frame", () =>
+  it("fails on a frame of another epoch", () => doTest([createLine(0, { epoch: 2 })], "", ForeignAnswer));
+  it("fails if the answer ends without a last frame", () =>
     doTest([createLine(0), createLine(1)], "t0 t1 ", LostAnswer));
-  it("is never whole with half of a last frame", () =>
+  it("fails if the last frame is truncated", () =>
     doTest([createLine(0), createLine(1, LAST).slice(0, -5)], "t0 ", LostAnswer));
-  it("refuses what is no JSON", () => doTest([createLine(0), "nonsense\n"], "t0 ", MalformedAnswer));
-  it("refuses a frame without its text", () =>
+  it("fails on a line that is not valid JSON", () =>
+    doTest([createLine(0), "nonsense\n"], "t0 ", MalformedAnswer));
+  it("fails on a frame without text", () =>
     doTest([createLine(0, { text: undefined })], "", MalformedAnswer));
-  it("takes nothing after the last frame", () => doTest([createLine(0, LAST), createLine(1, LAST)], "t0 "));
+  it("ignores frames after the last one", () => doTest([createLine(0, LAST), createLine(1, LAST)], "t0 "));
 
-  it("gives the same however the bytes are cut", async () => {
+  it("returns the same text for any division into chunks", async () => {
     const whole = createLine(0) + createLine(1) + createLine(1) + createLine(2, LAST);
     const cuts = fc.uniqueArray(fc.integer({ min: 1, max: whole.length - 1 }), { maxLength: 6 });
     const property = fc.asyncProperty(cuts, async (points) => {
--- a/test/http/Connections.test.ts
+++ b/test/http/Connections.test.ts
@@ -6,15 +6,15 @@
 import { waitUntil } from "../support/waitUntil";
 
 const CALLERS = 40;
-/** Some answers of each caller. */
+/** Minimum mean number of answers per caller before the shutdown. */
 const MIN_ANSWERS = 5;
 const MAX_ACCEPT_MS = 500;
 const PAUSE_MS = 20;
 const SLOW_MS = 300;
-/** A connection rests after half a second; this leaves room for a slow machine. */
+/** A connection counts as idle after half a second; the rest is a margin for slow machines. */
 const MAX_REST_MS = 3_000;
 
-/** What a caller saw of a call. */
+/** The result of a call as results by its caller. */
 type CallResult = "answered" | "unanswered" | "not connected";
 
 describe("Connections", () => {
@@ -55,34 +55,34 @@
     });
   }
 
-  it("resets no request of callers that use their connections until they are gone", async () => {
+  it("resets no request of callers that use their connections until these are closed", async () => {
     await start((_request, response) => response.end("ok"));
-    const seen: CallResult[] = [];
-    const callUntilGone = async (agent: Agent) => {
+    const results: CallResult[] = [];
+    const callUntilClosed = async (agent: Agent) => {
       for (;;) {
-        const what = await call(agent);
-        seen.push(what);
-        if (what === "not connected") return;
+        const result = await call(agent);
+        results.push(result);
+        if (result === "not connected") return;
         await pause(PAUSE_MS);
       }
     };
-    const callers = Array.from({ length: CALLERS }, () => callUntilGone(createAgent()));
-    await waitUntil("all have called", () => seen.length >= CALLERS * MIN_ANSWERS);
+    const callers = Array.from({ length: CALLERS }, () => callUntilClosed(createAgent()));
+    await waitUntil("all callers have made calls", () => results.length >= CALLERS * MIN_ANSWERS);
     await connections.end(MAX_ACCEPT_MS);
     await Promise.all(callers);
-    expect(seen.filter((what) => what === "unanswered")).toEqual([]);
+    expect(results.filter((result) => result === "unanswered")).toEqual([]);
     expect(connections.count).toBe(0);
   });
 
-  it("waits for an answer that is on its way, and tells its caller that the connection ends", async () => {
+  it("waits for a pending response, and closes the connection with it", async () => {
     await start((_request, response) => setTimeout(() => response.end("ok"), SLOW_MS));
     const answered = call(createAgent());
-    await waitUntil("it is connected", () => connections.count === 1);
+    await waitUntil("the caller is connected", () => connections.count === 1);
     await connections.end(MAX_ACCEPT_MS);
     expect(await answered).toBe("answered");
   });
 
-  it("ends connections that rest", async () => {
+  it("closes idle connections", async () => {
     await start((_request, response) => response.end("ok"));
     expect(await call(createAgent())).toBe("answered");
     expect(connections.count).toBe(1);
--- a/test/http/HttpClient.test.ts
+++ b/test/http/HttpClient.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from "vitest";
 import { HttpClient } from "../../src/http";
 
-/** A server that answers any request with raw bytes. */
+/** Starts a server that answers every connection with the given raw bytes. */
 async function startRawServer(answer: string, onAnswered: (socket: Socket) => void): Promise<Server> {
   const server = createServer((socket) => {
     socket.on("error", () => {});
@@ -39,21 +39,21 @@
 
   const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
-  it("takes an answer without a length as whole when its connection ends", async () => {
+  it("accepts a response without a length when its connection ends", async () => {
     server = await startRawServer(`${head}whole`, (socket) => socket.end());
     expect(await readAnswer(server)).toBe("whole");
   });
 
-  it("never takes an answer without a length as whole when its connection is reset", async () => {
+  it("fails on a response without a length when its connection is reset", async () => {
     let answered: Socket | undefined;
     server = await startRawServer(`${head}par`, (socket) => {
       answered = socket;
     });
-    // The reset comes once the bytes have been read, or they would be lost with it.
+    // Reset the connection only after the bytes have been read, since a reset would discard them.
     await expect(readAnswer(server, () => answered?.resetAndDestroy())).rejects.toThrow();
   });
 
-  it("never takes a short answer with a length as whole", async () => {
+  it("fails on a response that is shorter than its length", async () => {
     server = await startRawServer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npar", (socket) =>
       socket.end(),
     );
--- a/test/http/JsonServer.test.ts
+++ b/test/http/JsonServer.test.ts
@@ -11,7 +11,7 @@
 const ANSWER_MS = 30;
 const PAUSE_MS = 20;
 
-/** Begins each call at once. */
+/** Starts each call at once. */
 const calls = { add: ({ begin }: { begin: () => void }) => begin() } as unknown as CallOrder;
 
 describe("JsonServer", () => {
@@ -20,7 +20,10 @@
     for (const agent of agents.splice(0)) agent.destroy();
   });
 
-  /** Calls; resolves with the status, 0 where no connection came up, -1 where one ended without an answer. */
+  /**
+   * Makes a call. Resolves with the status, 0 if no connection was established, or -1 if the connection ended
+   * without a complete response.
+   */
   function call(address: string, agent: Agent): Promise<number> {
     return new Promise((resolve) => {
       const outgoing = request(`http://${address}/`, { agent }, (answer) => {
@@ -32,7 +35,7 @@
     });
   }
 
-  it("answers all that its callers have sent on connections that they keep, when it is stopped", async () => {
+  it("answers all requests already sent on persistent connections when it stops", async () => {
     const [listen] = await getFreeAddresses(1);
     const handle = async () => {
       await pause(ANSWER_MS);
@@ -46,20 +49,20 @@
       getCallClass: () => "order",
     });
     await server.start();
-    const seen: number[] = [];
-    const callUntilGone = async (agent: Agent) => {
+    const results: number[] = [];
+    const callUntilClosed = async (agent: Agent) => {
       agents.push(agent);
       for (let status = 200; status === 200; await pause(PAUSE_MS)) {
         status = await call(listen!, agent);
-        seen.push(status);
+        results.push(status);
       }
     };
     const callers = Array.from({ length: CALLERS }, () =>
-      callUntilGone(new Agent({ keepAlive: true, maxSockets: 1 })),
+      callUntilClosed(new Agent({ keepAlive: true, maxSockets: 1 })),
     );
-    await waitUntil("all have called", () => seen.length >= MIN_CALLS);
+    await waitUntil("the minimum number of calls has been made", () => results.length >= MIN_CALLS);
     await server.stop();
     await Promise.all(callers);
-    expect(seen.filter((status) => status === -1)).toEqual([]);
+    expect(results.filter((status) => status === -1)).toEqual([]);
   });
 });
--- a/test/planner/Planner.property.test.ts
+++ b/test/planner/Planner.property.test.ts
@@ -32,7 +32,10 @@
   losses: fc.constantFrom([], [], [NOW - 3, NOW - 2, NOW - 1]),
 });
 
-/** Any instances; some of them in replicas of any phase, as the agreed state may have them. */
+/**
+ * Generates arbitrary instances, some of which belong to replicas of any phase, as the committed state may
+ * list them.
+ */
 const anyFacts: fc.Arbitrary<PlanningFacts> = fc
   .record({
     instances: fc.array(anyInstance, { minLength: 1, maxLength: 18 }),
@@ -104,8 +107,8 @@
   if (action.kind === "retireReplica") expect(action.replica.phase).not.toBe(ReplicaPhase.RETIRING);
 }
 
-describe("Planner on any facts", () => {
-  it("takes, serves, frees and warms only what may be, and retires none twice", () => {
+describe("Planner with generated facts", () => {
+  it("forms, serves, releases and loads only usable instances, and retires no replica twice", () => {
     const kinds = new Set<string>();
     const property = fc.property(anyFacts, (facts) => {
       const actions = new Planner().plan(NOW, facts, CONFIGURATION);
@@ -120,11 +123,11 @@
       expect(new Set(retired).size).toBe(retired.length);
     });
     fc.assert(property, { seed: SEED, numRuns: 3_000 });
-    // Facts that never lead to a decision would hold anything.
+    // Without decisions of every kind, the checks above would pass vacuously.
     expect([...kinds].sort()).toEqual(KINDS);
   });
 
-  it("decides the same on the same facts", () => {
+  it("returns the same actions for the same facts", () => {
     const property = fc.property(anyFacts, (facts) => {
       const [first, second] = [new Planner(), new Planner()].map((each) =>
         each.plan(NOW, facts, CONFIGURATION),
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -35,7 +35,7 @@
 
 describe("Planner", () => {
   describe("forming", () => {
-    it("takes instances of one fabric domain", () => {
+    it("takes all instances from one fabric domain", () => {
       const instances = [
         ...createInstances(3, { fabricDomain: "a" }),
         ...createInstances(4, { fabricDomain: "b" }),
@@ -43,7 +43,7 @@
       doTest({ instances }, {}, "form b0 b1 b2 b3");
     });
 
-    it("forms nothing out of too few in each domain", () => {
+    it("forms no replica if every fabric domain has too few instances", () => {
       const instances = [
         ...createInstances(3, { fabricDomain: "a" }),
         ...createInstances(3, { fabricDomain: "b" }),
@@ -51,7 +51,7 @@
       doTest({ instances }, {});
     });
 
-    it("prefers instances that hold the model already", () => {
+    it("prefers instances that already hold the model", () => {
       const loaded = { model: "m", modelVersion: "1" };
       const instances = [
         ...createInstances(4, { fabricDomain: "a" }),
@@ -60,7 +60,7 @@
       doTest({ instances }, {}, "form b0 b1 b2 b3");
     });
 
-    it("spreads a group over domains", () => {
+    it("spreads the replicas of a group over fabric domains", () => {
       const instances = [
         ...createInstances(8, { fabricDomain: "a" }),
         ...createInstances(8, { fabricDomain: "b" }),
@@ -68,7 +68,7 @@
       doTest({ instances }, { replicas: 2 }, "form a0 a1 a2 a3", "form b0 b1 b2 b3");
     });
 
-    it("takes no absent, leaving, loading or held instance", () => {
+    it("takes no instance that is absent, leaving, loading or in another replica", () => {
       const held = createReplica(1, createInstances(4, { fabricDomain: "h" }));
       const instances = [
         ...held.instances,
@@ -80,19 +80,19 @@
       doTest({ instances, replicas: [held.replica] }, { replicas: 2 });
     });
 
-    it("takes no instance that flaps", () => {
+    it("takes no instance that was lost repeatedly within the flap window", () => {
       const losses = [NOW - 3_000, NOW - 2_000, NOW - 1_000];
       const instances = [...createInstances(3), createInstance("flapping", { losses })];
       doTest({ instances }, {});
     });
 
-    it("trusts an instance again whose losses are long past", () => {
+    it("takes an instance whose earlier losses are outside the flap window", () => {
       const losses = [NOW - 9_000_000, NOW - 8_000_000, NOW - 1_000];
       const instances = [...createInstances(3), createInstance("z", { losses })];
       doTest({ instances }, {}, "form f0 f1 f2 z");
     });
 
-    it("forms only as many as are wanted", () =>
+    it("forms no more replicas than declared", () =>
       doTest({ instances: createInstances(9) }, {}, "form f0 f1 f2 f3"));
   });
 
@@ -102,7 +102,7 @@
       return { replicas: [replica], instances: createInstances(4, change) };
     }
 
-    it("orders every instance to load, in rank order", () =>
+    it("orders all instances to load in rank order", () =>
       doTest(
         createForming({}),
         {},
@@ -112,22 +112,23 @@
         "load f3 into g-1 as 3",
       ));
 
-    it("asks no instance twice", () => doTest(createForming({ isLoading: true }), {}));
+    it("sends no second order to an instance that is loading", () =>
+      doTest(createForming({ isLoading: true }), {}));
 
-    it("keeps to the weight store's limit", () =>
+    it("starts no more loads than the weight store allows", () =>
       doTest(createForming({}), { limits: "[weight_store]\nconcurrent_loads = 1" }, "load f0 into g-1 as 0"));
 
-    it("needs no load for instances that hold the model", () =>
+    it("lets instances that hold the model join even if the weight store allows no loads", () =>
       expect(
         plan(createForming({ model: "m", modelVersion: "1" }), {
           limits: "[weight_store]\nconcurrent_loads = 0",
         }),
       ).toHaveLength(4));
 
-    it("lets a replica serve once every instance is ready in its epoch", () =>
+    it("lets a replica serve once all instances are ready in its epoch", () =>
       doTest(createForming({ epoch: 1, isReady: true }), {}, "serve g-1"));
 
-    it("does not let it serve while one is not", () => {
+    it("does not let a replica serve while one instance is in another epoch", () => {
       const facts = createForming({ epoch: 1, isReady: true });
       const instances = facts.instances.map((instance, i) =>
         i === 2 ? { ...instance, epoch: 0 } : instance,
@@ -136,13 +137,16 @@
     });
 
     /**
-     * Eleven replicas of a day were given up 17.5 s after a member had crashed while they were formed; the
-     * others of eight and four instances stood idle meanwhile, with free ones beside them.
+     * An instance crashed while its replica was forming, and the replica was retired only 17.5 s later. This
+     * happened to eleven replicas in one day. The remaining instances of eight and four stayed idle
+     * meanwhile, although free instances could have replaced the crashed one.
      */
-    it("gives a forming replica up at once that lost an instance, where another one can take the place", () => {
+    it("retires a forming replica after one presence window if a free instance can replace an absent one", () => {
       const facts = createForming({ epoch: 1, isReady: true });
-      const away = { answeredAt: NOW - 1_600 };
-      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...away } : instance));
+      const absent = { answeredAt: NOW - 1_600 };
+      const instances = facts.instances.map((instance, i) =>
+        i === 2 ? { ...instance, ...absent } : instance,
+      );
       expect(plan({ ...facts, instances }).map(({ kind }) => kind)).not.toContain("retireReplica");
       const spare = createInstance("spare");
       expect(plan({ ...facts, instances: [...instances, spare] })).toContainEqual(
@@ -150,9 +154,11 @@
       );
     });
 
-    it("gives a forming replica up that lost an instance", () => {
+    it("retires a forming replica if an instance stays absent and cannot be replaced", () => {
       const facts = createForming({ epoch: 1, isReady: true });
-      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...ABSENT } : instance));
+      const instances = facts.instances.map((instance, i) =>
+        i === 2 ? { ...instance, ...ABSENT } : instance,
+      );
       doTest({ ...facts, instances }, {}, `retire g-1: ${REASON.lost}`);
     });
   });
@@ -167,10 +173,10 @@
       return { replicas: [replica], instances: [...lost, ...spare] };
     }
 
-    it("rebuilds at once where loading is quick", () =>
+    it("rebuilds at once if loading is quick", () =>
       doTest(createLost(2_000, 1), {}, `retire g-1: ${REASON.lost}`));
 
-    it("waits while a return is likely to be sooner than a rebuilding", () => {
+    it("waits while the instance is expected to return before a rebuild would end", () => {
       const absences = Array.from({ length: 20 }, () => ({ durationMs: 3_000, cameBack: true }));
       const slow = { extra: "" };
       const text = createConfiguration(slow).replace("load = 200", "load = 60000");
@@ -185,9 +191,10 @@
       ]);
     });
 
-    it("waits on while nothing could take the missing one's place", () => doTest(createLost(900_000, 0), {}));
+    it("keeps waiting while no instance can replace the absent one", () =>
+      doTest(createLost(900_000, 0), {}));
 
-    it("breaks up another broken replica to make one whole", () => {
+    it("breaks up another broken replica to complete one", () => {
       const first = createReplica(1, createInstances(4, { fabricDomain: "x" }));
       const others = createInstances(4, { fabricDomain: "x" }).map((instance, i) => ({
         ...instance,
@@ -207,7 +214,7 @@
       );
     });
 
-    it("takes a restarted instance back through a new epoch, without a wait", () => {
+    it("rebuilds the replica of a restarted instance without waiting", () => {
       const { replica, instances } = createReplica(1, createInstances(4));
       const restarted = instances.map((instance, i) =>
         i === 1 ? { ...instance, epoch: 0, isReady: false } : instance,
@@ -216,29 +223,29 @@
     });
   });
 
-  describe("warming spares", () => {
+  describe("staging spares", () => {
     const { replica, instances } = createReplica(1, createInstances(4));
 
-    it("loads onto a spare what its fabric domain would need", () =>
+    it("loads the model of the replicas in its fabric domain onto a spare", () =>
       doTest({ replicas: [replica], instances: [...instances, createInstance("z")] }, {}, "warm z with m@1"));
 
-    it("leaves a spare alone that holds it already", () => {
+    it("skips a spare that already holds the model", () => {
       const spare = createInstance("z", { model: "m", modelVersion: "1", isReady: true });
       doTest({ replicas: [replica], instances: [...instances, spare] }, {});
     });
 
-    it("leaves a spare alone where nothing serves", () => {
+    it("skips a spare in a fabric domain without serving replicas", () => {
       const spare = createInstance("z", { fabricDomain: "elsewhere" });
       doTest({ replicas: [replica], instances: [...instances, spare] }, {});
     });
 
-    it("keeps to the weight store's limit", () =>
+    it("starts no more loads than the weight store allows", () =>
       doTest(
         { replicas: [replica], instances: [...instances, createInstance("z")] },
         { limits: "[weight_store]\nconcurrent_loads = 0" },
       ));
 
-    it("makes a rebuilding from a warm spare cheap, so that it waits less", () => {
+    it("waits less if a spare already holds the model, since a rebuild is then short", () => {
       const absences = Array.from({ length: 20 }, () => ({ durationMs: 9_000, cameBack: true }));
       const lost = instances.map((instance, i) =>
         i === 1 ? { ...instance, answeredAt: NOW - 3_000 } : instance,
@@ -261,14 +268,14 @@
     });
   });
 
-  describe("stopping as planned", () => {
-    it("retires a replica of which an instance is leaving", () => {
+  describe("planned stops", () => {
+    it("retires a replica if one of its instances is leaving", () => {
       const { replica, instances } = createReplica(1, createInstances(4));
       const leaving = instances.map((instance, i) => (i === 0 ? { ...instance, isLeaving: true } : instance));
       doTest({ replicas: [replica], instances: leaving }, {}, `retire g-1: ${REASON.leaving}`);
     });
 
-    it("forms its successor from spares at once", () => {
+    it("forms a replacement from spares at once", () => {
       const { replica, instances } = createReplica(1, createInstances(4));
       const leaving = instances.map((instance) => ({ ...instance, isLeaving: true }));
       const spares = createInstances(4, { fabricDomain: "s" });
@@ -286,12 +293,14 @@
     const base = { replicas: [replica], instances, retiredInForce: new Set([replica.id]) };
     const none = { replicas: 0 };
 
-    it("frees the instances once no lease allows them and nothing is in flight", () =>
+    it("releases a replica once no lease allows it and no request is in flight", () =>
       doTest(base, none, "release g-1"));
-    it("waits for leases that may allow them", () => doTest({ ...base, retiredInForce: new Set() }, none));
-    it("waits for leases of earlier leaders", () => doTest({ ...base, isClear: false }, none));
-    it("waits for work in flight", () => doTest({ ...base, inFlight: new Map([[replica.id, 1]]) }, none));
-    it("waits no longer than the time to drain", () =>
+    it("waits for leases that may still allow the replica", () =>
+      doTest({ ...base, retiredInForce: new Set() }, none));
+    it("waits until the leases of earlier leaders have expired", () =>
+      doTest({ ...base, isClear: false }, none));
+    it("waits for requests in flight", () => doTest({ ...base, inFlight: new Map([[replica.id, 1]]) }, none));
+    it("waits for requests no longer than the drain time", () =>
       doTest(
         { ...base, inFlight: new Map([[replica.id, 1]]), drained: new Set([replica.id]) },
         none,
@@ -305,29 +314,29 @@
     const replicas = [first.replica, second.replica];
     const instances = [...first.instances, ...second.instances];
 
-    it("retires one at a time where there are no spares", () =>
+    it("retires one replica at a time if there are no spares", () =>
       doTest({ replicas, instances }, { replicas: 2, version: "2" }, `retire g-1: ${REASON.version}`));
 
-    it("forms the successor first where there are", () =>
+    it("forms a replacement first if there are spares", () =>
       doTest(
         { replicas, instances: [...instances, ...createInstances(4, { fabricDomain: "c" })] },
         { replicas: 2, version: "2" },
         "form c0 c1 c2 c3",
       ));
 
-    it("waits while another replica is down, with a minimum to keep", () => {
+    it("retires the broken replica first if one is down", () => {
       const broken = instances.map((instance, i) => (i === 7 ? { ...instance, ...ABSENT } : instance));
       const facts = { replicas, instances: broken };
       doTest(facts, { replicas: 2, version: "2" }, `retire g-2: ${REASON.version}`);
     });
 
-    it("retires none while one is retiring", () => {
+    it("retires no further replica while one is retiring", () => {
       const retiring = { ...first.replica, phase: ReplicaPhase.RETIRING };
       doTest({ replicas: [retiring, second.replica], instances }, { replicas: 2, version: "2" });
     });
   });
 
-  describe("groups that change", () => {
+  describe("changed groups", () => {
     const first = createReplica(1, createInstances(4, { fabricDomain: "a" }));
     const second = createReplica(2, createInstances(4, { fabricDomain: "b" }));
     const facts = {
@@ -335,10 +344,9 @@
       instances: [...first.instances, ...second.instances],
     };
 
-    it("retires what is no longer wanted", () =>
-      doTest(facts, { replicas: 1 }, `retire g-2: ${REASON.surplus}`));
+    it("retires surplus replicas", () => doTest(facts, { replicas: 1 }, `retire g-2: ${REASON.surplus}`));
 
-    it("retires groups that are no longer declared", () => {
+    it("retires the replicas of groups that are no longer declared", () => {
       const text = createConfiguration().replace(/\[\[groups\]\][^[]*/, "");
       const actions = new Planner().plan(NOW, createFacts(facts), parseConfiguration("test", text));
       expect(actions.map(describeAction)).toEqual([
--- a/test/planner/staging.test.ts
+++ b/test/planner/staging.test.ts
@@ -20,8 +20,8 @@
   return new Planner(new ImmediateRepair(true)).plan(NOW, facts, createConfiguration(replicas));
 }
 
-describe("Planner that stages first", () => {
-  it("forms from instances that hold the model", () => {
+describe("Planner with stagesFirst", () => {
+  it("forms a replica from instances that all hold the model", () => {
     const [first, ...rest] = plan([
       ...createInstances(4, LOADED),
       ...createInstances(2, { fabricDomain: "x" }),
@@ -30,11 +30,11 @@
     expect(rest.map((action) => action.kind)).not.toContain("formReplica");
   });
 
-  it("forms from instances that all have to load, where none holds the model", () => {
+  it("forms a replica from instances that all have to load, if none holds the model", () => {
     expect(plan(createInstances(4))[0]).toMatchObject({ kind: "formReplica" });
   });
 
-  it("keeps holders free and loads onto as many others as they lack", () => {
+  it("leaves holders of the model free and loads onto as many spares as are missing for a replica", () => {
     const actions = plan([
       ...createInstances(3, LOADED),
       ...createInstances(2).map((instance, i) => ({ ...instance, id: `c${i}` as InstanceFacts["id"] })),
@@ -42,14 +42,14 @@
     expect(actions).toEqual([expect.objectContaining({ kind: "warmInstance", model: "m" })]);
   });
 
-  it("loads onto no further one while the one that lacks is loading", () => {
+  it("starts no further load while the missing instance is loading", () => {
     const loading = createInstances(1, { fabricDomain: "f", isLoading: true, stagingModel: "m" });
     const all = [...createInstances(3, LOADED), ...loading, ...createInstances(2)];
     const instances = all.map((instance, i) => ({ ...instance, id: `i${i}` as InstanceFacts["id"] }));
     expect(plan(instances)).toEqual([]);
   });
 
-  it("gives up a replica that lost an instance, even where it can't be made whole", () => {
+  it("retires a replica that lost an instance, even if it cannot be completed", () => {
     const { replica, instances } = createReplica(1, createInstances(4));
     const lost = instances.map((instance, i) =>
       i === 0 ? { ...instance, answeredAt: NOW - 60_000 } : instance,
@@ -59,7 +59,7 @@
     ]);
   });
 
-  it("never holds up a join without a load for loads that go on", () => {
+  it("lets instances that need no load join while the load limit is used up", () => {
     const { replica } = createReplica(1, createInstances(4), { phase: 1 });
     const members = createInstances(4, LOADED);
     const busy = createInstances(8, { fabricDomain: "x", isLoading: true });
@@ -67,7 +67,7 @@
     expect(actions.filter((action) => action.kind === "loadInstance").length).toBe(4);
   });
 
-  it("counts only instances that are there and read weights against the weight store", () => {
+  it("counts only present instances that read weights against the weight store's limit", () => {
     const gone = createInstances(6, { fabricDomain: "x", isLoading: true, answeredAt: NOW - 60_000 });
     const rejoining = createInstances(6, { fabricDomain: "y", isLoading: true, readsWeights: false });
     const [cold] = createInstances(1, { fabricDomain: "z" });
--- a/test/routing/AdmissionQueue.test.ts
+++ b/test/routing/AdmissionQueue.test.ts
@@ -26,7 +26,9 @@
   return ids;
 }
 
-/** Ten requests of cost 10 that took 100 ms each, over two slots: 0.2 a millisecond. */
+/**
+ * Records ten requests of cost 10 that took 100 ms each with two slots: a drain rate of 0.2 per millisecond.
+ */
 function addCompletions(queue: AdmissionQueue): AdmissionQueue {
   queue.setSlots("m", 2);
   for (let i = 0; i < 10; i++) queue.addCompletion("m", 10, 100);
@@ -39,17 +41,17 @@
       expect(takeAll(fill(tickets))).toEqual(expected);
     }
 
-    it("serves higher classes first", () =>
+    it("serves higher priorities first", () =>
       doTest([createTicket("low", { priority: 2 }), createTicket("high", { priority: 0 })], "high", "low"));
 
-    it("serves the earliest deadline of an organisation first", () =>
+    it("serves the earliest deadline within an organisation first", () =>
       doTest(
         [createTicket("late", { deadlineAt: 900 }), createTicket("soon", { deadlineAt: 500 })],
         "soon",
         "late",
       ));
 
-    it("lets an organisation that calls much not starve one that calls little", () => {
+    it("prevents an organisation with many requests from starving one with few", () => {
       const many = Array.from({ length: 5 }, (_, i) => createTicket(`many${i}`));
       doTest(
         [...many, createTicket("few", { organisation: "b" })],
@@ -62,21 +64,21 @@
       );
     });
 
-    it("serves by share and by cost, not by count", () => {
+    it("divides service by cost instead of by the number of requests", () => {
       const costly = Array.from({ length: 3 }, (_, i) => createTicket(`costly${i}`, { cost: 30 }));
       const cheap = Array.from({ length: 6 }, (_, i) => createTicket(`cheap${i}`, { organisation: "b" }));
       const order = takeAll(fill([...costly, ...cheap]));
       expect(order.indexOf("cheap2")).toBeLessThan(order.indexOf("costly1"));
     });
 
-    it("gives twice the share twice the cost", () => {
+    it("serves twice the cost to an organisation with twice the share", () => {
       const big = Array.from({ length: 30 }, (_, i) => createTicket(`big${i}`, { share: 2 }));
       const small = Array.from({ length: 30 }, (_, i) => createTicket(`small${i}`, { organisation: "b" }));
       const first = takeAll(fill([...big, ...small])).slice(0, 15);
       expect(first.filter((id) => id.startsWith("big"))).toHaveLength(10);
     });
 
-    it("gives no credit for having been idle", () => {
+    it("gives an organisation no credit for idle time", () => {
       const queue = fill(Array.from({ length: 10 }, (_, i) => createTicket(`a${i}`)));
       for (let i = 0; i < 8; i++) queue.takeNext("m");
       for (let i = 0; i < 4; i++) queue.add(createTicket(`b${i}`, { organisation: "b" }), 100);
@@ -86,7 +88,7 @@
   });
 
   describe("getNext", () => {
-    it("gives what takeNext takes, and takes nothing", () => {
+    it("returns the ticket that takeNext would take, without removing it", () => {
       const queue = fill([createTicket("x"), createTicket("y", { priority: 0 })]);
       expect(queue.getNext("m")?.id).toBe("y");
       expect(queue.length).toBe(2);
@@ -95,44 +97,46 @@
   });
 
   describe("add", () => {
-    it("refuses beyond its length, with when to come back", () => {
+    it("refuses a ticket beyond the maximum length and states when to retry", () => {
       const queue = addCompletions(fill([createTicket("a")], 1));
       expect(queue.add(createTicket("b"), 1)).toEqual({ reason: "queueFull", retryAfterMs: 200 });
     });
   });
 
   describe("getInfeasibility", () => {
-    it("lets everything wait while nothing is known", () => {
+    it("accepts any deadline while no drain rate is known", () => {
       expect(new AdmissionQueue().getInfeasibility(0, createTicket("x", { deadlineAt: 1 }))).toBeUndefined();
     });
 
-    it("refuses what takes longer than its deadline", () => {
+    it("refuses a request whose service time exceeds its deadline", () => {
       const queue = addCompletions(new AdmissionQueue());
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 99 }))?.reason).toBe("infeasible");
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 101 }))).toBeUndefined();
     });
 
-    it("counts the wait, and says how much too late it would be", () => {
+    it("includes the queueing time and returns the excess over the deadline as retry time", () => {
       const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
-      // 400 of cost at 0.2 a millisecond, then 100 ms of service.
+      // The queued cost of 400 takes 2,000 ms at 0.2 per millisecond, followed by 100 ms of service.
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 1_100 }))?.retryAfterMs).toBeCloseTo(
         1_000,
       );
     });
 
-    it("does not count another class that comes after", () => {
-      const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`, { priority: 5 }))));
+    it("does not count requests of a lower priority", () => {
+      const queue = addCompletions(
+        fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`, { priority: 5 }))),
+      );
       expect(queue.getInfeasibility(0, createTicket("x", { deadlineAt: 200 }))).toBeUndefined();
     });
 
-    it("gives an organisation that waits for nothing its share of the rate", () => {
+    it("expects no wait for an organisation without queued requests", () => {
       const queue = addCompletions(fill(Array.from({ length: 40 }, (_, i) => createTicket(`w${i}`))));
       expect(queue.getWaitMs(createTicket("x", { organisation: "b" }))).toBe(0);
     });
   });
 
   describe("takeExpired", () => {
-    it("takes out what can't be answered in time any more, and only that", () => {
+    it("removes only the tickets that can no longer be answered in time", () => {
       const queue = addCompletions(fill([createTicket("soon", { deadlineAt: 500 }), createTicket("late")]));
       expect(queue.takeExpired(399)).toEqual([]);
       expect(queue.takeExpired(401).map(({ ticket }) => ticket.id)).toEqual(["soon"]);
@@ -141,7 +145,7 @@
   });
 
   describe("remove", () => {
-    it("takes a ticket out once", () => {
+    it("removes a ticket only once", () => {
       const ticket = createTicket("x");
       const queue = fill([ticket]);
       expect(queue.remove(ticket)).toBe(true);
--- a/test/routing/SharedRetryBudget.test.ts
+++ b/test/routing/SharedRetryBudget.test.ts
@@ -5,7 +5,7 @@
 const BOUND = { ratio: 0.2, extra: 100, windowMs: 10_000 };
 
 describe("SharedRetryBudget", () => {
-  it("keeps all entries together within the bound in every window", () => {
+  it("keeps the retries of all entries together within the bound in every window", () => {
     const steps = fc.array(fc.record({ entry: fc.nat(2), gapMs: fc.nat(200), isRequest: fc.boolean() }), {
       minLength: 100,
       maxLength: 600,
@@ -31,7 +31,7 @@
     fc.assert(property, { seed: 20_261_202, numRuns: 200 });
   });
 
-  it("gives repeats as long as the budget has some, and again later", () => {
+  it("grants retries until the budget is used up, and again after it has refilled", () => {
     const budget = new SharedRetryBudget(() => BOUND);
     let taken = 0;
     while (budget.takeRetry(0, 1)) taken += 1;
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -27,16 +27,17 @@
   };
 }
 
-describe("WeighedPlacement", () => {
+describe("LeastWorkPlacement", () => {
   describe("choose", () => {
     function doTest(candidates: readonly Candidate[], expected: string | undefined, promptTokens = 100) {
       expect(new WeighedPlacement().choose(candidates, promptTokens, random)?.replicaId).toBe(expected);
     }
 
-    it("takes the one with the least work", () =>
+    it("chooses the candidate with the least work", () =>
       doTest([createCandidate("a", { ownTokens: 50 }), createCandidate("b", { ownTokens: 20 })], "b"));
-    it("takes none without room", () => doTest([createCandidate("a", { ownRequests: 10 })], undefined));
-    it("counts of a report only what others sent", () =>
+    it("chooses no candidate without capacity", () =>
+      doTest([createCandidate("a", { ownRequests: 10 })], undefined));
+    it("counts only the reported work that other entries sent", () =>
       doTest(
         [
           createCandidate("a", { reportedTokens: 500, ownTokensAtReport: 500 }),
@@ -44,14 +45,14 @@
         ],
         "a",
       ));
-    it("takes the holder of a prefix when that saves more than it waits", () =>
+    it("chooses the holder of a prefix if the saved prefill exceeds its queued work", () =>
       doTest([createCandidate("a", { ownTokens: 60, heldTokens: 90 }), createCandidate("b")], "a"));
-    it("leaves the holder when it would wait longer", () =>
+    it("chooses another candidate if the holder's queued work exceeds the saved prefill", () =>
       doTest([createCandidate("a", { ownTokens: 200, heldTokens: 90 }), createCandidate("b")], "b"));
-    it("avoids a slow one in proportion", () =>
+    it("avoids a slow candidate in proportion to its slowness", () =>
       doTest([createCandidate("a", { slowness: 5 }), createCandidate("b", { ownTokens: 100 })], "b"));
 
-    it("does not send nine entries to the same one on the same stale report", () => {
+    it("spreads the choices of nine entries that use the same stale reports", () => {
       const candidates = Array.from({ length: 12 }, (_, i) =>
         createCandidate(`r${i}`, { reportedTokens: i }),
       );
@@ -71,19 +72,19 @@
     return health;
   }
 
-  it("opens after three failures in a row", () => {
+  it("opens the breaker after three consecutive failures", () => {
     expect(createFailed(2).isAvailable(0)).toBe(true);
     expect(createFailed(3).isAvailable(0)).toBe(false);
   });
 
-  it("forgets failures after a success", () => {
+  it("resets the failure count after a success", () => {
     const health = createFailed(2);
     health.addSuccess(10);
     health.addFailure(0);
     expect(health.isAvailable(0)).toBe(true);
   });
 
-  it("lets one trial through once it was open long enough", () => {
+  it("allows one trial after the open time", () => {
     const health = createFailed(3);
     expect(health.isAvailable(1_000)).toBe(true);
     health.addAttempt(1_000);
@@ -92,7 +93,7 @@
     expect(health.isAvailable(1_000)).toBe(true);
   });
 
-  it("stays open twice as long after a failed trial", () => {
+  it("doubles the open time after a failed trial", () => {
     const health = createFailed(3);
     health.addAttempt(1_000);
     health.addFailure(1_000);
@@ -100,14 +101,14 @@
     expect(health.isAvailable(3_000)).toBe(true);
   });
 
-  it("lets another trial through when one was cancelled", () => {
+  it("allows another trial after a cancelled one", () => {
     const health = createFailed(3);
     health.addAttempt(1_000);
     health.addCancellation(1_100);
     expect(health.isAvailable(1_100)).toBe(true);
   });
 
-  it("gives a new endpoint a growing share", () => {
+  it("increases the share of a new endpoint over time", () => {
     const health = new EndpointHealth(0);
     expect(health.getSlowStartShare(0)).toBeCloseTo(0.2);
     expect(health.getSlowStartShare(5_000)).toBeCloseTo(0.6);
@@ -116,7 +117,7 @@
 });
 
 describe("EndpointPool", () => {
-  it("counts work until it ends, once", () => {
+  it("counts work in flight until it ends, and ignores a second end", () => {
     const pool = new EndpointPool();
     const work = pool.startWork(0, "a", 100);
     work.addProgress(10, 30);
@@ -126,7 +127,7 @@
     expect(pool.getFacts(20, "a")).toMatchObject({ requests: 0, tokens: 0, firstTokenMs: 10 });
   });
 
-  it("remembers its own work at the time of a report", () => {
+  it("records the tokens in flight at the time of the newest report", () => {
     const pool = new EndpointPool();
     pool.startWork(0, "a", 100);
     pool.addReport(10, "a", 10);
@@ -135,7 +136,7 @@
     expect(pool.getFacts(30, "a").tokensAtReport).toBe(100);
   });
 
-  it("keeps an endpoint that is gone until its work has ended", () => {
+  it("retains a removed endpoint until its work has ended", () => {
     const pool = new EndpointPool();
     const work = pool.startWork(0, "a", 1);
     pool.retain(new Set());
@@ -147,14 +148,15 @@
 });
 
 describe("getSlowness", () => {
-  it("is 1 for one like its peers", () => expect(getSlowness(110, [100, 110, 105])).toBe(1));
-  it("grows with the distance from the median", () =>
+  it("is 1 for an endpoint close to the median", () => expect(getSlowness(110, [100, 110, 105])).toBe(1));
+  it("is the ratio to the median for a slow endpoint", () =>
     expect(getSlowness(1_000, [100, 110, 1_000])).toBeCloseTo(9.09));
-  it("is 1 while little is known", () => expect(getSlowness(1_000, [100, 1_000])).toBe(1));
+  it("is 1 while too few endpoints have been measured", () =>
+    expect(getSlowness(1_000, [100, 1_000])).toBe(1));
 });
 
 describe("RetryBudget", () => {
-  it("keeps retries to its ratio of requests, over a reserve", () => {
+  it("limits retries to a share of the requests plus a reserve", () => {
     const budget = new RetryBudget();
     let retries = 0;
     for (let i = 0; i < 1_000; i++) {
@@ -169,20 +171,20 @@
 describe("PrefixTable", () => {
   const prompt = "x".repeat(1_000);
 
-  it("finds the longest held prefix", () => {
+  it("gets the longest cached prefix", () => {
     const table = new PrefixTable(100);
     table.addPrefixes("a", getPrefixDigests("s", prompt.slice(0, 520)));
     expect(table.getHeldCharacters("a", getPrefixDigests("s", prompt))).toBe(512);
     expect(table.getHeldCharacters("b", getPrefixDigests("s", prompt))).toBe(0);
   });
 
-  it("keeps scopes apart", () => {
+  it("separates the prefixes of different scopes", () => {
     const table = new PrefixTable(100);
     table.addPrefixes("a", getPrefixDigests("one", prompt));
     expect(table.getHeldCharacters("a", getPrefixDigests("other", prompt))).toBe(0);
   });
 
-  it("forgets the longest unused ones first", () => {
+  it("removes the least recently used prefixes first", () => {
     const table = new PrefixTable(3);
     const [first, second] = [getPrefixDigests("1", prompt), getPrefixDigests("2", prompt)];
     table.addPrefixes("a", first);
@@ -191,5 +193,6 @@
     expect(table.getHeldCharacters("a", second)).toBe(768);
   });
 
-  it("gives a short prompt no digests", () => expect(getPrefixDigests("s", "short")).toEqual([]));
+  it("returns no digests for a prompt shorter than a block", () =>
+    expect(getPrefixDigests("s", "short")).toEqual([]));
 });
