--- a/test/http/Connections.test.ts
+++ b/test/http/Connections.test.ts
@@ -14,7 +14,7 @@
 /** A connection counts as idle after half a second; the rest is a margin for slow machines. */
 const MAX_REST_MS = 3_000;
 
-/** The result of a call as results by its caller. */
+/** The result of a call as seen by its caller. */
 type CallResult = "answered" | "unanswered" | "not connected";
 
 describe("Connections", () => {
