--- a/src/planner/FreePool.ts
+++ b/src/planner/FreePool.ts
@@ -32,7 +32,8 @@
   private readonly _modelByDomain: ReadonlyMap<string, string>;
 
   /**
-   * @param instances - Instances that belong to no replica, are present and not leaving, and may be used.
+   * @param instances - Present instances that belong to no replica, and are not leaving, loading, suspected
+   * or flapping.
    * @param stagesFirst - Whether a replica is formed only from instances that either all hold the model or
    * all lack it.
    * @param modelByDomain - Used with `stagesFirst`: the only model that instances of a domain may load
--- a/src/planner/Planner.ts
+++ b/src/planner/Planner.ts
@@ -420,7 +420,10 @@
     return budget;
   }
 
-  /** Loads models onto spares within the remaining limit, so that later repairs need no load. */
+  /**
+   * Loads onto spares the models that their fabric domains need most, with the loads that forming replicas
+   * leave unused.
+   */
   private _stageSpares(budget: number): void {
     if (this._configuration.stagesFirst) {
       this._stages.stageSpares(budget);
--- a/src/routing/EndpointPool.ts
+++ b/src/routing/EndpointPool.ts
@@ -5,10 +5,11 @@
 interface EndpointRecord {
   readonly health: EndpointHealth;
   requests: number;
+  /** This entry's tokens that the endpoint still has to process. */
   tokens: number;
   /** Time of the newest load report. */
   reportAt: number;
-  /** This entry's tokens in flight when the newest report arrived. */
+  /** The value of `tokens` when the newest load report arrived. */
   tokensAtReport: number;
 }
 
--- a/src/routing/Placement.ts
+++ b/src/routing/Placement.ts
@@ -14,11 +14,11 @@
   readonly ownRequests: number;
   /** Maximum number of requests that this entry may have in flight at the replica. */
   readonly ownLimit: number;
-  /** This entry's tokens in flight at the replica. */
+  /** This entry's tokens that the replica still has to process. */
   readonly ownTokens: number;
   /** Pending tokens in the replica's last report; 0 without a report. */
   readonly reportedTokens: number;
-  /** This entry's tokens in flight at the time of that report. */
+  /** The value of `ownTokens` at the time of that report. */
   readonly ownTokensAtReport: number;
   /** Prompt tokens that are probably in the replica's prefix cache. */
   readonly heldTokens: number;
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -143,10 +143,8 @@
      */
     it("retires a forming replica after one presence window if a free instance can replace an absent one", () => {
       const facts = createForming({ epoch: 1, isReady: true });
-      const absent = { answeredAt: NOW - 1_600 };
-      const instances = facts.instances.map((instance, i) =>
-        i === 2 ? { ...instance, ...absent } : instance,
-      );
+      const lost = { answeredAt: NOW - 1_600 };
+      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...lost } : instance));
       expect(plan({ ...facts, instances }).map(({ kind }) => kind)).not.toContain("retireReplica");
       const spare = createInstance("spare");
       expect(plan({ ...facts, instances: [...instances, spare] })).toContainEqual(
