--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -5,7 +5,7 @@
 import { createConfiguration, type TestConfiguration } from "../support/configuration";
 import { createFacts, createInstance, createInstances, createReplica, NOW } from "../support/planning";
 
-const ABSENT = { answeredAt: NOW - 100_000 };
+const AWAY = { answeredAt: NOW - 100_000 };
 
 function plan(facts: Parameters<typeof createFacts>[0], options: TestConfiguration = {}): Action[] {
   const configuration = parseConfiguration("test", createConfiguration(options));
@@ -72,7 +72,7 @@
       const held = createReplica(1, createInstances(4, { fabricDomain: "h" }));
       const instances = [
         ...held.instances,
-        createInstance("gone", ABSENT),
+        createInstance("gone", AWAY),
         createInstance("leaving", { isLeaving: true }),
         createInstance("loading", { isLoading: true }),
         createInstance("free"),
@@ -154,9 +154,7 @@
 
     it("retires a forming replica if an instance stays absent and cannot be replaced", () => {
       const facts = createForming({ epoch: 1, isReady: true });
-      const instances = facts.instances.map((instance, i) =>
-        i === 2 ? { ...instance, ...ABSENT } : instance,
-      );
+      const instances = facts.instances.map((instance, i) => (i === 2 ? { ...instance, ...AWAY } : instance));
       doTest({ ...facts, instances }, {}, `retire g-1: ${REASON.lost}`);
     });
   });
@@ -200,7 +198,7 @@
       }));
       const second = createReplica(2, others);
       const lose = (instances: InstanceFacts[]) =>
-        instances.map((instance, i) => (i === 0 ? { ...instance, ...ABSENT } : instance));
+        instances.map((instance, i) => (i === 0 ? { ...instance, ...AWAY } : instance));
       doTest(
         {
           replicas: [first.replica, second.replica],
@@ -323,7 +321,7 @@
       ));
 
     it("retires the broken replica first if one is down", () => {
-      const broken = instances.map((instance, i) => (i === 7 ? { ...instance, ...ABSENT } : instance));
+      const broken = instances.map((instance, i) => (i === 7 ? { ...instance, ...AWAY } : instance));
       const facts = { replicas, instances: broken };
       doTest(facts, { replicas: 2, version: "2" }, `retire g-2: ${REASON.version}`);
     });
