--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -19,7 +19,7 @@
 import { type Command, CommandSchema } from "../gen/ploverstage/v1/state_pb";
 import { MemberId } from "../ids";
 import type { Storage } from "../log";
-import { type Result, StateMachine } from "../state";
+import { type CommandResult, StateMachine } from "../state";
 import { getMember, getNextMembership, getTrimmedMembership, type MemberFacts } from "./membership";
 import type { RaftNode } from "./RaftNode";
 import type { ConfirmedBarrier, Ready } from "./Ready";
@@ -52,7 +52,7 @@
 interface PendingProposal {
   readonly index: number;
   readonly term: number;
-  readonly resolve: (result: Result | undefined) => void;
+  readonly resolve: (result: CommandResult | undefined) => void;
   readonly reject: (error: unknown) => void;
 }
 
@@ -144,7 +144,7 @@
    * Hands the lead over before a planned stop, so that the others need not miss it first.
    * @param totalMs - The longest time to wait for a successor.
    */
-  async handOver(totalMs: number): Promise<void> {
+  async transferLeadership(totalMs: number): Promise<void> {
     if (!this.node.transferLeadership()) return;
     this._pump();
     const endAt = this._clock.getMonotonicMs() + totalMs;
@@ -177,7 +177,7 @@
    * @throws UnknownProposal - When leadership was lost meanwhile.
    * @throws FullProposalQueue
    */
-  propose(body: Command["body"]): Promise<Result | undefined> {
+  propose(body: Command["body"]): Promise<CommandResult | undefined> {
     const bytes = toBinary(CommandSchema, create(CommandSchema, { body }));
     if (this._proposals.size >= MAX_PENDING_PROPOSALS) {
       return Promise.reject(new FullProposalQueue({ limit: MAX_PENDING_PROPOSALS }));
@@ -208,7 +208,7 @@
    * @returns Whether the joiner votes already.
    * @throws AbsentLeader
    */
-  addJoiner(joiner: Member): boolean {
+  addJoiningMember(joiner: Member): boolean {
     if (!this.isLeader()) throw this._createAbsentLeader();
     const now = this._clock.getMonotonicMs();
     const isCaughtUp = this.node.getProgress(joiner.id)?.isCaughtUp(this.node.commitIndex) === true;
--- a/src/consensus/Election.ts
+++ b/src/consensus/Election.ts
@@ -3,7 +3,7 @@
  *
  * Pure: times are monotonic milliseconds given by the caller.
  */
-import { ElectionPatience } from "./ElectionPatience";
+import { ElectionPatience } from "./ElectionTimeout";
 import type { RandomSource } from "./RandomSource";
 import type { Timing } from "./Timing";
 
--- a/src/control/ControlProcess.ts
+++ b/src/control/ControlProcess.ts
@@ -19,7 +19,7 @@
   createInitialSnapshot,
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   LeaderGuard,
   LeadershipWatch,
@@ -100,7 +100,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
     yield* Effect.forkScoped(createJoin(options, driver, clock, transports));
     options.logger.info({ event: "control_started", member: driver.node.id, term: stored.hardState.term });
     return driver;
@@ -123,10 +123,10 @@
     }
   }
   const members = peers.map((peer) =>
-    createMember(peer.name, getFirstId(peer.name), peer.address, peer.failureDomain),
+    createMember(peer.name, getBootstrapMemberId(peer.name), peer.address, peer.failureDomain),
   );
   const snapshot = createInitialSnapshot(createMembership(members));
-  await FileStorage.create(dataFolder, getFirstId(settings.process.name), snapshot);
+  await FileStorage.create(dataFolder, getBootstrapMemberId(settings.process.name), snapshot);
 }
 
 async function holdsState(address: string, secret: string): Promise<boolean> {
--- a/src/control/Leadership.ts
+++ b/src/control/Leadership.ts
@@ -119,7 +119,7 @@
     return {
       instances: this._getInstanceFacts(configuration),
       replicas,
-      isClear: this.leases.isClear(now),
+      isClear: this.leases.haveEarlierLeasesExpired(now),
       retiredInForce: new Set(
         retiring
           .filter((replica) => this.leases.isAssignmentInForce(now, replica.changedAtIndex))
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashMonitor.ts
@@ -7,11 +7,11 @@
  * runs of three entries that are asked for it by turns every 0.3 s.
  */
 import { pause } from "../clock";
-import type { Admittance, CrashLedger, RequestDigest } from "../containment";
+import type { AdmissionDecision, CrashLedger, RequestDigest } from "../containment";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
-import { EndedLives } from "./EndedLives";
+import { EndedLives } from "./EndpointProbe";
 
 /** An attempt whose endpoint broke off. */
 export interface BrokenAttempt {
@@ -25,12 +25,12 @@
 }
 
 /** What a watch works with. */
-export interface CrashWatchOptions {
+export interface CrashMonitorOptions {
   readonly ledger: CrashLedger;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called when there is something to tell the others. */
-  readonly onNews: () => void;
+  readonly onChange: () => void;
 }
 
 /**
@@ -43,14 +43,14 @@
 const WITHDRAWN_MS = 150;
 
 /** The watch of one entry. */
-export class CrashWatch {
-  private readonly _options: CrashWatchOptions;
+export class CrashMonitor {
+  private readonly _options: CrashMonitorOptions;
   private readonly _ended = new EndedLives();
 
   /**
    * @param options - What is known, and whom to tell.
    */
-  constructor(options: CrashWatchOptions) {
+  constructor(options: CrashMonitorOptions) {
     this._options = options;
   }
 
@@ -58,21 +58,21 @@
    * Decides whether a request may be sent to endpoints.
    * @param getDigest - Called only where anything is known of any request.
    */
-  admit(now: number, getDigest: () => RequestDigest): Admittance {
+  admit(now: number, getDigest: () => RequestDigest): AdmissionDecision {
     const { ledger } = this._options;
     return ledger.isEmpty ? "admitted" : ledger.admit(now, getDigest());
   }
 
   /** Checks whether a request is kept away from endpoints now. */
-  isKeptAway(now: number, getDigest: () => RequestDigest): boolean {
+  isBlocked(now: number, getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isKeptAway(now, getDigest());
+    return !ledger.isEmpty && ledger.isBlocked(now, getDigest());
   }
 
   /** Checks whether a request is proven guilty. */
   isProven(getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isProven(getDigest());
+    return !ledger.isEmpty && ledger.isConfirmedCause(getDigest());
   }
 
   /**
@@ -101,8 +101,8 @@
     const { ledger, logger, metrics } = this._options;
     const digests = records.map(({ digest }) => digest);
     const before = digests.map((digest) => ledger.getVerdict(digest));
-    ledger.addAgreed(now, records);
-    metrics.gauge("gateway_kept_away", ledger.countProven());
+    ledger.addCommitted(now, records);
+    metrics.gauge("gateway_kept_away", ledger.countConfirmedCauses());
     for (const [i, digest] of digests.entries()) {
       const verdict = ledger.getVerdict(digest);
       if (verdict !== before[i]) logger.info({ event: "request_judged", digest, verdict, before: before[i] });
@@ -113,18 +113,18 @@
    * Notes that a request came to a good end.
    * @param getDigest - Called only where anything is known of any request.
    */
-  addGoodEnd(now: number, getDigest: () => RequestDigest): void {
-    const { ledger, logger, onNews } = this._options;
+  addSuccess(now: number, getDigest: () => RequestDigest): void {
+    const { ledger, logger, onChange } = this._options;
     if (ledger.isEmpty) return;
     const digest = getDigest();
-    if (!ledger.addGoodEnd(now, digest)) return;
+    if (!ledger.addSuccess(now, digest)) return;
     logger.info({ event: "request_cleared", digest });
-    onNews();
+    onChange();
   }
 
   private _addCrash(digest: RequestDigest, attempt: BrokenAttempt): void {
     const { target, startedAt, brokeAt, answeredAt, requestId } = attempt;
-    const { ledger, logger, metrics, onNews } = this._options;
+    const { ledger, logger, metrics, onChange } = this._options;
     const wasAnswered = answeredAt !== undefined;
     const depth = ledger.addCrash({ digest, life: target.id, startedAt, brokeAt, wasAnswered });
     metrics.increment("gateway_crashes", 1, { answered: String(wasAnswered) });
@@ -137,8 +137,8 @@
       ran_ms: Math.round(brokeAt - startedAt),
       answered: wasAnswered,
       depth,
-      kept_away: ledger.isKeptAway(brokeAt, digest),
+      kept_away: ledger.isBlocked(brokeAt, digest),
     });
-    onNews();
+    onChange();
   }
 }
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -26,10 +26,10 @@
 import { type RetryBound, SharedRetryBudget } from "../routing";
 import { TransportPool } from "../rpc";
 import type { GatewaySettings, LiveSettings } from "../settings";
-import { CrashWatch } from "./CrashWatch";
+import { HeldBytes } from "./AnswerBuffers";
+import { CrashMonitor } from "./CrashMonitor";
 import type { Dialect } from "./Dialect";
 import { GatewayServer } from "./GatewayServer";
-import { HeldBytes } from "./HeldBytes";
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
@@ -105,11 +105,11 @@
   const getEntryCount = () => Math.max(1, view.entryCount);
   let routes: RouteTable | undefined;
   const ledger = new CrashLedger();
-  const crashes = new CrashWatch({
+  const crashes = new CrashMonitor({
     ledger,
     logger,
     metrics,
-    onNews: () => {
+    onChange: () => {
       reporter.sendSoon();
       server.withdrawProven();
     },
@@ -156,8 +156,8 @@
       },
     },
     getRoutes: () => routes,
-    isConfirmed: () => view.isConfirmed && watcher.isShown,
-    getShown: () => watcher.getLastShown(clock.getMonotonicMs()),
+    isConfirmed: () => view.isConfirmed && watcher.isCurrent,
+    getShown: () => watcher.getReceivedView(clock.getMonotonicMs()),
     onRequest: () => budget.addRequest(clock.getMonotonicMs(), getEntryCount()),
   });
   const watcherId = `${process.name}.${randomBytes(6).toString("hex")}`;
@@ -179,7 +179,7 @@
     onDeclaration: updateRoutes,
   });
   const suspicions = new SuspicionReporter({
-    tell: (told) => watcher.reportSuspicions(told),
+    send: (told) => watcher.reportSuspicions(told),
     clock,
     logger,
   });
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -6,16 +6,16 @@
 import type { DeclaredOrganisation, Route, RouteTable } from "../declaration";
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
-import type { ShownView } from "../registration";
-import { CallerWaits } from "./CallerWaits";
-import type { CallFacts } from "./Dialect";
+import type { ReceivedView } from "../registration";
+import { CallerWaits } from "./CallerTimeouts";
+import type { CallMetadata } from "./Dialect";
+import { endWithConnection } from "./delimitByClose";
 import { Exchange, type ExchangeRequest, type ExchangeTools } from "./Exchange";
-import { endWithConnection } from "./endWithConnection";
 import { createNotRun, GatewayRefusal } from "./GatewayRefusal";
 import { dropHeaders, getEndToEndHeaders } from "./headers";
 import { PlainExchange } from "./PlainExchange";
 import type { WholeAnswer } from "./PlainSource";
-import { getFirstViewReturnMs } from "./returnTime";
+import { getFirstViewReturnMs } from "./retryAfter";
 import { StreamExchange } from "./StreamExchange";
 
 /** What a gateway server works with. */
@@ -32,7 +32,7 @@
   /** Gets whether a leader has confirmed that declaration in this process's life, and a control process shows its view now. */
   readonly isConfirmed: () => boolean;
   /** Gets what control showed this entry last, and how long ago. */
-  readonly getShown: () => ShownView;
+  readonly getShown: () => ReceivedView;
   /** Called with each request that is let in. */
   readonly onRequest: () => void;
 }
@@ -52,7 +52,7 @@
 /** A request as far as it got. */
 interface Progress {
   readonly receivedAt: number;
-  call: CallFacts | undefined;
+  call: CallMetadata | undefined;
   route: Route | undefined;
   exchange: Exchange | undefined;
 }
@@ -275,7 +275,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     progress: Progress,
-    call: CallFacts,
+    call: CallMetadata,
   ): GatewayRefusal {
     if (this._options.isConfirmed()) return createFinal(status, code, reason);
     const unconfirmed = `${reason} in the declaration known here, which may not be the newest one`;
@@ -286,7 +286,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     { receivedAt }: Progress,
-    { waitMs }: CallFacts,
+    { waitMs }: CallMetadata,
   ): GatewayRefusal {
     const sinceStartMs = receivedAt - this._startedAt;
     const returnMs = getFirstViewReturnMs(sinceStartMs, waitMs, this._options.random.next());
@@ -401,7 +401,7 @@
       view_term: shown.term,
       view_control: shown.control,
       // JSON has no infinity: nothing was shown yet.
-      view_silence_ms: shown.control === "" ? undefined : Math.round(shown.silenceMs),
+      view_silence_ms: shown.control === "" ? undefined : Math.round(shown.heartbeatAgeMs),
       outcome,
       code,
       took_ms: tookMs,
--- a/src/http/JsonServer.ts
+++ b/src/http/JsonServer.ts
@@ -1,7 +1,7 @@
 /** An HTTP/1.1 server for short calls with JSON responses. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { Effect, type Scope } from "effect";
-import type { CallClass, CallOrder } from "../admission";
+import type { CallClass, CallScheduler } from "../admission";
 import { pause } from "../clock";
 import { Connections } from "./Connections";
 import { listen } from "./listen";
@@ -21,7 +21,7 @@
   /** Creates the response to a call whose handler failed. */
   readonly createFailure: (cause: unknown) => JsonAnswer;
   /** Schedules the start of calls. */
-  readonly calls: CallOrder;
+  readonly calls: CallScheduler;
   readonly getCallClass: (path: string) => CallClass;
 }
 
--- a/src/membership/consensusRoutes.ts
+++ b/src/membership/consensusRoutes.ts
@@ -16,7 +16,7 @@
     },
     join(request) {
       try {
-        return { voting: driver.addJoiner(request.member!) };
+        return { voting: driver.addJoiningMember(request.member!) };
       } catch (cause) {
         if (cause instanceof AbsentLeader) throw createLeaderRefusal(cause.leaderAddress);
         throw cause;
--- a/src/registration/AgreedFacts.ts
+++ b/src/registration/CommittedFacts.ts
@@ -22,7 +22,7 @@
 const TOLD_DEPARTURES = 300;
 
 /** The agreed state as far as it is applied here. */
-export class AgreedFacts {
+export class CommittedFacts {
   private readonly _getState: () => AgreedState;
 
   /**
--- a/src/registration/CallLedger.ts
+++ b/src/registration/ControlCallCounter.ts
@@ -8,18 +8,18 @@
 import type { Logger, Metrics } from "../metrics";
 
 /** Who calls: entries and followers watch, relays and instances report, operators declare. */
-export type Call = "watch" | "relay" | "instance" | "declaration";
+export type CallKind = "watch" | "relay" | "instance" | "declaration";
 
 /** Refusals are told no more often than this. */
 const TELL_MS = 1_000;
 
 /** The calls of one process. */
-export class CallLedger {
+export class ControlCallCounter {
   private readonly _logger: Logger;
   private readonly _metrics: Metrics;
   private readonly _timer: NodeJS.Timeout;
   private _served = 0;
-  private _refused = new Map<Call, number>();
+  private _refused = new Map<CallKind, number>();
   private _invalid = new Map<string, number>();
   private _invalidExample = "";
 
@@ -33,13 +33,13 @@
   }
 
   /** Notes a call that was served. */
-  addServed(call: Call): void {
+  addServed(call: CallKind): void {
     this._served += 1;
     this._metrics.increment("control_calls", 1, { call, outcome: "served" });
   }
 
   /** Notes a call that was refused. */
-  addRefused(call: Call): void {
+  addRefused(call: CallKind): void {
     this._refused.set(call, (this._refused.get(call) ?? 0) + 1);
     this._metrics.increment("control_calls", 1, { call, outcome: "refused" });
   }
@@ -52,7 +52,7 @@
   }
 
   /** Notes what a call came to. */
-  async follow<R>(call: Call, outcome: Promise<R>): Promise<R> {
+  async track<R>(call: CallKind, outcome: Promise<R>): Promise<R> {
     try {
       const result = await outcome;
       this.addServed(call);
--- a/src/registration/EntryRoster.ts
+++ b/src/registration/EntryRoster.ts
@@ -33,7 +33,7 @@
   }
 
   /** Notes that an entry's call ended, unless it has begun another one since. */
-  loseEntry(now: number, id: string, endpoint: EntryEndpoint): void {
+  disconnectEntry(now: number, id: string, endpoint: EntryEndpoint): void {
     if (this._entries.get(id)?.endpoint !== endpoint) return;
     this._entries.set(id, { endpoint, lostAt: now });
   }
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -7,7 +7,7 @@
  */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
-import { CallOrder } from "../admission";
+import { CallScheduler } from "../admission";
 import { getProcessorMs, getSuspensionClock, LoopLag, SystemClock } from "../clock";
 import { createMembership, getVoterCount } from "../consensus";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
@@ -19,7 +19,7 @@
   createInitialSnapshot,
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   LeaderGuard,
   LeadershipWatch,
@@ -31,15 +31,15 @@
 import { LoadWatch, SuspensionWatch } from "../process";
 import { createCallCounter, TransportPool } from "../rpc";
 import type { FleetControlSettings, LiveSettings } from "../settings";
-import { CallLedger } from "./CallLedger";
+import { ControlCallCounter } from "./ControlCallCounter";
 import { FleetLeadership } from "./FleetLeadership";
 import { FleetRelay } from "./FleetRelay";
 import { addFleetRoutes } from "./fleetRoutes";
 import type { InstanceOrders } from "./InstanceOrders";
-import { KnownView } from "./KnownView";
+import { PersistedView } from "./PersistedView";
+import { ShownViewLog } from "./PublishedViewLog";
 import { Registrar } from "./Registrar";
 import type { ReplicaTimes } from "./ReplicaController";
-import { ShownViewLog } from "./ShownViewLog";
 
 /** What a fleet control process is started with. */
 export interface FleetControlOptions {
@@ -71,7 +71,7 @@
     const transports = new TransportPool(secret);
     const meter = new WorkMeter({ clock, logger, metrics: options.metrics });
     const calls = yield* Effect.acquireRelease(
-      Effect.sync(() => new CallLedger(logger, options.metrics)),
+      Effect.sync(() => new ControlCallCounter(logger, options.metrics)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const getSeeds = () => getRpcAddresses(options.settings.current);
@@ -82,7 +82,7 @@
     });
     meter.addWork("replay", stored.entries.length, clock.getMonotonicMs() - replayedAt);
     const known = yield* Effect.acquireRelease(
-      Effect.promise(() => KnownView.open(control.dataFolder, logger)),
+      Effect.promise(() => PersistedView.open(control.dataFolder, logger)),
       (opened) => Effect.sync(() => opened.stop()),
     );
     const transport = yield* Effect.acquireRelease(
@@ -148,11 +148,11 @@
       transports,
       clock,
       logger,
-      getReportPatienceMs: () => getReportPatienceMs(options.settings.current),
+      getReportTimeoutMs: () => getReportPatienceMs(options.settings.current),
     });
     const guard = new LeaderGuard(driver, getLeadership);
     const load = new CallLoad(options.metrics);
-    const callOrder = new CallOrder(options.metrics);
+    const callOrder = new CallScheduler(options.metrics);
     yield* Effect.acquireRelease(
       Effect.sync(() => new LoadWatch({ clock, lag, load, logger, metrics: options.metrics })),
       (started) => Effect.sync(() => started.stop()),
@@ -182,7 +182,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.handOver(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
     yield* Effect.acquireRelease(
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
@@ -205,7 +205,7 @@
         return source;
       },
       () => clock.getMonotonicMs(),
-      () => relay.agreed,
+      () => relay.committedDeclaration,
     );
     const member = createMember(
       control.publicAddress,
@@ -240,7 +240,7 @@
     return new Registrar({
       getLeadership,
       hasDeparted: (life) => driver.machine.hasDeparted(life),
-      isInTouch: () => relay.takesReports(),
+      hasLeaderContact: () => relay.takesReports(),
       getEntries: () => relay.getEntries(),
       relay: relay.reports,
       sender: relay.sender,
@@ -264,10 +264,10 @@
   if (isFounder && (await FileStorage.getMemberId(dataFolder)) === undefined) {
     const founders = [...seeds]
       .sort()
-      .map((seed) => createMember(seed, getFirstId(seed), getRpcAddress(settings, seed), ""));
+      .map((seed) => createMember(seed, getBootstrapMemberId(seed), getRpcAddress(settings, seed), ""));
     await FileStorage.create(
       dataFolder,
-      getFirstId(publicAddress),
+      getBootstrapMemberId(publicAddress),
       createInitialSnapshot(createMembership(founders)),
     );
     logger.info({ event: "data_folder_founded", founders: seeds });
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -20,19 +20,19 @@
 } from "../gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life } from "../ids";
 import type { Logger, Metrics, WorkMeter } from "../metrics";
-import { AgreedFacts } from "./AgreedFacts";
+import { CommittedFacts } from "./CommittedFacts";
 import { CrashRegistry } from "./CrashRegistry";
 import { type EntryRoster, sortEntries } from "./EntryRoster";
 import { FleetView } from "./FleetView";
-import { Hearing } from "./Hearing";
+import { HeartbeatMonitor } from "./HeartbeatMonitor";
 import type { InstanceOrders } from "./InstanceOrders";
 import {
   type AddressConflict,
+  type IncarnationEndReason,
   InstanceRegistry,
-  type LifeEnd,
   type RegisteredInstance,
 } from "./InstanceRegistry";
-import { PlanningPace } from "./PlanningPace";
+import { PlanningSchedule } from "./PlanningSchedule";
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
@@ -70,11 +70,11 @@
   private readonly _options: FleetLeadershipOptions;
   private readonly _registry: InstanceRegistry;
   private readonly _controller: ReplicaController;
-  private readonly _agreed: AgreedFacts;
+  private readonly _agreed: CommittedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
-  private readonly _pace: PlanningPace;
-  private readonly _hearing: Hearing;
+  private readonly _pace: PlanningSchedule;
+  private readonly _hearing: HeartbeatMonitor;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
 
@@ -83,15 +83,15 @@
    */
   constructor(options: FleetLeadershipOptions) {
     this._options = options;
-    this._agreed = new AgreedFacts(() => options.driver.machine);
+    this._agreed = new CommittedFacts(() => options.driver.machine);
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
-    this._hearing = new Hearing(now);
-    this._pace = new PlanningPace(now);
+    this._hearing = new HeartbeatMonitor(now);
+    this._pace = new PlanningSchedule(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
-      onEnd: (life: Life, ground: LifeEnd) => this._logEnd(life, ground),
+      onEnd: (life: Life, ground: IncarnationEndReason) => this._logEnd(life, ground),
     };
     this._registry = new InstanceRegistry(listener, (instanceId) => this._getAgreedBorn(instanceId));
     this._controller = new ReplicaController({
@@ -160,7 +160,7 @@
     return Math.max(0, ...lives.map(({ born }) => born));
   }
 
-  private _logEnd({ instanceId, born }: Life, ground: LifeEnd): void {
+  private _logEnd({ instanceId, born }: Life, ground: IncarnationEndReason): void {
     this._options.metrics.increment("instance_lives_ended", 1, { ground });
     this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground });
   }
@@ -169,11 +169,17 @@
    * Takes over what another control process heard; resolves once departures in it are agreed.
    * @returns Instances that this leader has to be told of in full.
    */
-  async addRelayed({ relayAddress, reports, signs, entries, suspicions }: ReportRequest): Promise<string[]> {
+  async addRelayedReports({
+    relayAddress,
+    reports,
+    signs,
+    entries,
+    suspicions,
+  }: ReportRequest): Promise<string[]> {
     const now = this._options.clock.getMonotonicMs();
     if (relayAddress !== "") this._relays.addReport(now, relayAddress, entries?.entries);
     const unknown = signs
-      .filter((sign) => this._registry.addSign(now - sign.ageMs, sign) === "unknown")
+      .filter((sign) => this._registry.addHeartbeat(now - sign.ageMs, sign) === "unknown")
       .map((sign) => sign.instanceId);
     this.addSuspicions(suspicions);
     await this.addReports(reports);
@@ -265,7 +271,7 @@
     void this._releaseRequests(startedAt);
     if (!this._pace.isDue(startedAt, this._getPlanningInputs())) return;
     this._pace.addStart();
-    this._registry.removeSilent(startedAt, this._options.getTimes().presenceMs);
+    this._registry.removeExpired(startedAt, this._options.getTimes().presenceMs);
     this._updateHearing(startedAt);
     const plannedMs = await this._plan();
     const publishingAt = this._options.clock.getMonotonicMs();
@@ -285,7 +291,7 @@
 
   private async _releaseRequests(now: number): Promise<void> {
     try {
-      await this._crashes.releaseDue(now);
+      await this._crashes.releaseDueRequests(now);
     } catch (cause) {
       // They are looked for again a moment later, here or by the next leader.
       this._options.logger.warn({ event: "requests_not_released", reason: String(cause) });
@@ -312,7 +318,7 @@
     this.view.setTargets(this._createTargets(now));
     // Once the view is complete, watchers hold nothing but what it told them.
     if (!this.view.isComplete) this.view.removeTargets(this._agreed.getEndedTargetIds());
-    if (this._hearing.getListenedMs(now) > getTimes().presenceMs) this._setComplete();
+    if (this._hearing.getObservedMs(now) > getTimes().presenceMs) this._setComplete();
     this.view.setEntries(
       sortEntries([...this._options.entries.getEntries(now), ...this._relays.getEntries(now)]),
     );
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -17,7 +17,7 @@
 import type { Declaration } from "../gen/ploverstage/v1/state_pb";
 import type { Logger } from "../metrics";
 import { LeaderClient, type TransportPool } from "../rpc";
-import { AgreedFacts } from "./AgreedFacts";
+import { CommittedFacts } from "./CommittedFacts";
 import type { FleetLeadership } from "./FleetLeadership";
 import { FollowedView } from "./FollowedView";
 import { LeaderContact } from "./LeaderContact";
@@ -47,7 +47,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** How long the leader may be silent while reports are still taken for it, milliseconds. */
-  readonly getReportPatienceMs: () => number;
+  readonly getReportTimeoutMs: () => number;
 }
 
 /**
@@ -86,7 +86,7 @@
   private readonly _shown: LeaderContact;
   private _followedAt = Number.NEGATIVE_INFINITY;
   private readonly _suspicions = new SuspicionQueue(SUSPICION_PAUSE_MS);
-  private readonly _agreed: AgreedFacts;
+  private readonly _agreed: CommittedFacts;
   private _toldVersion: number;
   private _isUpdating = false;
 
@@ -98,7 +98,7 @@
     const { driver, clock, logger, transports, getLeadership, getSeeds } = options;
     this._shown = new LeaderContact(clock.getMonotonicMs());
     if (options.recovered !== undefined) this.view.apply(options.recovered);
-    this._agreed = new AgreedFacts(() => driver.machine);
+    this._agreed = new CommittedFacts(() => driver.machine);
     // A process that starts applies its whole log once more: what it had kept before is not told again.
     this._toldVersion = options.recovered?.declaration?.version ?? 0;
     const relayed = new RelayedView(this.view, this._agreed);
@@ -163,7 +163,7 @@
   }
 
   /** Gets the newest declaration that this process knows as agreed. */
-  get agreed(): Declaration | undefined {
+  get committedDeclaration(): Declaration | undefined {
     return this._agreed.declaration;
   }
 
@@ -180,7 +180,7 @@
 
   /** Checks whether reports may be taken here: the leader is told of them in time, or there is none. */
   takesReports(): boolean {
-    const patienceMs = this._options.getReportPatienceMs();
+    const patienceMs = this._options.getReportTimeoutMs();
     const failingMs = this.sender.getFailingMs(this._options.clock.getMonotonicMs());
     return this._isShown(patienceMs) || (this._isInTouch(patienceMs) && failingMs <= MAX_UNTOLD_MS);
   }
@@ -244,7 +244,7 @@
     const now = this._options.clock.getMonotonicMs();
     if (this._noteLeadership()) return true;
     // While a majority elects a leader refusing would only have everyone ask on.
-    return this._shown.isInTouch(now, patienceMs) || this._options.driver.node.isElecting(now);
+    return this._shown.isRecent(now, patienceMs) || this._options.driver.node.isElecting(now);
   }
 
   /**
--- a/src/registration/FollowedView.ts
+++ b/src/registration/FollowedView.ts
@@ -4,7 +4,7 @@
  * Updates of an older term are dropped, but for their declaration: each one that is shown was agreed on, and the one with the
  * highest version holds, whoever shows it. One below the one held is dropped: what a watcher acts on never goes back. Pure.
  */
-import { CrashTable, KEPT_CRASH_RECORDS } from "../containment";
+import { CrashTable, MAX_CRASH_RECORDS } from "../containment";
 import type { EntryEndpoint, Target, ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord, Declaration } from "../gen/ploverstage/v1/state_pb";
 
@@ -18,7 +18,7 @@
   private _entryCount = 0;
   private _controlAddresses: readonly string[] = [];
   private _declaration: Declaration | undefined;
-  private readonly _crashes = new CrashTable(KEPT_CRASH_RECORDS);
+  private readonly _crashes = new CrashTable(MAX_CRASH_RECORDS);
   private _term = RECOVERED_TERM;
 
   /** Gets the term of the leader that was heard last. */
--- a/src/registration/Hearing.ts
+++ b/src/registration/HeartbeatMonitor.ts
@@ -35,7 +35,7 @@
 }
 
 /** What one leader could hear. */
-export class Hearing {
+export class HeartbeatMonitor {
   /** When the leader's term began. */
   readonly startedAt: number;
   private _gaps: Gap[] = [];
@@ -48,15 +48,15 @@
   }
 
   /** Gets how long the leader could have heard everybody within its term, milliseconds. */
-  getListenedMs(now: number): number {
-    return this.getSilentMs(now, this.startedAt);
+  getObservedMs(now: number): number {
+    return this.getMsWithoutHeartbeat(now, this.startedAt);
   }
 
   /**
    * Gets how long an instance has been silent, as far as it could have been heard, milliseconds.
    * @param reportedAt - When it reported last; before the term there may have been no leader to hear it.
    */
-  getSilentMs(now: number, reportedAt: number): number {
+  getMsWithoutHeartbeat(now: number, reportedAt: number): number {
     const countedFrom = Math.max(reportedAt, this.startedAt);
     const unheardMs = this._gaps.map(({ from, to }) =>
       Math.max(0, Math.min(now, to) - Math.max(from, countedFrom)),
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -61,7 +61,7 @@
    * reported from, unless it was asked a moment ago: a clock that was set back between two starts makes
    * the one that runs look older.
    */
-  checkLives(now: number): void {
+  checkIncarnations(now: number): void {
     const contenders = this._options.registry.getContenders();
     const ids = new Set(contenders.map(({ report }) => report.instanceId));
     for (const id of this._askedLives.keys()) if (!ids.has(id)) this._askedLives.delete(id);
@@ -108,7 +108,7 @@
     const identity = await orders.identify({ instanceId, born, address }, ANSWER_MS);
     this._asking.delete(address);
     this._asked.set(address, { count: count + 1, endedAt: clock.getMonotonicMs() });
-    if (identity === "another") registry.addEnd({ instanceId, born });
+    if (identity === "another") registry.markEnded({ instanceId, born });
     if (identity === "itself") registry.addPresence(now, instanceId, address);
     logger.info({
       event: "identity_checked",
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -32,14 +32,18 @@
 }
 
 /** Why a life of an instance is held for ended. */
-export type LifeEnd = "newerLife" | "answeredByAnother" | "olderLifeAnswered" | "olderLifeReports";
+export type IncarnationEndReason =
+  | "newerLife"
+  | "answeredByAnother"
+  | "olderLifeAnswered"
+  | "olderLifeReports";
 
 /** Told of what changes beside the reports' content. */
 export interface RegistryListener {
   /** An instance is first heard of at an address that another one has claimed. */
   onConflict?(conflict: AddressConflict): void;
   /** A life is held for ended from now on. */
-  onEnd?(life: Life, ground: LifeEnd): void;
+  onEnd?(life: Life, ground: IncarnationEndReason): void;
 }
 
 /** What a report came to; `older` when a newer life of the instance is known. */
@@ -137,7 +141,7 @@
    * Notes that an instance reported again and said nothing new.
    * @param at - When that report came in at the process that relayed it.
    */
-  addSign(at: number, sign: InstanceSign): SignOutcome {
+  addHeartbeat(at: number, sign: InstanceSign): SignOutcome {
     const { instanceId: id, sequence, contentSequence } = sign;
     if (this._ended.has(getLifeKey(sign))) return "ended";
     const known = this._instances.get(id);
@@ -152,7 +156,7 @@
   }
 
   /** Notes that another instance answered at the address of a life: it has ended. */
-  addEnd(life: Life): void {
+  markEnded(life: Life): void {
     if (this._ended.has(getLifeKey(life))) return;
     this._ended.add(getLifeKey(life));
     this._listener.onEnd?.(life, "answeredByAnother");
@@ -166,7 +170,7 @@
    */
   addPresence(askedAt: number, id: string, address: string): void {
     for (const { report, firstReportedAt } of this._getConflict(address).claimants) {
-      if (report.instanceId !== id && firstReportedAt <= askedAt) this.addEnd(report);
+      if (report.instanceId !== id && firstReportedAt <= askedAt) this.markEnded(report);
     }
   }
 
@@ -194,7 +198,7 @@
    * under one id that could not be asked, the older one counts once only it is heard.
    * @param presenceMs - An instance silent for so long is absent.
    */
-  removeSilent(now: number, presenceMs: number): void {
+  removeExpired(now: number, presenceMs: number): void {
     for (const [id, { reportedAt }] of this._instances) {
       if (now - reportedAt > FORGET_MS) this._forget(id);
     }
@@ -258,7 +262,7 @@
     if (isAlone) this._takeContender(contender, "olderLifeReports");
   }
 
-  private _takeContender(contender: RegisteredInstance, ground: LifeEnd): void {
+  private _takeContender(contender: RegisteredInstance, ground: IncarnationEndReason): void {
     const { report, reportedAt } = contender;
     const known = this._instances.get(report.instanceId);
     if (known !== undefined) this._endLife(known.report, ground);
@@ -268,7 +272,7 @@
   }
 
   /** Only an answer is proof for good: by its start or its silence alone no life is shut out. */
-  private _endLife(life: Life, ground: LifeEnd): void {
+  private _endLife(life: Life, ground: IncarnationEndReason): void {
     if (ground === "olderLifeAnswered") this._ended.add(getLifeKey(life));
     this._forget(life.instanceId);
     this._listener.onEnd?.(life, ground);
--- a/src/registration/LeaderContact.ts
+++ b/src/registration/LeaderContact.ts
@@ -24,7 +24,7 @@
    * Checks whether this process may still speak for a leader.
    * @param patienceMs - How long the leader may have been silent.
    */
-  isInTouch(now: number, patienceMs: number): boolean {
+  isRecent(now: number, patienceMs: number): boolean {
     if (this._heardAt === undefined) return now - this._startedAt <= START_MS;
     return now - this._heardAt <= patienceMs;
   }
--- a/src/registration/KnownView.ts
+++ b/src/registration/PersistedView.ts
@@ -39,7 +39,7 @@
 }
 
 /** The last view of one data folder. */
-export class KnownView {
+export class PersistedView {
   private readonly _path: string;
   private readonly _logger: Logger;
   private readonly _recovered: ViewUpdate | undefined;
@@ -59,10 +59,10 @@
   }
 
   /** Reads what was kept; a file that is missing or damaged holds nothing. */
-  static async open(folder: string, logger: Logger): Promise<KnownView> {
+  static async open(folder: string, logger: Logger): Promise<PersistedView> {
     const path = join(folder, FILE);
     const recovered = await readView(path, logger);
-    return new KnownView(path, logger, recovered);
+    return new PersistedView(path, logger, recovered);
   }
 
   /** Gets what was shown before this process started, as an update that no leader confirms. */
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -4,10 +4,10 @@
 import { InstanceId } from "../ids";
 import type { InstanceFacts, PlanningFacts } from "../planner";
 import type { StateMachine } from "../state";
-import type { Hearing } from "./Hearing";
+import type { HeartbeatMonitor } from "./HeartbeatMonitor";
 import type { InstanceRegistry, RegisteredInstance } from "./InstanceRegistry";
 import type { OrderDispatcher } from "./OrderDispatcher";
-import type { PresenceDoubts } from "./PresenceDoubts";
+import type { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
 
 /** What facts are made of. */
@@ -15,9 +15,9 @@
   readonly machine: () => StateMachine;
   readonly registry: InstanceRegistry;
   readonly dispatcher: OrderDispatcher;
-  readonly doubts: PresenceDoubts;
+  readonly doubts: PresenceSuspicions;
   /** How long silence says something. */
-  readonly hearing: Hearing;
+  readonly hearing: HeartbeatMonitor;
 }
 
 const NEVER = Number.NEGATIVE_INFINITY;
@@ -105,7 +105,9 @@
   /** Only the time in which an instance could have been heard counts against it. */
   private _getAnsweredAt(now: number, instanceId: string, reportedAt: number): number {
     const { doubts, hearing } = this._options;
-    return doubts.isDoubted(instanceId, reportedAt) ? NEVER : now - hearing.getSilentMs(now, reportedAt);
+    return doubts.isSuspected(instanceId, reportedAt)
+      ? NEVER
+      : now - hearing.getMsWithoutHeartbeat(now, reportedAt);
   }
 
   private _createInstanceFacts(
--- a/src/registration/PresenceDoubts.ts
+++ b/src/registration/PresenceSuspicions.ts
@@ -6,7 +6,7 @@
  */
 
 /** Instances in doubt. */
-export class PresenceDoubts {
+export class PresenceSuspicions {
   private readonly _doubtedAt = new Map<string, number>();
   private _revision = 0;
 
@@ -16,7 +16,7 @@
   }
 
   /** Notes that an instance gave no sign of life. */
-  addDoubt(now: number, instanceId: string): void {
+  addSuspicion(now: number, instanceId: string): void {
     this._doubtedAt.set(instanceId, now);
     this._revision += 1;
   }
@@ -25,7 +25,7 @@
    * Checks whether an instance is in doubt.
    * @param reportedAt - When it reported last.
    */
-  isDoubted(instanceId: string, reportedAt: number): boolean {
+  isSuspected(instanceId: string, reportedAt: number): boolean {
     const doubtedAt = this._doubtedAt.get(instanceId);
     if (doubtedAt === undefined) return false;
     if (reportedAt <= doubtedAt) return true;
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -6,7 +6,7 @@
  * hears it, and told to the leader a moment later.
  */
 
-import type { CallOrder } from "../admission";
+import type { CallScheduler } from "../admission";
 import { type Clock, pause } from "../clock";
 import { type Declaration, type DeclarationFormat, packDocument, unpackDocument } from "../declaration";
 import { InvalidReport, UnreachableControl } from "../errors";
@@ -20,10 +20,10 @@
 import type { Life } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import { CallTrace, type LeaderClient } from "../rpc";
-import type { CallLedger } from "./CallLedger";
+import type { ControlCallCounter } from "./ControlCallCounter";
 import { checkReport } from "./checkReport";
-import { getUnencodable } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
+import { getUnencodable } from "./getUnencodableReports";
 import type { ReportRelay } from "./ReportRelay";
 import type { ReportSender } from "./ReportSender";
 
@@ -34,14 +34,14 @@
   /** Checks whether the agreed state has a life of an instance as departed, as far as it is known here. */
   readonly hasDeparted: (life: Life) => boolean;
   /** Whether this process has heard of a leader lately enough to take reports for it. */
-  readonly isInTouch: () => boolean;
+  readonly hasLeaderContact: () => boolean;
   /** Gives the entries that callers may be sent to, the last ones heard of if need be. */
   readonly getEntries: () => readonly EntryEndpoint[];
   readonly relay: ReportRelay;
   readonly sender: ReportSender;
-  readonly calls: CallLedger;
+  readonly calls: ControlCallCounter;
   /** In which order calls begin, those over the platform as well. */
-  readonly callOrder: CallOrder;
+  readonly callOrder: CallScheduler;
   readonly client: LeaderClient<typeof FleetService>;
   readonly getSeeds: () => readonly string[];
   readonly format: DeclarationFormat;
@@ -87,7 +87,7 @@
   }
 
   /** Gets in which order this process begins calls. */
-  get callOrder(): CallOrder {
+  get callOrder(): CallScheduler {
     return this._options.callOrder;
   }
 
@@ -99,7 +99,7 @@
    */
   async addReport(report: InstanceReport): Promise<string> {
     checkReport(report);
-    return this._options.calls.follow("instance", this._addReport(report));
+    return this._options.calls.track("instance", this._addReport(report));
   }
 
   /** Notes a report that was refused for what it says. */
@@ -118,8 +118,8 @@
   }
 
   private _relayReport(report: InstanceReport): void {
-    const { isInTouch, relay, sender, clock } = this._options;
-    if (!isInTouch()) throw this._createUnreachable("no leader was heard of lately");
+    const { hasLeaderContact, relay, sender, clock } = this._options;
+    if (!hasLeaderContact()) throw this._createUnreachable("no leader was heard of lately");
     if (relay.addReport(clock.getMonotonicMs(), report)) sender.sendSoon();
   }
 
--- a/src/registration/RelayCall.ts
+++ b/src/registration/RelayCall.ts
@@ -29,7 +29,7 @@
    * @param timeoutMs - The longest time to wait for the answer.
    * @throws ConnectError - When the process does not lead, or gave no answer in time.
    */
-  async tell(report: Report, timeoutMs: number): Promise<ReportResponse> {
+  async send(report: Report, timeoutMs: number): Promise<ReportResponse> {
     const timer = setTimeout(() => this.end("the operation timed out"), timeoutMs);
     this._next = report;
     this._wake();
--- a/src/registration/RelayedView.ts
+++ b/src/registration/RelayedView.ts
@@ -5,21 +5,21 @@
  * told as complete.
  */
 import type { ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
-import type { AgreedFacts } from "./AgreedFacts";
+import type { CommittedFacts } from "./CommittedFacts";
 import { FleetView, type ViewSource } from "./FleetView";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
 /** A followed view that can be watched. */
 export class RelayedView {
   private readonly _followed: FollowedView;
-  private readonly _agreed: AgreedFacts | undefined;
+  private readonly _agreed: CommittedFacts | undefined;
   private _source: ViewSource;
 
   /**
    * @param followed - What this process was told.
    * @param agreed - What holds whether it was told or not.
    */
-  constructor(followed: FollowedView, agreed?: AgreedFacts) {
+  constructor(followed: FollowedView, agreed?: CommittedFacts) {
     this._followed = followed;
     this._agreed = agreed;
     this._source = this._createSource();
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -11,16 +11,17 @@
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
 import { type Action, type InstanceFacts, REASON } from "../planner";
-import { GivenUpPlaces, type HeldPlace } from "./GivenUpPlaces";
-import type { Hearing } from "./Hearing";
+import type { HeartbeatMonitor } from "./HeartbeatMonitor";
 import { IdentityChecks } from "./IdentityChecks";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
+import { GivenUpPlaces, type HeldPlace } from "./LeaveConfirmations";
 import type { LoadLimit } from "./LoadLimiter";
 import { createLoadLimit } from "./loadLimits";
 import { OrderDispatcher } from "./OrderDispatcher";
+import { StrayHeads } from "./OrphanHeads";
 import { PlanningFactsSource, READY_STATES } from "./PlanningFactsSource";
-import { PresenceDoubts } from "./PresenceDoubts";
+import { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
 import { type ClosingTimes, type EndGround, LEFT_OUTCOMES, ReplicaCloser } from "./ReplicaCloser";
 import {
@@ -30,7 +31,6 @@
   type PlanningTimes,
   ServicePlanner,
 } from "./ServicePlanner";
-import { StrayHeads } from "./StrayHeads";
 
 /** Times and bounds of the replicas' control, milliseconds. */
 export interface ReplicaTimes extends ClosingTimes, PlanningTimes {}
@@ -39,7 +39,7 @@
 export interface ReplicaControllerOptions {
   readonly driver: ConsensusDriver;
   readonly registry: InstanceRegistry;
-  readonly hearing: Hearing;
+  readonly hearing: HeartbeatMonitor;
   readonly orders: InstanceOrders;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -69,7 +69,7 @@
   private readonly _closer: ReplicaCloser;
   private readonly _dispatcher: OrderDispatcher;
   private readonly _facts: PlanningFactsSource;
-  private readonly _doubts = new PresenceDoubts();
+  private readonly _doubts = new PresenceSuspicions();
   private readonly _identities: IdentityChecks;
   private readonly _strays: StrayHeads;
   private readonly _givenUp: GivenUpPlaces;
@@ -89,7 +89,7 @@
     this._dispatcher = new OrderDispatcher({
       ...options,
       term: driver.node.term,
-      onEnd: (life) => registry.addEnd(life),
+      onEnd: (life) => registry.markEnded(life),
       getLoadLimit: () => this._getLoadLimit(),
     });
     this._facts = new PlanningFactsSource({
@@ -156,7 +156,7 @@
       if (!isCertain) return;
       // Too soon after its last report: it is asked once more instead of after the next suspicion.
       if (this._getUnheardMs(member.instanceId) < MIN_SILENCE_MS) continue;
-      this._doubts.addDoubt(sentAt, member.instanceId);
+      this._doubts.addSuspicion(sentAt, member.instanceId);
       logger.info({ event: "instance_doubted", instance: member.instanceId, replica: replica.id, outcome });
       return;
     }
@@ -176,8 +176,8 @@
 
   private _isPresent(now: number, instanceId: string): boolean {
     const instance = this._options.registry.getInstance(instanceId);
-    if (instance === undefined || this._doubts.isDoubted(instanceId, instance.reportedAt)) return false;
-    const silentMs = this._options.hearing.getSilentMs(now, instance.reportedAt);
+    if (instance === undefined || this._doubts.isSuspected(instanceId, instance.reportedAt)) return false;
+    const silentMs = this._options.hearing.getMsWithoutHeartbeat(now, instance.reportedAt);
     return silentMs <= this._options.getTimes().presenceMs;
   }
 
@@ -188,7 +188,7 @@
     const times = getTimes();
     for (const replica of this._strays.getReplicas()) this._expelHead(replica);
     const replicas = driver.machine.getReplicas();
-    this._identities.checkLives(now);
+    this._identities.checkIncarnations(now);
     this._identities.checkConflicts(
       now,
       replicas.flatMap(({ members }) => members),
@@ -200,7 +200,7 @@
     for (const replica of replicas) this._openIfReady(replica);
     const over = new Set(
       retiring
-        .filter((replica) => this._wasNeverOpened(replica) || this._closer.isOver(now, replica, times))
+        .filter((replica) => this._wasNeverOpened(replica) || this._closer.hasEnded(now, replica, times))
         .map((replica) => replica.id),
     );
     const byService = divideReplicas(services, replicas);
@@ -312,7 +312,7 @@
   private _describeGround(replica: Replica): EndGround | "neverOpened" | undefined {
     if (this._wasNeverOpened(replica)) return "neverOpened";
     const { clock, getTimes } = this._options;
-    return this._closer.getEndGround(clock.getMonotonicMs(), replica, getTimes());
+    return this._closer.getEndReason(clock.getMonotonicMs(), replica, getTimes());
   }
 
   private _describePlace(replica: Replica, instanceId: string): string {
--- a/src/registration/ReportRelay.ts
+++ b/src/registration/ReportRelay.ts
@@ -71,7 +71,7 @@
   }
 
   /** Checks whether there is anything to be told in full. */
-  hasNews(): boolean {
+  hasUpdates(): boolean {
     return [...this._lives.values()].some(({ told }) => told === undefined);
   }
 
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -17,8 +17,8 @@
 import type { Logger } from "../metrics";
 import type { LeaderClient } from "../rpc";
 import type { EntryRoster } from "./EntryRoster";
-import { getUnencodable } from "./encodableReports";
 import type { FleetLeadership } from "./FleetLeadership";
+import { getUnencodable } from "./getUnencodableReports";
 import { RelayCall } from "./RelayCall";
 import type { RelayBatch, ReportRelay } from "./ReportRelay";
 import type { SuspicionQueue } from "./SuspicionQueue";
@@ -140,7 +140,7 @@
       this._failingSince = undefined;
       this._patienceMs = FIRST_PATIENCE_MS;
     }
-    this._schedule(wasTold && this._options.relay.hasNews() ? NEWS_MS : SIGN_MS);
+    this._schedule(wasTold && this._options.relay.hasUpdates() ? NEWS_MS : SIGN_MS);
   }
 
   private async _sendBatch(): Promise<void> {
@@ -179,7 +179,7 @@
         signs: [...batch.signs],
         suspicions,
       });
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     const { revision } = entries;
@@ -211,7 +211,7 @@
     const call = this._call ?? new RelayCall(leader);
     this._call = call;
     try {
-      return await call.tell(request, this._patienceMs);
+      return await call.send(request, this._patienceMs);
     } catch (cause) {
       // Another leader may be told by now.
       if (this._call === call) this._endCall("it has failed");
--- a/src/registration/SuspicionReporter.ts
+++ b/src/registration/SuspicionReporter.ts
@@ -15,7 +15,7 @@
    * Tells control.
    * @throws ConnectError - When it may be lost.
    */
-  readonly tell: (suspicions: readonly Suspicion[]) => Promise<void>;
+  readonly send: (suspicions: readonly Suspicion[]) => Promise<void>;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -73,7 +73,7 @@
   }
 
   private async _tell(): Promise<void> {
-    const { tell, clock } = this._options;
+    const { send: tell, clock } = this._options;
     this._dueAt = Number.POSITIVE_INFINITY;
     this._calledAt = clock.getMonotonicMs();
     const suspicions = this._queue.take(this._calledAt, MAX_SUSPICIONS);
--- a/src/registration/ViewHub.ts
+++ b/src/registration/ViewHub.ts
@@ -76,7 +76,7 @@
     }
     return () => {
       this._watchers.delete(wake);
-      if (entry !== undefined) this.entries.loseEntry(this._options.clock.getMonotonicMs(), id, entry);
+      if (entry !== undefined) this.entries.disconnectEntry(this._options.clock.getMonotonicMs(), id, entry);
     };
   }
 
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -41,13 +41,13 @@
 }
 
 /** What a control process showed last, as its watcher took it over. */
-export interface ShownView {
+export interface ReceivedView {
   /** host:port of that process; "" before the first one. */
   readonly control: string;
   /** `RECOVERED_TERM` for what no leader has confirmed. */
   readonly term: number;
   /** Milliseconds since its last sign of life; infinite before the first one. */
-  readonly silenceMs: number;
+  readonly heartbeatAgeMs: number;
 }
 
 /** A leader silent for so long is given up. */
@@ -103,8 +103,8 @@
   }
 
   /** Gets which control process showed its view last, at which term and how long ago. */
-  getLastShown(now: number): ShownView {
-    return { ...this._shown, silenceMs: this.getSilenceMs(now) };
+  getReceivedView(now: number): ReceivedView {
+    return { ...this._shown, heartbeatAgeMs: this.getSilenceMs(now) };
   }
 
   /** Gets whether a control process is followed now. */
@@ -113,7 +113,7 @@
   }
 
   /** Gets whether the process that is followed shows a view as new as the one held. */
-  get isShown(): boolean {
+  get isCurrent(): boolean {
     return this._isConnected && this._pendingSince === undefined;
   }
 
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -12,10 +12,10 @@
 import type { LeaderGuard } from "../membership";
 import type { WorkMeter } from "../metrics";
 import { createLeaderRefusal } from "../rpc";
-import type { CallLedger } from "./CallLedger";
+import type { ControlCallCounter } from "./ControlCallCounter";
 import type { FleetLeadership } from "./FleetLeadership";
 import type { ViewHub } from "./ViewHub";
-import { watchView } from "./watchers";
+import { watchView } from "./watchView";
 
 /** What the routes work with. */
 export interface FleetRouteOptions {
@@ -23,7 +23,7 @@
   readonly guard: LeaderGuard<FleetLeadership>;
   readonly clock: Clock;
   readonly hub: ViewHub;
-  readonly calls: CallLedger;
+  readonly calls: ControlCallCounter;
   readonly meter: WorkMeter;
   /** Gives the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
@@ -45,10 +45,10 @@
   const takeReport = (request: ReportRequest) => {
     const answer = guard.propose(async (leadership) => {
       await relayTurns.enter();
-      const unknownInstanceIds = await leadership.addRelayed(request);
+      const unknownInstanceIds = await leadership.addRelayedReports(request);
       return { term: leadership.term, unknownInstanceIds };
     });
-    return calls.follow("relay", answer);
+    return calls.track("relay", answer);
   };
   router.service(FleetService, {
     async *watch(request, context) {
@@ -71,7 +71,7 @@
       // One that was overtaken, or comes again, changes nothing: it is not agreed on once more.
       const heldVersion = driver.machine.getDeclaration()?.version ?? 0;
       if (request.version <= heldVersion)
-        return calls.follow(
+        return calls.track(
           "declaration",
           guard.run(() => ({})),
         );
@@ -88,11 +88,11 @@
         leadership.publish();
         return {};
       });
-      return calls.follow("declaration", answer);
+      return calls.track("declaration", answer);
     },
     getDeclaration() {
       const answer = guard.run(() => ({ declaration: driver.machine.getDeclaration() }));
-      return calls.follow("declaration", answer);
+      return calls.track("declaration", answer);
     },
     suspect({ suspicions }) {
       const leadership = getLeadership();
--- a/src/registration/index.ts
+++ b/src/registration/index.ts
@@ -6,4 +6,4 @@
 export type * from "./InstanceOrders";
 export { Registrar } from "./Registrar";
 export { SuspicionReporter } from "./SuspicionReporter";
-export { type ShownView, ViewWatcher, type ViewWatcherOptions } from "./ViewWatcher";
+export { type ReceivedView, ViewWatcher, type ViewWatcherOptions } from "./ViewWatcher";
--- a/test/consensus/ConsensusModel.ts
+++ b/test/consensus/ConsensusModel.ts
@@ -27,7 +27,7 @@
   SnapshotSchema,
 } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type Command, CommandSchema, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { type Result, StateMachine } from "../../src/state";
+import { type CommandResult, StateMachine } from "../../src/state";
 import { createLife } from "../support/createLife";
 
 /** One step of a schedule; numbers are reduced to what there is. */
@@ -468,7 +468,7 @@
     this._noteWinner(entry, result);
   }
 
-  private _noteWinner(entry: LogEntry, result: Result | undefined): void {
+  private _noteWinner(entry: LogEntry, result: CommandResult | undefined): void {
     if (result?.kind !== "acceptedConfiguration") return;
     const known = this._winners.get(result.version);
     const content = describe(entry);
--- a/test/consensus/ElectionPatience.test.ts
+++ b/test/consensus/ElectionTimeout.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { ElectionPatience } from "../../src/consensus/ElectionPatience";
+import { ElectionPatience } from "../../src/consensus/ElectionTimeout";
 
 const TIMING = { heartbeatMs: 100, electionMinMs: 500, electionMaxMs: 1_000 };
 
--- a/test/consensus/MemberSeries.ts
+++ b/test/consensus/FailureSeries.ts
@@ -29,7 +29,7 @@
   type Snapshot,
   SnapshotSchema,
 } from "../../src/gen/ploverstage/v1/consensus_pb";
-import { VoterPatience } from "../../src/membership/member";
+import { JoinTimeout } from "../../src/membership/member";
 
 /** What befalls machines. */
 export const TROUBLES = [
@@ -67,7 +67,7 @@
   /** It computes or stands still until then. */
   busyUntil: number;
   leads: boolean;
-  patience: VoterPatience;
+  patience: JoinTimeout;
   asksAt: number;
   /** Names of the machines that it was told of when it started. */
   seeds: readonly string[];
@@ -307,7 +307,7 @@
       node: undefined,
       busyUntil: 0,
       leads: false,
-      patience: new VoterPatience(),
+      patience: new JoinTimeout(),
       asksAt: 0,
       seeds: [],
     };
@@ -331,7 +331,7 @@
     });
     machine.busyUntil = this._now;
     machine.leads = false;
-    machine.patience = new VoterPatience();
+    machine.patience = new JoinTimeout();
     machine.seeds = this.machines.slice(0, FOUNDERS).map(({ name }) => name);
   }
 
@@ -444,7 +444,7 @@
     machine.asksAt = this._now + JOIN_PAUSE_MS;
     const votes = isVoter(node.membership, node.id);
     const isSettling = node.leaderId !== "" || node.isElecting(this._now);
-    if (!machine.patience.isOver(this._now, votes, isSettling)) return;
+    if (!machine.patience.isExpired(this._now, votes, isSettling)) return;
     const leader = this._findLeader(machine);
     if (leader?.node === undefined || !leader.node.isEstablished() || leader.busyUntil > this._now) return;
     this._letIn(leader.node, createMember(machine.name, machine.disk.id));
--- a/test/consensus/memberSeries.test.ts
+++ b/test/consensus/memberSeries.test.ts
@@ -4,7 +4,7 @@
  */
 import { describe, expect, it } from "vitest";
 import { SeededRandom } from "../../src/consensus";
-import { type Load, MemberSeries, TROUBLES } from "./MemberSeries";
+import { type Load, MemberSeries, TROUBLES } from "./FailureSeries";
 
 const FIRST_SEED = Number(process.env.SERIES_SEED ?? 10_000);
 const RUNS = Number(process.env.SERIES_RUNS ?? 300);
--- a/test/registration/AgreedFacts.test.ts
+++ b/test/registration/CommittedFacts.test.ts
@@ -8,12 +8,12 @@
   ReplicaSchema,
 } from "../../src/gen/ploverstage/v1/state_pb";
 import { getLifeKey, type Life, parseLifeKey } from "../../src/ids";
-import { AgreedFacts, type AgreedState } from "../../src/registration/AgreedFacts";
+import { type AgreedState, CommittedFacts } from "../../src/registration/CommittedFacts";
 
 const BORN = 1_700_000_000_000;
 
 /** An agreed state of one replica a phase, in which some lives have left. */
-function createFacts(departed: readonly Life[]): AgreedFacts {
+function createFacts(departed: readonly Life[]): CommittedFacts {
   const gone = new Set(departed.map(getLifeKey));
   const state: AgreedState = {
     getDeclaration: () => create(DeclarationSchema, { version: 7 }),
@@ -27,7 +27,7 @@
     getDepartures: () => [...departed],
     hasDeparted: (life) => gone.has(getLifeKey(life)),
   };
-  return new AgreedFacts(() => state);
+  return new CommittedFacts(() => state);
 }
 
 describe("AgreedFacts", () => {
--- a/test/registration/CallLedger.test.ts
+++ b/test/registration/ControlCallCounter.test.ts
@@ -1,17 +1,17 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { TextMetrics } from "../../src/metrics";
-import { CallLedger } from "../../src/registration/CallLedger";
+import { ControlCallCounter } from "../../src/registration/ControlCallCounter";
 
 describe("CallLedger", () => {
   let lines: object[];
   let metrics: TextMetrics;
-  let ledger: CallLedger;
+  let ledger: ControlCallCounter;
 
   beforeEach(() => {
     vi.useFakeTimers();
     lines = [];
     metrics = new TextMetrics({ role: "control", name: "c" });
-    ledger = new CallLedger({ info: (line: object) => lines.push(line) } as never, metrics);
+    ledger = new ControlCallCounter({ info: (line: object) => lines.push(line) } as never, metrics);
   });
 
   afterEach(() => {
@@ -24,8 +24,8 @@
     vi.advanceTimersByTime(1_000);
     expect(lines).toEqual([]);
     for (let i = 0; i < 3; i++) ledger.addRefused("watch");
-    await expect(ledger.follow("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
-    expect(await ledger.follow("relay", Promise.resolve("told"))).toBe("told");
+    await expect(ledger.track("instance", Promise.reject(new Error("no leader")))).rejects.toThrow();
+    expect(await ledger.track("relay", Promise.resolve("told"))).toBe("told");
     vi.advanceTimersByTime(2_000);
     expect(lines).toEqual([{ event: "calls_refused", served: 1, watch: 3, instance: 1 }]);
     const text = await metrics.getText();
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -1,7 +1,7 @@
 import { create } from "@bufbuild/protobuf";
 import { beforeEach, describe, expect, it } from "vitest";
 import type { ConsensusDriver } from "../../src/consensus";
-import { KEEP_AWAY_MS, KEPT_CRASH_RECORDS } from "../../src/containment";
+import { BLOCK_MS, MAX_CRASH_RECORDS } from "../../src/containment";
 import { LogEntrySchema } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type Command, type CrashRecord, CrashRecordSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { CrashRegistry } from "../../src/registration/CrashRegistry";
@@ -48,7 +48,7 @@
     await registry.addRecords([createRecord(DIGEST, 3)]);
     await registry.addRecords([createRecord(DIGEST, 1)]);
     expect(index).toBe(1);
-    expect(machine.isProven(DIGEST)).toBe(true);
+    expect(machine.isConfirmedCause(DIGEST)).toBe(true);
 
     const view = new FleetView();
     registry.publish(view);
@@ -78,7 +78,7 @@
     }
     const shown = view.createUpdate(1, undefined, 0).crashRecords.map(({ digest }) => digest);
     expect(shown).toContain(DIGEST);
-    expect(shown.length).toBe(KEPT_CRASH_RECORDS);
+    expect(shown.length).toBe(MAX_CRASH_RECORDS);
   });
 
   it("outlasts a snapshot", async () => {
@@ -86,7 +86,7 @@
     const restored = new StateMachine(machine.encode());
     expect(restored.getCrashRecords()).toEqual(machine.getCrashRecords());
     expect(restored.crashIndex).toBe(machine.crashIndex);
-    expect([restored.isProven(DIGEST), restored.isProven(OTHER)]).toEqual([true, false]);
+    expect([restored.isConfirmedCause(DIGEST), restored.isConfirmedCause(OTHER)]).toEqual([true, false]);
   });
 
   it("leaves out an account that no entry would give, and no other with it", async () => {
@@ -111,17 +111,17 @@
     const spans: number[] = [];
     for (let i = 0; i < 3; i++) {
       const since = now;
-      while (machine.isProven(DIGEST)) {
+      while (machine.isConfirmedCause(DIGEST)) {
         now += 60_000;
-        await registry.releaseDue(now);
+        await registry.releaseDueRequests(now);
       }
       spans.push(now - since);
       const { generation, releases } = machine.getCrashRecord(DIGEST)!;
       const crash = { digest: DIGEST, generation, releases, crashes: [{ life: `again-${i}`, depth: 1 }] };
       await registry.addRecords([create(CrashRecordSchema, crash)]);
-      expect(machine.isProven(DIGEST)).toBe(true);
+      expect(machine.isConfirmedCause(DIGEST)).toBe(true);
     }
-    expect(spans).toEqual([KEEP_AWAY_MS, 6 * KEEP_AWAY_MS, 36 * KEEP_AWAY_MS]);
+    expect(spans).toEqual([BLOCK_MS, 6 * BLOCK_MS, 36 * BLOCK_MS]);
     expect(machine.getCrashRecord(OTHER)).toMatchObject({ crashes: [], releases: 0 });
   });
 });
--- a/test/registration/FleetLeadership.test.ts
+++ b/test/registration/FleetLeadership.test.ts
@@ -137,7 +137,7 @@
         },
       }),
     );
-    await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: domain, reports }));
+    await leadership.addRelayedReports(create(ReportRequestSchema, { relayAddress: domain, reports }));
   }
 
   async function pass(milliseconds: number, relaying: readonly string[]): Promise<void> {
@@ -175,7 +175,7 @@
         }),
       ),
     );
-    await leadership.addRelayed(create(ReportRequestSchema, { relayAddress: "f", reports }));
+    await leadership.addRelayedReports(create(ReportRequestSchema, { relayAddress: "f", reports }));
     await vi.advanceTimersByTimeAsync(REPORT_MS);
     expect(retired).toEqual([]);
     await pass(PRESENCE_MS * 2, DOMAINS);
--- a/test/registration/FleetRelay.test.ts
+++ b/test/registration/FleetRelay.test.ts
@@ -84,7 +84,7 @@
       isFirstStart: true,
       clock: { getMonotonicMs: () => now, getWallMs: () => now },
       logger: { info: () => {}, warn: () => {} } as never,
-      getReportPatienceMs: () => 300,
+      getReportTimeoutMs: () => 300,
     });
   });
 
--- a/test/registration/Hearing.test.ts
+++ b/test/registration/HeartbeatMonitor.test.ts
@@ -1,21 +1,21 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { Hearing } from "../../src/registration/Hearing";
+import { HeartbeatMonitor } from "../../src/registration/HeartbeatMonitor";
 
 const STARTED_AT = 10_000;
 const PRESENCE_MS = 3_000;
 
 describe("Hearing", () => {
-  let hearing: Hearing;
+  let hearing: HeartbeatMonitor;
 
   beforeEach(() => {
-    hearing = new Hearing(STARTED_AT);
+    hearing = new HeartbeatMonitor(STARTED_AT);
   });
 
   /** Looks at other processes; gives how long the leader has listened. */
   function look(now: number, ...relays: readonly (readonly [answeredAt: number, reportedAt?: number])[]) {
     const contacts = relays.map(([answeredAt, reportedAt]) => ({ answeredAt, reportedAt }));
     hearing.update(now, contacts, PRESENCE_MS);
-    return hearing.getListenedMs(now);
+    return hearing.getObservedMs(now);
   }
 
   it("counts all silence where everyone is heard, or there is nobody else", () => {
@@ -27,11 +27,11 @@
     expect(look(12_000, [11_900, 11_500], [11_900, undefined])).toBe(0);
     expect(look(12_500, [12_400, 12_300], [12_400, 12_400])).toBe(500);
     expect(look(14_000, [13_900, 13_900], [13_900, 12_400])).toBe(400);
-    expect(hearing.getSilentMs(14_000, 12_200)).toBe(200);
+    expect(hearing.getMsWithoutHeartbeat(14_000, 12_200)).toBe(200);
   });
 
   it("counts no time before the term: without a leader reports were refused", () => {
-    expect(hearing.getSilentMs(12_000, 8_000)).toBe(2_000);
+    expect(hearing.getMsWithoutHeartbeat(12_000, 8_000)).toBe(2_000);
   });
 
   it("takes no process for held up that does not answer at all", () => {
@@ -49,11 +49,11 @@
 
   it("leaves an instance absent that was silent for long before", () => {
     look(22_000, [21_900, 21_900], [21_900, 18_000]);
-    expect(hearing.getSilentMs(22_000, 11_000)).toBe(7_000);
+    expect(hearing.getMsWithoutHeartbeat(22_000, 11_000)).toBe(7_000);
   });
 
   it("counts no time twice", () => {
     for (let now = 12_000; now <= 14_000; now += 100) look(now, [now, 11_000], [now, 10_500]);
-    expect(hearing.getListenedMs(14_000)).toBe(500);
+    expect(hearing.getObservedMs(14_000)).toBe(500);
   });
 });
--- a/test/registration/IdentityChecks.test.ts
+++ b/test/registration/IdentityChecks.test.ts
@@ -93,7 +93,7 @@
   });
 
   it("asks nobody where an address is claimed once", async () => {
-    registry.addEnd(createLife("first"));
+    registry.markEnded(createLife("first"));
     await check();
     expect(asked).toEqual([]);
   });
--- a/test/registration/KnownView.test.ts
+++ b/test/registration/PersistedView.test.ts
@@ -6,10 +6,10 @@
 import { EntryEndpointSchema, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { DeclarationSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import type { Logger } from "../../src/metrics";
-import { AgreedFacts } from "../../src/registration/AgreedFacts";
+import { CommittedFacts } from "../../src/registration/CommittedFacts";
 import { FleetView } from "../../src/registration/FleetView";
 import { FollowedView, RECOVERED_TERM } from "../../src/registration/FollowedView";
-import { KnownView } from "../../src/registration/KnownView";
+import { PersistedView } from "../../src/registration/PersistedView";
 import { RelayedView } from "../../src/registration/RelayedView";
 import { ViewHub } from "../../src/registration/ViewHub";
 import { waitUntil } from "../support/waitUntil";
@@ -50,26 +50,26 @@
 
   async function waitForVersion(version: number): Promise<void> {
     await waitUntil("it is kept", async () => {
-      const { recovered } = await KnownView.open(folder, logger);
+      const { recovered } = await PersistedView.open(folder, logger);
       return recovered?.declaration?.version === version;
     });
   }
 
   it("gives after a restart what was shown last, confirmed by nobody", async () => {
-    const known = await KnownView.open(folder, logger);
+    const known = await PersistedView.open(folder, logger);
     expect(known.recovered).toBeUndefined();
     const view = createView(7, ["a", "b"]);
     known.start(() => ({ term: 3, view }), getNow);
     await waitForVersion(7);
     known.stop();
-    const { recovered } = await KnownView.open(folder, logger);
+    const { recovered } = await PersistedView.open(folder, logger);
     expect(recovered).toMatchObject({ term: RECOVERED_TERM, complete: false, removedTargetIds: [] });
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a", "b"]);
     expect(recovered?.entries?.entries).toEqual([ENTRY]);
   });
 
   it("keeps a new declaration at once, and never a view that it recovered itself", async () => {
-    const known = await KnownView.open(folder, logger);
+    const known = await PersistedView.open(folder, logger);
     let source = { term: 3, view: createView(7, ["a"]) };
     known.start(() => source, getNow);
     await waitForVersion(7);
@@ -85,22 +85,22 @@
   });
 
   it("keeps a declaration that is agreed on beside what was shown, though nobody has shown it yet", async () => {
-    const known = await KnownView.open(folder, logger);
+    const known = await PersistedView.open(folder, logger);
     known.start(() => ({ term: 3, view: createView(7, ["a"]) }), getNow);
     await waitForVersion(7);
     known.stop();
 
-    const later = await KnownView.open(folder, logger);
+    const later = await PersistedView.open(folder, logger);
     const getAgreed = () => create(DeclarationSchema, { version: 9 });
     later.start(() => undefined, getNow, getAgreed);
     await waitForVersion(9);
     later.stop();
-    const { recovered } = await KnownView.open(folder, logger);
+    const { recovered } = await PersistedView.open(folder, logger);
     expect(recovered?.targets.map((target) => target.id)).toEqual(["a"]);
   });
 
   it("keeps no declaration alone: an entry would find no target there", async () => {
-    const known = await KnownView.open(folder, logger);
+    const known = await PersistedView.open(folder, logger);
     known.start(
       () => undefined,
       getNow,
@@ -108,15 +108,15 @@
     );
     await new Promise((resolve) => setTimeout(resolve, 200));
     known.stop();
-    expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
+    expect((await PersistedView.open(folder, logger)).recovered).toBeUndefined();
   });
 
   it("takes a damaged file for none, and goes on when it can't be written", async () => {
     writeFileSync(join(folder, "view.bin"), "no view");
-    expect((await KnownView.open(folder, logger)).recovered).toBeUndefined();
+    expect((await PersistedView.open(folder, logger)).recovered).toBeUndefined();
     expect(events).toEqual(["view_not_recovered"]);
     rmSync(folder, { recursive: true });
-    const known = await KnownView.open(folder, logger);
+    const known = await PersistedView.open(folder, logger);
     const source = { term: 1, view: createView(1, []) };
     known.start(() => source, getNow);
     await waitUntil("it is told", () => events.includes("view_not_kept"));
@@ -134,7 +134,7 @@
   recovered.complete = false;
 
   let agreedVersion = 0;
-  const agreed = new AgreedFacts(() => ({
+  const agreed = new CommittedFacts(() => ({
     getDeclaration: () =>
       agreedVersion === 0 ? undefined : create(DeclarationSchema, { version: agreedVersion }),
     getReplica: () => undefined,
--- a/test/registration/PlanningFactsSource.test.ts
+++ b/test/registration/PlanningFactsSource.test.ts
@@ -2,11 +2,11 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { InstanceReportSchema, PlaceState, ReplicaPlaceSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { Hearing } from "../../src/registration/Hearing";
+import { HeartbeatMonitor } from "../../src/registration/HeartbeatMonitor";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { OrderDispatcher } from "../../src/registration/OrderDispatcher";
 import { PlanningFactsSource } from "../../src/registration/PlanningFactsSource";
-import { PresenceDoubts } from "../../src/registration/PresenceDoubts";
+import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import type { StateMachine } from "../../src/state";
 import { createLife } from "../support/createLife";
 import { createInstances, createReplica } from "../support/planning";
@@ -41,8 +41,8 @@
       machine: () => ({ hasDeparted: () => false }) as unknown as StateMachine,
       registry,
       dispatcher,
-      doubts: new PresenceDoubts(),
-      hearing: new Hearing(0),
+      doubts: new PresenceSuspicions(),
+      hearing: new HeartbeatMonitor(0),
     });
   });
 
--- a/test/registration/ShownViewLog.test.ts
+++ b/test/registration/PublishedViewLog.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { DeclarationSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { FleetView } from "../../src/registration/FleetView";
-import { ShownViewLog } from "../../src/registration/ShownViewLog";
+import { ShownViewLog } from "../../src/registration/PublishedViewLog";
 
 describe("ShownViewLog", () => {
   it("tells each change of what watchers are shown, five a second at most, the last one always", () => {
--- a/test/registration/ReplicaController.test.ts
+++ b/test/registration/ReplicaController.test.ts
@@ -3,7 +3,7 @@
 import type { ConsensusDriver } from "../../src/consensus";
 import { InstanceReportSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import type { ProbeOutcome } from "../../src/registration";
-import { Hearing } from "../../src/registration/Hearing";
+import { HeartbeatMonitor } from "../../src/registration/HeartbeatMonitor";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { ReplicaController } from "../../src/registration/ReplicaController";
 import { createInstances, createReplica } from "../support/planning";
@@ -37,7 +37,7 @@
     return new ReplicaController({
       driver: { node: { term: 1 }, machine: { getReplica: () => replica } } as unknown as ConsensusDriver,
       registry,
-      hearing: new Hearing(now),
+      hearing: new HeartbeatMonitor(now),
       orders: {
         send: () => Promise.resolve("done"),
         identify: () => Promise.resolve("itself"),
--- a/test/registration/ReportRelay.test.ts
+++ b/test/registration/ReportRelay.test.ts
@@ -28,7 +28,7 @@
   }
 
   take(now: number, { reports, signs }: RelayBatch): string[] {
-    const unknown = signs.filter((sign) => this.registry.addSign(now - sign.ageMs, sign) === "unknown");
+    const unknown = signs.filter((sign) => this.registry.addHeartbeat(now - sign.ageMs, sign) === "unknown");
     for (const report of reports) this.registry.addReport(now - report.ageMs, report);
     return unknown.map((sign) => sign.instanceId);
   }
@@ -62,7 +62,7 @@
     relay.addReport(NOW, createReport(5));
     expect(relay.addReport(NOW, createReport(4, PlaceState.OPEN))).toBe(false);
     const lost = relay.takeBatch(NOW, 100);
-    expect(relay.hasNews()).toBe(false);
+    expect(relay.hasUpdates()).toBe(false);
     relay.restoreBatch(lost);
     expect(relay.takeBatch(NOW, 100).reports[0]).toMatchObject({
       sequence: 5,
@@ -76,7 +76,7 @@
     tell(relay, new Leader(1));
     const next = new Leader(2);
     tell(relay, next, NOW + 100);
-    expect(relay.hasNews()).toBe(true);
+    expect(relay.hasUpdates()).toBe(true);
     tell(relay, next, NOW + 200);
     expect(next.registry.getInstance("i")?.reportedAt).toBe(NOW);
     tell(relay, next, NOW + 20_000);
--- a/test/registration/ServicePlanner.test.ts
+++ b/test/registration/ServicePlanner.test.ts
@@ -3,7 +3,7 @@
 import type { ConsensusDriver } from "../../src/consensus";
 import type { DeclaredService } from "../../src/declaration";
 import { InstanceReportSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
-import { Hearing } from "../../src/registration/Hearing";
+import { HeartbeatMonitor } from "../../src/registration/HeartbeatMonitor";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { ReplicaController } from "../../src/registration/ReplicaController";
 import { divideReplicas, getEngineServices } from "../../src/registration/ServicePlanner";
@@ -53,7 +53,7 @@
     const controller = new ReplicaController({
       driver: driver as unknown as ConsensusDriver,
       registry,
-      hearing: new Hearing(0),
+      hearing: new HeartbeatMonitor(0),
       orders: {
         send: () => Promise.resolve("done"),
         probe: () => Promise.resolve("present"),
--- a/test/registration/SuspicionReporter.test.ts
+++ b/test/registration/SuspicionReporter.test.ts
@@ -24,7 +24,7 @@
     answer = () => Promise.resolve();
     const clock = { getMonotonicMs: () => Date.now(), getWallMs: () => Date.now() };
     reporter = new SuspicionReporter({
-      tell: (suspicions: readonly Suspicion[]) => {
+      send: (suspicions: readonly Suspicion[]) => {
         calls.push({ at: Date.now(), targets: suspicions.map(({ targetId }) => targetId) });
         return answer();
       },
--- a/test/registration/lives.test.ts
+++ b/test/registration/incarnations.test.ts
@@ -8,7 +8,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { type InstanceReport, InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
-import { InstanceRegistry, type LifeEnd } from "../../src/registration/InstanceRegistry";
+import { type IncarnationEndReason, InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { ReportRelay } from "../../src/registration/ReportRelay";
 import { createLife } from "../support/createLife";
 
@@ -27,7 +27,7 @@
 
 describe("InstanceRegistry, with lives under one id", () => {
   it("hears a newer life at once, whatever it counts, and what the older one held is gone", () => {
-    const ends: [number, LifeEnd][] = [];
+    const ends: [number, IncarnationEndReason][] = [];
     const registry = new InstanceRegistry({ onEnd: ({ born }, ground) => ends.push([born, ground]) });
     registry.addReport(0, createReport(OLD, 100, { place: PLACE }));
     expect(registry.addReport(10, createReport(NEW, 1))).toBe("taken");
@@ -42,7 +42,7 @@
     const registry = new InstanceRegistry();
     registry.addReport(0, createReport(NEW, 1));
     expect(registry.addReport(10, createReport(OLD, 500, { place: PLACE }))).toBe("older");
-    expect(registry.addSign(20, { ...createSign(OLD, 501, 500) })).toBe("older");
+    expect(registry.addHeartbeat(20, { ...createSign(OLD, 501, 500) })).toBe("older");
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, reportedAt: 0 });
     registry.addLifeAnswer(30, createLife("i", NEW));
     expect(registry.getContenders()).toEqual([]);
@@ -72,7 +72,7 @@
     registry.addReport(0, createReport(NEW, 500));
     for (let sequence = 1; sequence <= 5; sequence++) {
       registry.addReport(sequence * 1_200, createReport(OLD, sequence));
-      registry.removeSilent(sequence * 1_200, PRESENCE_MS);
+      registry.removeExpired(sequence * 1_200, PRESENCE_MS);
     }
     expect(registry.getInstance("i")?.report.born).toBe(OLD);
     expect(registry.addReport(6_100, createReport(NEW, 501))).toBe("taken");
--- a/test/registration/outdated/SimulatedFleet.ts
+++ b/test/registration/outdated/SimulatedFleet.ts
@@ -10,12 +10,12 @@
 import { EntryEndpointSchema, type WatchRequest } from "../../../src/gen/ploverstage/v1/fleet_pb";
 import { type Declaration, DeclarationSchema } from "../../../src/gen/ploverstage/v1/state_pb";
 import { orderByAffinity } from "../../../src/registration";
-import { CallLedger } from "../../../src/registration/CallLedger";
+import { ControlCallCounter } from "../../../src/registration/ControlCallCounter";
 import { FleetRelay } from "../../../src/registration/FleetRelay";
 import { FleetView } from "../../../src/registration/FleetView";
 import { FollowedView } from "../../../src/registration/FollowedView";
 import { addFleetRoutes } from "../../../src/registration/fleetRoutes";
-import { KnownView } from "../../../src/registration/KnownView";
+import { PersistedView } from "../../../src/registration/PersistedView";
 import { ViewWatcher } from "../../../src/registration/ViewWatcher";
 import { TransportPool } from "../../../src/rpc";
 import { createMeter } from "../../support/createMeter";
@@ -54,8 +54,8 @@
   private readonly _index: number;
   private readonly _fleet: SimulatedFleet;
   private _relay: FleetRelay | undefined;
-  private _known: KnownView | undefined;
-  private _calls: CallLedger | undefined;
+  private _known: PersistedView | undefined;
+  private _calls: ControlCallCounter | undefined;
   private _leadership: { term: number; view: FleetView } | undefined;
   private _applied = 0;
   private _listeners: (() => void)[] = [];
@@ -82,7 +82,7 @@
     this._life = new AbortController();
     this._applied = 0;
     this._listeners = [];
-    const known = await KnownView.open(this.address, SILENT);
+    const known = await PersistedView.open(this.address, SILENT);
     this._known = known;
     const driver = {
       node: {
@@ -120,10 +120,10 @@
       isFirstStart: false,
       clock,
       logger: SILENT,
-      getReportPatienceMs: () => 300,
+      getReportTimeoutMs: () => 300,
     });
     this._relay = relay;
-    this._calls = new CallLedger(SILENT, METRICS);
+    this._calls = new ControlCallCounter(SILENT, METRICS);
     const router = { service: (_: unknown, routes: never) => (this._routes = routes) };
     addFleetRoutes(router as never, {
       driver,
@@ -141,7 +141,7 @@
     known.start(
       () => relay.hub.getSource(),
       () => clock.getMonotonicMs(),
-      () => relay.agreed,
+      () => relay.committedDeclaration,
     );
   }
 
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -347,7 +347,7 @@
     if (leader?.leadership === undefined) return;
     for (const controller of this._controllers) {
       if (controller.tellsUntil > this._now) continue;
-      if (!controller.relay.hasNews() && this._now % RELAY_MS !== 0) continue;
+      if (!controller.relay.hasUpdates() && this._now % RELAY_MS !== 0) continue;
       await this._tell(controller, leader);
     }
   }
@@ -365,11 +365,13 @@
     const waitMs = name === leader.name ? 0 : this.overload.getWaitMs(this._now);
     const { patienceMs } = this.overload.times;
     if (waitMs === 0) {
-      relay.addAnswer(leadership.term, await leadership.addRelayed(request));
+      relay.addAnswer(leadership.term, await leadership.addRelayedReports(request));
       return;
     }
     if (waitMs <= patienceMs || this.overload.isTakenAnyway()) {
-      this._after(waitMs, () => (leadership.isEnded ? undefined : void leadership.addRelayed(request)));
+      this._after(waitMs, () =>
+        leadership.isEnded ? undefined : void leadership.addRelayedReports(request),
+      );
     }
     controller.tellsUntil = this._now + Math.min(waitMs, patienceMs);
     this._after(Math.min(waitMs, patienceMs), () => relay.restoreBatch(batch));
--- a/test/registration/heldEntries.test.ts
+++ b/test/registration/pendingUpdates.test.ts
@@ -13,7 +13,7 @@
 import { RelayedView } from "../../src/registration/RelayedView";
 import { ViewHub } from "../../src/registration/ViewHub";
 import { ViewWatcher } from "../../src/registration/ViewWatcher";
-import { watchView } from "../../src/registration/watchers";
+import { watchView } from "../../src/registration/watchView";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
 import { waitUntil } from "../support/waitUntil";
@@ -152,7 +152,7 @@
     for (const control of controls) control.showLeader(createUpdate(4, 8, ["kept", "new"]));
     await waitUntil("it has the view", () => view.term === 4);
     expect(view.getTargets().map(({ id }) => id)).toEqual(["kept", "new"]);
-    expect(watcher.isShown).toBe(true);
+    expect(watcher.isCurrent).toBe(true);
     expect(getCalls()).toBe(calls);
   });
 
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -4,7 +4,7 @@
 import { type Replica, ReplicaPhase, ReplicaSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { LoadLimiter } from "../../src/registration/LoadLimiter";
-import { PresenceDoubts } from "../../src/registration/PresenceDoubts";
+import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import { ReplicaCloser } from "../../src/registration/ReplicaCloser";
 import { createLife } from "../support/createLife";
 
@@ -43,7 +43,7 @@
     const registry = addTwo();
     expect(registry.isInConflict("a") && registry.isInConflict("b")).toBe(true);
     expect(registry.hasEnded(createLife("a")) || registry.hasEnded(createLife("b"))).toBe(false);
-    registry.addEnd(createLife("a"));
+    registry.markEnded(createLife("a"));
     expect(registry.hasEnded(createLife("a"))).toBe(true);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.addReport(2, createReport("a", 2, { address }))).toBe("ended");
@@ -67,13 +67,13 @@
   it("forgets who is silent at a claimed address, and holds it not for ended, where nobody could be asked", () => {
     const registry = addTwo();
     const presenceMs = 3_000;
-    registry.removeSilent(1_000, presenceMs);
+    registry.removeExpired(1_000, presenceMs);
     for (let sequence = 2; sequence < 5; sequence++) {
       registry.addReport(sequence * 1_200, createReport("b", sequence, { address }));
     }
-    registry.removeSilent(3_900, presenceMs);
+    registry.removeExpired(3_900, presenceMs);
     expect(registry.getInstance("a")).toBeDefined();
-    registry.removeSilent(4_100, presenceMs);
+    registry.removeExpired(4_100, presenceMs);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.hasEnded(createLife("a"))).toBe(false);
     expect(registry.isInConflict("b")).toBe(false);
@@ -106,7 +106,9 @@
   it("lets no window have more loads than the limit", () => {
     const limiter = new LoadLimiter();
     const limit = { loads: 3, windowMs: 1_000 };
-    const taken = Array.from({ length: 40 }, (_, i) => i * 100).filter((now) => limiter.takeLoad(now, limit));
+    const taken = Array.from({ length: 40 }, (_, i) => i * 100).filter((now) =>
+      limiter.tryAddLoad(now, limit),
+    );
     expect(taken.length).toBeGreaterThan(6);
     for (const end of taken) {
       expect(taken.filter((at) => at <= end && at > end - limit.windowMs).length).toBeLessThanOrEqual(3);
@@ -116,11 +118,11 @@
 
 describe("PresenceDoubts", () => {
   it("last until the instance reports again", () => {
-    const doubts = new PresenceDoubts();
-    doubts.addDoubt(100, "a");
-    expect(doubts.isDoubted("a", 90)).toBe(true);
-    expect(doubts.isDoubted("a", 110)).toBe(false);
-    expect(doubts.isDoubted("b", 0)).toBe(false);
+    const doubts = new PresenceSuspicions();
+    doubts.addSuspicion(100, "a");
+    expect(doubts.isSuspected("a", 90)).toBe(true);
+    expect(doubts.isSuspected("a", 110)).toBe(false);
+    expect(doubts.isSuspected("b", 0)).toBe(false);
   });
 });
 
@@ -153,7 +155,7 @@
 
   it("is not over while the head may take requests", () => {
     const { closer } = setUp(false);
-    expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
   });
 
   const isHere = () => false;
@@ -165,13 +167,13 @@
     expect(due?.order.kind).toBe("leave");
     expect(due?.receiver.instanceId).toBe("head");
     left.closer.addOutcome(10, replica, due!, "done");
-    expect(left.closer.isOver(10, replica, TIMES)).toBe(true);
+    expect(left.closer.hasEnded(10, replica, TIMES)).toBe(true);
     const broken = setUp(false);
     broken.report("head", 2, PlaceState.BROKEN);
-    expect(broken.closer.isOver(10, replica, TIMES)).toBe(true);
+    expect(broken.closer.hasEnded(10, replica, TIMES)).toBe(true);
     const gone = setUp(false);
-    gone.registry.addEnd(createLife("head"));
-    expect(gone.closer.isOver(10, replica, TIMES)).toBe(true);
+    gone.registry.markEnded(createLife("head"));
+    expect(gone.closer.hasEnded(10, replica, TIMES)).toBe(true);
   });
 
   it("takes a member out of a silent head's replica at once, and waits until it must be broken", () => {
@@ -181,8 +183,8 @@
     closer.addOutcome(1_000, replica, orders[0]!, "unanswered");
     closer.addOutcome(100, replica, orders[1]!, "done");
     closer.addOutcome(200, replica, orders[2]!, "unanswered");
-    expect(closer.isOver(100 + TIMES.stallMs, replica, TIMES)).toBe(false);
-    expect(closer.isOver(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+    expect(closer.hasEnded(100 + TIMES.stallMs, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     const again = closer.getDueOrders(2_000, replica, TIMES, isHeadSilent);
     expect(again.map((due) => due.receiver.instanceId)).toEqual(["m2"]);
   });
@@ -192,17 +194,17 @@
     const isLost = (id: string) => id === "head" || id === "m2";
     const [, toMember] = closer.getDueOrders(0, replica, TIMES, isLost);
     expect(toMember?.receiver.instanceId).toBe("m1");
-    expect(closer.isOver(10, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(10, replica, TIMES)).toBe(false);
     closer.addOutcome(10, replica, toMember!, "done");
     expect(closer.getDueOrders(20, replica, TIMES, isLost)).toEqual([]);
-    expect(closer.getEndGround(20, replica, TIMES)).toBe("membersLeft");
+    expect(closer.getEndReason(20, replica, TIMES)).toBe("membersLeft");
     // A head that answers is waited for.
     const here = setUp(false);
     const [, toM1, toM2] = here.closer.getDueOrders(0, replica, TIMES, isHere);
     here.closer.addOutcome(10, replica, toM1!, "done");
     here.closer.addOutcome(10, replica, toM2!, "done");
     here.closer.getDueOrders(20, replica, TIMES, isHere);
-    expect(here.closer.isOver(20, replica, TIMES)).toBe(false);
+    expect(here.closer.hasEnded(20, replica, TIMES)).toBe(false);
   });
 
   it("tells the members that are there to leave together with the head, each once", () => {
@@ -212,7 +214,7 @@
     expect(orders.map((due) => due.receiver.instanceId)).toEqual(["head", "m1"]);
     closer.addOutcome(1_000, replica, orders[1]!, "unanswered");
     expect(closer.getDueOrders(1_000, replica, TIMES, isMemberSilent).length).toBe(1);
-    expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
   });
 
   it("takes a refused connection for no proof that the head is gone: others may still reach it", () => {
@@ -220,13 +222,13 @@
       const { closer } = setUp(drains);
       const [first] = closer.getDueOrders(0, replica, TIMES, isHere);
       closer.addOutcome(10, replica, first!, "absent");
-      expect(closer.isOver(10, replica, TIMES)).toBe(false);
+      expect(closer.hasEnded(10, replica, TIMES)).toBe(false);
       const orders = closer.getDueOrders(1_000, replica, TIMES, isHeadSilent);
       const toMember = orders.find((due) => due.receiver.instanceId !== "head")!;
       closer.addOutcome(1_010, replica, toMember, "absent");
-      expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+      expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
       closer.addOutcome(1_020, replica, toMember, "done");
-      expect(closer.isOver(1_020 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+      expect(closer.hasEnded(1_020 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     }
   });
 
@@ -244,7 +246,7 @@
     const orders = closer.getDueOrders(0, replica, TIMES, isHeadSilent);
     expect(orders.map((due) => due.order.kind)).toEqual(["leave", "leave", "leave"]);
     closer.addOutcome(100, replica, orders[1]!, "done");
-    expect(closer.isOver(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+    expect(closer.hasEnded(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     const closed = setUp(true);
     const [close] = closed.closer.getDueOrders(0, replica, TIMES, isHere);
     closed.closer.addOutcome(1_000, replica, close!, "unanswered");
--- a/test/registration/relays.test.ts
+++ b/test/registration/relays.test.ts
@@ -9,7 +9,7 @@
 import { RelayedView } from "../../src/registration/RelayedView";
 import { RelayRoster } from "../../src/registration/RelayRoster";
 import { ENTRIES_PER_TURN, ViewHub } from "../../src/registration/ViewHub";
-import { watchView } from "../../src/registration/watchers";
+import { watchView } from "../../src/registration/watchView";
 import { createMeter } from "../support/createMeter";
 
 const ADDRESSES = ["a:1", "b:1", "c:1", "d:1", "e:1"];
@@ -47,9 +47,9 @@
     const [first, second] = [createEntry("a:1"), createEntry("a:1")];
     roster.addEntry("x", first);
     roster.addEntry("x", second);
-    roster.loseEntry(0, "x", first);
+    roster.disconnectEntry(0, "x", first);
     expect(roster.getEntries(5_000)).toHaveLength(1);
-    roster.loseEntry(5_000, "x", second);
+    roster.disconnectEntry(5_000, "x", second);
     expect(roster.getEntries(5_300)).toHaveLength(1);
     const { revision } = roster;
     expect(roster.getEntries(5_301)).toHaveLength(0);
@@ -75,11 +75,11 @@
 describe("LeaderContact", () => {
   it("gives a process that just started time to find a leader, and one that lost it its patience", () => {
     const contact = new LeaderContact(1_000);
-    expect(contact.isInTouch(6_000, 100)).toBe(true);
-    expect(contact.isInTouch(6_001, 100)).toBe(false);
+    expect(contact.isRecent(6_000, 100)).toBe(true);
+    expect(contact.isRecent(6_001, 100)).toBe(false);
     contact.addContact(7_000);
-    expect(contact.isInTouch(7_100, 100)).toBe(true);
-    expect(contact.isInTouch(7_101, 100)).toBe(false);
+    expect(contact.isRecent(7_100, 100)).toBe(true);
+    expect(contact.isRecent(7_101, 100)).toBe(false);
   });
 });
 
--- a/test/registration/searches.test.ts
+++ b/test/registration/searches.test.ts
@@ -125,9 +125,9 @@
     view.apply(create(ViewUpdateSchema, { term: 3, complete: true }));
     search(await start([showNothingNewer, showNewer]), view);
     await waitUntil("it is held", () => watcher.isConnected);
-    expect(watcher.isShown).toBe(false);
+    expect(watcher.isCurrent).toBe(false);
     await waitUntil("it is told", () => view.term === 4);
-    expect(watcher.isShown).toBe(true);
+    expect(watcher.isCurrent).toBe(true);
     expect(calls).toEqual([1, 1]);
   });
 
