--- a/test/planner/Planner.property.test.ts
+++ b/test/planner/Planner.property.test.ts
@@ -32,7 +32,10 @@
   losses: fc.constantFrom([], [], [NOW - 3, NOW - 2, NOW - 1]),
 });
 
-/** Any instances; some of them in replicas of any phase, as the agreed state may have them. */
+/**
+ * Generates arbitrary instances, some of which belong to replicas of any phase, as the committed state may
+ * list them.
+ */
 const anyFacts: fc.Arbitrary<PlanningFacts> = fc
   .record({
     instances: fc.array(anyInstance, { minLength: 1, maxLength: 18 }),
@@ -65,20 +68,20 @@
     });
   });
 
-function getHeld(facts: PlanningFacts): Set<string> {
+function getAssignedIds(facts: PlanningFacts): Set<string> {
   return new Set(facts.replicas.flatMap((replica) => replica.members.map((member) => member.instanceId)));
 }
 
-function isFit(instance: InstanceFacts): boolean {
+function isUsable(instance: InstanceFacts): boolean {
   const isPresent = NOW - instance.answeredAt <= CONFIGURATION.timing.presenceWindow;
   return isPresent && !instance.isLeaving && !instance.isLoading && instance.losses.length < 3;
 }
 
 function checkForming(facts: PlanningFacts, actions: readonly Action[]): void {
-  const held = getHeld(facts);
+  const assigned = getAssignedIds(facts);
   const taken = actions.flatMap((action) => (action.kind === "formReplica" ? action.members : []));
   expect(new Set(taken).size).toBe(taken.length);
-  for (const instance of taken) expect(!held.has(instance.id) && isFit(instance)).toBe(true);
+  for (const instance of taken) expect(!assigned.has(instance.id) && isUsable(instance)).toBe(true);
   for (const action of actions) {
     if (action.kind !== "formReplica") continue;
     expect(action.members).toHaveLength(SIZE);
@@ -86,7 +89,7 @@
   }
 }
 
-function checkOne(facts: PlanningFacts, action: Action): void {
+function checkAction(facts: PlanningFacts, action: Action): void {
   if (action.kind === "releaseReplica") {
     expect(action.replica.phase).toBe(ReplicaPhase.RETIRING);
     expect(facts.isClear && facts.retiredInForce.has(action.replica.id)).toBe(true);
@@ -100,18 +103,18 @@
       expect(NOW - instance.answeredAt).toBeLessThanOrEqual(CONFIGURATION.timing.presenceWindow);
     }
   }
-  if (action.kind === "warmInstance") expect(getHeld(facts).has(action.instance.id)).toBe(false);
+  if (action.kind === "warmInstance") expect(getAssignedIds(facts).has(action.instance.id)).toBe(false);
   if (action.kind === "retireReplica") expect(action.replica.phase).not.toBe(ReplicaPhase.RETIRING);
 }
 
-describe("Planner on any facts", () => {
-  it("takes, serves, frees and warms only what may be, and retires none twice", () => {
+describe("Planner with generated facts", () => {
+  it("forms, serves, releases and loads only usable instances, and retires no replica twice", () => {
     const kinds = new Set<string>();
     const property = fc.property(anyFacts, (facts) => {
       const actions = new Planner().plan(NOW, facts, CONFIGURATION);
       for (const action of actions) {
         kinds.add(action.kind);
-        checkOne(facts, action);
+        checkAction(facts, action);
       }
       checkForming(facts, actions);
       const retired = actions.flatMap((action) =>
@@ -120,11 +123,11 @@
       expect(new Set(retired).size).toBe(retired.length);
     });
     fc.assert(property, { seed: SEED, numRuns: 3_000 });
-    // Facts that never lead to a decision would hold anything.
+    // Without decisions of every kind, the checks above would pass vacuously.
     expect([...kinds].sort()).toEqual(KINDS);
   });
 
-  it("decides the same on the same facts", () => {
+  it("returns the same actions for the same facts", () => {
     const property = fc.property(anyFacts, (facts) => {
       const [first, second] = [new Planner(), new Planner()].map((each) =>
         each.plan(NOW, facts, CONFIGURATION),
