--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -203,7 +203,7 @@
     metrics,
     onWake: () => {
       server.endExpired();
-      client.dropIdle();
+      client.closeIdle();
       watcher.restart();
     },
   });
--- a/src/http/Connections.ts
+++ b/src/http/Connections.ts
@@ -47,7 +47,7 @@
   }
 
   /** Adds `Connection: close` to all responses from now on. */
-  announceEnd(): void {
+  announceClose(): void {
     this._isClosing = true;
   }
 
@@ -57,8 +57,8 @@
    * @param maxAcceptMs - Maximum time to keep accepting callers that connect without a pause, in
    * milliseconds.
    */
-  async end(maxAcceptMs: number): Promise<void> {
-    this.announceEnd();
+  async drain(maxAcceptMs: number): Promise<void> {
+    this.announceClose();
     await this._acceptPending(this._getNow() + maxAcceptMs);
     // The close method of the HTTP server would close idle connections at once and lose the requests on their
     // way to them.
--- a/src/http/HttpClient.ts
+++ b/src/http/HttpClient.ts
@@ -62,7 +62,7 @@
   }
 
   /** Closes idle connections. After a suspension of this process, servers may already have closed them. */
-  dropIdle(): void {
+  closeIdle(): void {
     for (const sockets of Object.values(this._agent.freeSockets)) {
       for (const socket of [...(sockets ?? [])]) socket.destroy();
     }
--- a/src/http/JsonServer.ts
+++ b/src/http/JsonServer.ts
@@ -55,7 +55,7 @@
    * closed.
    */
   async stop(): Promise<void> {
-    await Promise.race([this._connections.end(MAX_ACCEPT_MS), pause(MAX_STOP_MS)]);
+    await Promise.race([this._connections.drain(MAX_ACCEPT_MS), pause(MAX_STOP_MS)]);
     this._server.close();
     this._server.closeAllConnections();
   }
--- a/src/planner/RepairPolicy.ts
+++ b/src/planner/RepairPolicy.ts
@@ -27,7 +27,7 @@
 }
 
 /** Always waits for the maximum time. Serves as a baseline. */
-export class WaitingRepair implements RepairPolicy {
+export class LongestWaitRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
   getWaitMs(facts: RepairFacts): number {
@@ -60,7 +60,7 @@
 ];
 
 /** Waits for the time that minimises the expected outage. */
-export class ExpectedRepair implements RepairPolicy {
+export class LeastOutageRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
   /** Gets the wait with the shortest expected outage; of equal ones, the shorter wait. */
--- a/src/planner/facts.ts
+++ b/src/planner/facts.ts
@@ -63,11 +63,11 @@
   /** Replicas of the committed state that are not released. */
   readonly replicas: readonly Replica[];
   /** Whether all leases of earlier leaders have expired, so that instances may be moved. */
-  readonly isClear: boolean;
+  readonly areOldLeasesExpired: boolean;
   /** Retiring replicas that no lease allows any more. */
   readonly retiredInForce: ReadonlySet<string>;
   /** Retiring replicas whose drain time has ended. */
-  readonly drained: ReadonlySet<string>;
+  readonly drainedReplicas: ReadonlySet<string>;
   /** Requests in flight by replica, as reported by live entries. */
   readonly inFlight: ReadonlyMap<string, number>;
   /** Recent absences of instances that have returned or been abandoned. */
--- a/src/routing/AdmissionQueue.ts
+++ b/src/routing/AdmissionQueue.ts
@@ -26,7 +26,7 @@
 }
 
 /** The reason why a ticket was refused, and the time after which the caller may retry. */
-export interface Refused {
+export interface AdmissionRefusal {
   readonly reason: "queueFull" | "infeasible" | "expired";
   readonly retryAfterMs: number;
 }
@@ -81,7 +81,7 @@
    * Gets the refusal for a ticket that cannot be answered before its deadline; `undefined` for a feasible
    * one.
    */
-  getInfeasibility(now: number, ticket: Ticket): Refused | undefined {
+  getInfeasibility(now: number, ticket: Ticket): AdmissionRefusal | undefined {
     const serviceMs = this._getOrAddTarget(ticket.target).rate.getServiceMs(ticket.cost);
     const lateMs = now + this.getWaitMs(ticket) + serviceMs - ticket.deadlineAt;
     return lateMs > 0 ? this._createRefusal("infeasible", lateMs) : undefined;
@@ -92,7 +92,7 @@
    * @param maxLength - Maximum number of queued tickets.
    * @returns The refusal; `undefined` when the ticket was added.
    */
-  add(ticket: Ticket, maxLength: number): Refused | undefined {
+  add(ticket: Ticket, maxLength: number): AdmissionRefusal | undefined {
     if (this._length >= maxLength) return this._createRefusal("queueFull", this.getWaitMs(ticket));
     const level = this._getOrAddLevel(ticket);
     const queue = getOrAddOrganisationQueue(level, ticket);
@@ -133,8 +133,8 @@
   }
 
   /** Removes and returns tickets that can no longer be answered before their deadline. */
-  takeExpired(now: number): { ticket: Ticket; refused: Refused }[] {
-    const expired: { ticket: Ticket; refused: Refused }[] = [];
+  takeExpired(now: number): { ticket: Ticket; refused: AdmissionRefusal }[] {
+    const expired: { ticket: Ticket; refused: AdmissionRefusal }[] = [];
     for (const [name, target] of this._targets) {
       for (const level of target.levels.values()) {
         for (const queue of level.organisations.values()) {
@@ -191,7 +191,7 @@
     return undefined;
   }
 
-  private _createRefusal(reason: Refused["reason"], ms: number): Refused {
+  private _createRefusal(reason: AdmissionRefusal["reason"], ms: number): AdmissionRefusal {
     return { reason, retryAfterMs: Math.max(MIN_RETRY_MS, ms > 0 ? ms : DEFAULT_RETRY_MS) };
   }
 
--- a/src/routing/Placement.ts
+++ b/src/routing/Placement.ts
@@ -43,7 +43,7 @@
  * Chooses the candidate with the least work: queued tokens plus prefill, less the prefill that a cached
  * prefix saves.
  */
-export class WeighedPlacement implements Placement {
+export class LeastWorkPlacement implements Placement {
   private readonly _reuseWeight: number;
   private readonly _sampleSize: number;
 
--- a/src/routing/PrefixTable.ts
+++ b/src/routing/PrefixTable.ts
@@ -67,7 +67,7 @@
   }
 
   /** Gets the number of leading characters of a prompt that a replica has probably cached. */
-  getHeldCharacters(replicaId: string, digests: PrefixDigests): number {
+  getCachedCharacters(replicaId: string, digests: PrefixDigests): number {
     const prefixes = this._replicas.get(replicaId);
     if (prefixes === undefined) return 0;
     for (let blocks = digests.length; blocks > 0; blocks--) {
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -294,11 +294,11 @@
     it("waits for leases that may still allow the replica", () =>
       doTest({ ...base, retiredInForce: new Set() }, none));
     it("waits until the leases of earlier leaders have expired", () =>
-      doTest({ ...base, isClear: false }, none));
+      doTest({ ...base, areOldLeasesExpired: false }, none));
     it("waits for requests in flight", () => doTest({ ...base, inFlight: new Map([[replica.id, 1]]) }, none));
     it("waits for requests no longer than the drain time", () =>
       doTest(
-        { ...base, inFlight: new Map([[replica.id, 1]]), drained: new Set([replica.id]) },
+        { ...base, inFlight: new Map([[replica.id, 1]]), drainedReplicas: new Set([replica.id]) },
         none,
         "release g-1",
       ));
