--- a/src/control/ControlProcess.ts
+++ b/src/control/ControlProcess.ts
@@ -1,7 +1,7 @@
 /**
- * A control process: one member of the agreed state, and the planner while it leads.
+ * A control process: one consensus member, which also runs the planner while it is the leader.
  *
- * Built as an Effect with a scope: what is started is stopped in the opposite order.
+ * Built as an Effect with a scope: closing the scope stops the parts in reverse order of their start.
  */
 import { createClient } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
@@ -36,27 +36,27 @@
 import { PatchCache } from "./PatchCache";
 import { addEntryRoutes, addOperatorRoutes } from "./routes";
 
-/** Secrets as read from their files. */
+/** Shared secrets, read from their files. */
 export interface ControlSecrets {
   readonly cluster: string;
   readonly operator: string;
   readonly order: string;
 }
 
-/** What a control process is started with. */
+/** Options of a control process. */
 export interface ControlProcessOptions {
   readonly settings: ControlSettings;
   readonly secrets: ControlSecrets;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called once when the process can't go on. */
+  /** Called once when the process can't continue. */
   readonly onFatal: (cause: unknown) => void;
 }
 
-const CONNECT_MS = 1_000;
-const HAND_OVER_MS = 500;
+const CONNECT_TIMEOUT_MS = 1_000;
+const TRANSFER_TIMEOUT_MS = 500;
 
-/** Starts a control process; it runs until its scope is closed. */
+/** Starts a control process, which runs until its scope is closed. */
 export function startControlProcess(
   options: ControlProcessOptions,
 ): Effect.Effect<ConsensusDriver, unknown, Scope.Scope> {
@@ -81,7 +81,7 @@
       onFatal: options.onFatal,
     });
     const configurations = new ConfigurationCache(() => driver.machine);
-    const watch = yield* createWatch(options, driver, clock, configurations);
+    const watch = yield* createLeadershipWatch(options, driver, clock, configurations);
     const guard = new LeaderGuard(driver, () => watch.getLeadership());
     const patches = new PatchCache(() => driver.machine);
     const routes = { driver, guard, clock, configurations, patches };
@@ -100,7 +100,7 @@
       Effect.sync(() => driver.start()),
       () => Effect.promise(() => driver.stop()),
     );
-    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(HAND_OVER_MS)));
+    yield* Effect.addFinalizer(() => Effect.promise(() => driver.transferLeadership(TRANSFER_TIMEOUT_MS)));
     yield* Effect.forkScoped(createJoin(options, driver, clock, transports));
     options.logger.info({ event: "control_started", member: driver.node.id, term: stored.hardState.term });
     return driver;
@@ -108,17 +108,17 @@
 }
 
 /**
- * Makes the data folder of one of the first members.
- * @throws ForeignData - When the folder is in use, or a peer holds state already: then
- * this member must join, since it may have voted before it lost its disk.
+ * Creates the data folder of one of the first members.
+ * @throws ForeignData - When the folder is in use, or a peer already has committed state. In that case this
+ * member must join, since it may have voted before it lost its disk.
  */
 export async function initializeDataFolder(settings: ControlSettings, clusterSecret: string): Promise<void> {
   const { dataFolder, peers } = settings.control;
   for (const peer of peers) {
-    if (peer.name !== settings.process.name && (await holdsState(peer.address, clusterSecret))) {
+    if (peer.name !== settings.process.name && (await hasCommittedState(peer.address, clusterSecret))) {
       throw new ForeignData({
         folder: dataFolder,
-        reason: `${peer.name} holds agreed state; start without init to join`,
+        reason: `${peer.name} already has committed state; start without init to join`,
       });
     }
   }
@@ -129,20 +129,23 @@
   await FileStorage.create(dataFolder, getFirstId(settings.process.name), snapshot);
 }
 
-async function holdsState(address: string, secret: string): Promise<boolean> {
+async function hasCommittedState(address: string, secret: string): Promise<boolean> {
   const client = createClient(ConsensusService, createRpcTransport(address, secret));
-  const identity = await client.identity({}, { timeoutMs: CONNECT_MS }).catch(() => undefined);
+  const identity = await client.identity({}, { timeoutMs: CONNECT_TIMEOUT_MS }).catch(() => undefined);
   return identity !== undefined && identity.lastIndex > 0;
 }
 
-/** What this process's settings say of a peer wins over what the members agreed on. */
+/**
+ * Gets a peer's address from the settings, which take precedence over the address in the committed
+ * membership.
+ */
 function getPeerAddress(settings: ControlSettings, memberId: MemberId): string | undefined {
   const name = memberId.slice(0, memberId.lastIndexOf("."));
   return settings.control.peers.find((peer) => peer.name === name)?.address;
 }
 
-/** Makes what this process holds while it leads. */
-function createWatch(
+/** Creates the watch that starts a `Leadership` each time this process becomes leader. */
+function createLeadershipWatch(
   { settings, secrets, logger, metrics }: ControlProcessOptions,
   driver: ConsensusDriver,
   clock: SystemClock,
@@ -158,8 +161,8 @@
         client,
         address,
         orderSecret: secrets.order,
-        connectMs: CONNECT_MS,
-        getIdleMs: () => CONNECT_MS,
+        connectMs: CONNECT_TIMEOUT_MS,
+        getIdleMs: () => CONNECT_TIMEOUT_MS,
       });
     const platform = new HttpInstanceSource(client, settings.platform.address);
     const createLeadership = () =>
@@ -181,7 +184,10 @@
   );
 }
 
-/** Gets what this process joins the members with; settings name itself and all others. */
+/**
+ * Creates the effect that joins this process to the consensus members; the settings list it and all its
+ * peers.
+ */
 function createJoin(
   { settings, logger }: ControlProcessOptions,
   driver: ConsensusDriver,
--- a/src/control/EntryRegistry.ts
+++ b/src/control/EntryRegistry.ts
@@ -1,26 +1,26 @@
-/** What the leader knows of the entries from their renewals. Pure. */
+/** Stores the latest lease renewal of each entry for the leader. Performs no I/O. */
 import type { RenewRequest } from "../gen/ploverstage/v1/control_pb";
 import { EntryId } from "../ids";
 import type { LeaseTable } from "../leases";
 
-/** Entries and what they last told. */
+/** The latest renewal of each entry. */
 export class EntryRegistry {
   private readonly _renewals = new Map<EntryId, RenewRequest>();
 
-  /** Notes a renewal. */
+  /** Stores an entry's renewal in place of its previous one. */
   addRenewal(renewal: RenewRequest): void {
     this._renewals.set(EntryId(renewal.entryId), renewal);
   }
 
-  /** Gets the last renewals of entries whose lease runs. */
-  getLive(now: number, leases: LeaseTable): RenewRequest[] {
+  /** Gets the latest renewals of the entries whose leases are valid. */
+  getLiveRenewals(now: number, leases: LeaseTable): RenewRequest[] {
     return leases.getLiveHolders(now).flatMap((holder) => this._renewals.get(holder.entryId) ?? []);
   }
 
-  /** Gets requests in flight by replica over live entries. */
+  /** Gets the number of requests in flight per replica id, summed over the entries with valid leases. */
   getInFlight(now: number, leases: LeaseTable): Map<string, number> {
     const counts = new Map<string, number>();
-    for (const renewal of this.getLive(now, leases)) {
+    for (const renewal of this.getLiveRenewals(now, leases)) {
       for (const item of renewal.inFlight) {
         counts.set(item.replicaId, (counts.get(item.replicaId) ?? 0) + item.requests);
       }
@@ -29,24 +29,24 @@
   }
 
   /**
-   * Gets an entry's part of every endpoint's limit.
+   * Gets an entry's share of every endpoint's concurrency limit, between 0 and 1.
    *
-   * Half is split evenly, so that an idle entry can start at once; half follows the
-   * work that entries hold, so that uneven callers don't leave endpoints idle.
+   * Half of the limit is split evenly, so that an idle entry can start requests at once. The other half is
+   * split by the queued and running requests of each entry, so that uneven load doesn't leave endpoints idle.
    */
   getConcurrencyShare(now: number, leases: LeaseTable, entryId: string): number {
-    const live = this.getLive(now, leases).filter(
+    const live = this.getLiveRenewals(now, leases).filter(
       (renewal) => !renewal.stopping || renewal.entryId === entryId,
     );
     if (live.length === 0) return 1;
-    const total = live.reduce((sum, renewal) => sum + getDemand(renewal), 0);
-    const own = live.find((renewal) => renewal.entryId === entryId);
-    const even = 1 / live.length;
-    if (total === 0 || own === undefined) return even;
-    return 0.5 * even + 0.5 * (getDemand(own) / total);
+    const totalDemand = live.reduce((sum, renewal) => sum + getDemand(renewal), 0);
+    const ownRenewal = live.find((renewal) => renewal.entryId === entryId);
+    const evenShare = 1 / live.length;
+    if (totalDemand === 0 || ownRenewal === undefined) return evenShare;
+    return 0.5 * evenShare + 0.5 * (getDemand(ownRenewal) / totalDemand);
   }
 
-  /** Forgets entries that hold no lease any more. */
+  /** Removes the entries that no longer have a lease. */
   removeUnleased(now: number, leases: LeaseTable): void {
     const live = new Set(leases.getLiveHolders(now).map((holder) => holder.entryId));
     for (const entryId of this._renewals.keys()) {
--- a/src/control/InstanceMonitor.ts
+++ b/src/control/InstanceMonitor.ts
@@ -1,11 +1,11 @@
-/** Asks the platform which instances there are, and each engine whether it is there. */
+/** Polls the platform for its list of instances, and each engine for its presence. */
 import type { Clock } from "../clock";
 import type { Instance, InstanceSource } from "../discovery";
 import type { Engine } from "../engine";
 import type { InstanceId } from "../ids";
 import { type EngineFactory, PresenceProber, type PresenceTable } from "../presence";
 
-/** What a monitor works with. */
+/** Options of an instance monitor. */
 export interface InstanceMonitorOptions {
   readonly platform: InstanceSource;
   readonly createEngine: EngineFactory;
@@ -14,7 +14,7 @@
   readonly onPlatformFailure: (cause: unknown) => void;
 }
 
-/** The instances and their presence, as the leader sees them. */
+/** The instances and their presence, as observed by the leader. */
 export class InstanceMonitor {
   private readonly _options: InstanceMonitorOptions;
   private readonly _prober: PresenceProber;
@@ -22,35 +22,33 @@
   private _isListing = false;
   private _hasList = false;
 
-  /**
-   * @param options - InstanceSource, engine factory and clock.
-   */
+  /** @param options - Instance source, engine factory and clock. */
   constructor(options: InstanceMonitorOptions) {
     this._options = options;
     this._prober = new PresenceProber(options.createEngine, options.clock);
   }
 
-  /** Gets presence of the engines. */
+  /** Gets the presence of the engines. */
   get presence(): PresenceTable {
     return this._prober.presence;
   }
 
-  /** Checks whether the platform has given its list since the monitor began. */
+  /** Checks whether the platform has returned its list at least once. */
   hasList(): boolean {
     return this._hasList;
   }
 
-  /** Gets all listed instances. */
+  /** Gets all instances of the platform's last list. */
   getInstances(): readonly Instance[] {
     return this._instances;
   }
 
-  /** Gets the engine interface of an instance. */
+  /** Gets the client of an instance's engine; `undefined` if the instance is not listed. */
   getEngine(id: InstanceId): Engine | undefined {
     return this._prober.getEngine(id);
   }
 
-  /** Asks the platform for its list, unless it is being asked. */
+  /** Requests the platform's list, unless a request is already in progress. */
   async refreshInstances(timeoutMs: number): Promise<void> {
     if (this._isListing) return;
     this._isListing = true;
@@ -65,7 +63,7 @@
     }
   }
 
-  /** Asks every engine that is not being asked. */
+  /** Probes every engine that has no probe in progress. */
   probeInstances(timeoutMs: number): void {
     this._prober.probe(timeoutMs);
   }
--- a/src/control/Leadership.ts
+++ b/src/control/Leadership.ts
@@ -1,8 +1,8 @@
 /**
- * Everything that a control process holds only while it leads, made anew each term.
+ * The state and timers that a control process has only while it is the leader, created again for each term.
  *
- * Each step confirms the leadership with a majority, then plans on the facts and
- * carries the plan out: changes of replicas through the log, loads by fenced orders.
+ * Each planning step confirms the leadership with a majority, then plans on the current facts and executes
+ * the plan: replica changes through the log, model loads by fenced orders.
  */
 import { BurnStore, getMinute } from "../burn";
 import type { Clock } from "../clock";
@@ -30,7 +30,7 @@
 import { InstanceMonitor } from "./InstanceMonitor";
 import { LossLedger } from "./LossLedger";
 
-/** What a leadership works with. */
+/** Options of a leadership. */
 export interface LeadershipOptions {
   readonly driver: ConsensusDriver;
   readonly platform: InstanceSource;
@@ -43,36 +43,34 @@
 
 const PLATFORM_TIMEOUT_MS = 1_000;
 const ORDER_TIMEOUT_MS = 2_000;
-const STEP_MS = 200;
-/** Presence windows after which a new leader trusts what it has not heard. */
+const STEP_INTERVAL_MS = 200;
+/** Number of presence windows after which a new leader counts an instance without an answer as absent. */
 const WARM_UP_WINDOWS = 2;
 
-/** One term of leadership at work. */
+/** The work of the leader during one term. */
 export class Leadership {
-  /** The term that it belongs to. */
+  /** The consensus term. */
   readonly term: number;
-  /** Leases given in this term. */
+  /** Leases granted in this term. */
   readonly leases: LeaseTable;
-  /** Entries and what they last told. */
+  /** The latest renewal of each entry. */
   readonly entries = new EntryRegistry();
-  /** Instances and their presence. */
+  /** The listed instances and their presence. */
   readonly monitor: InstanceMonitor;
   /** Downtime and stranded accelerators since the term began. */
   readonly ledger: LossLedger;
-  /** Service-level windows of the entries. */
+  /** Service-level windows reported by the entries. */
   readonly burn = new BurnStore();
   private readonly _options: LeadershipOptions;
   private readonly _planner = new Planner();
   private readonly _startedAt: number;
-  private readonly _ordering = new Set<InstanceId>();
+  private readonly _pendingOrders = new Set<InstanceId>();
   private readonly _retiringSince = new Map<string, number>();
   private readonly _timers: NodeJS.Timeout[] = [];
   private _isStepping = false;
   private _isEnded = false;
 
-  /**
-   * @param options - Driver, platform, clock and reporting.
-   */
+  /** @param options - Driver, platform, clock, log and metrics. */
   constructor(options: LeadershipOptions) {
     const now = options.clock.getMonotonicMs();
     this._options = options;
@@ -93,29 +91,31 @@
   start(): void {
     void this.monitor.refreshInstances(PLATFORM_TIMEOUT_MS);
     this._timers.push(
-      setInterval(() => void this.monitor.refreshInstances(PLATFORM_TIMEOUT_MS), STEP_MS * 2),
+      setInterval(() => void this.monitor.refreshInstances(PLATFORM_TIMEOUT_MS), STEP_INTERVAL_MS * 2),
     );
-    this._timers.push(setInterval(() => void this._stepSafely(), STEP_MS));
+    this._timers.push(setInterval(() => void this._runStep(), STEP_INTERVAL_MS));
     this._scheduleProbe();
   }
 
-  /** Ends probing and planning. */
+  /** Stops probing and planning. */
   end(): void {
     this._isEnded = true;
     for (const timer of this._timers) clearTimeout(timer);
   }
 
-  /** Checks whether what was not heard may be taken as absent. */
+  /**
+   * Checks whether the leader has probed for long enough to count an instance without an answer as absent.
+   */
   isWarm(now: number, configuration: Configuration): boolean {
     const warmUpMs = configuration.timing.presenceWindow * WARM_UP_WINDOWS;
     return this.monitor.hasList() && now - this._startedAt > warmUpMs;
   }
 
-  /** Gets the facts as they stand. */
+  /** Gets the facts on which the planner decides. */
   getFacts(now: number, configuration: Configuration): PlanningFacts {
     const replicas = this._options.driver.machine.getReplicas();
     const retiring = replicas.filter((replica) => replica.phase === ReplicaPhase.RETIRING);
-    this._noteRetiring(now, retiring);
+    this._updateRetiring(now, retiring);
     return {
       instances: this._getInstanceFacts(configuration),
       replicas,
@@ -137,7 +137,7 @@
 
   private _scheduleProbe(): void {
     const configuration = this._options.configurations.getNewest();
-    const probeMs = configuration?.timing.probe ?? STEP_MS;
+    const probeMs = configuration?.timing.probe ?? STEP_INTERVAL_MS;
     if (this._isEnded) return;
     this.monitor.probeInstances(configuration?.timing.presenceWindow ?? PLATFORM_TIMEOUT_MS);
     const timer = setTimeout(() => {
@@ -147,7 +147,7 @@
     this._timers.push(timer);
   }
 
-  private _noteRetiring(now: number, retiring: readonly Replica[]): void {
+  private _updateRetiring(now: number, retiring: readonly Replica[]): void {
     const ids = new Set(retiring.map((replica) => replica.id));
     for (const id of this._retiringSince.keys()) {
       if (!ids.has(id)) this._retiringSince.delete(id);
@@ -178,13 +178,13 @@
           isReady: state?.isReady ?? false,
           model: state?.model ?? "",
           modelVersion: state?.modelVersion ?? "",
-          isLoading: this._ordering.has(instance.id) || isJoining,
+          isLoading: this._pendingOrders.has(instance.id) || isJoining,
           losses,
         };
       });
   }
 
-  private async _stepSafely(): Promise<void> {
+  private async _runStep(): Promise<void> {
     if (this._isStepping || this._isEnded) return;
     this._isStepping = true;
     try {
@@ -202,16 +202,16 @@
     await this._options.driver.confirmLeadership();
     if (this._isEnded) return;
     const now = this._options.clock.getMonotonicMs();
-    this._forgetOld(now, configuration);
+    this._removeExpired(now, configuration);
     if (!this.isWarm(now, configuration)) return;
     const facts = this.getFacts(now, configuration);
     this.ledger.account(now, facts, configuration);
     this._reportLosses();
     const actions = this._planner.plan(now, facts, configuration);
-    await Promise.all(actions.map((action) => this._carryOut(action, configuration)));
+    await Promise.all(actions.map((action) => this._execute(action, configuration)));
   }
 
-  private _forgetOld(now: number, configuration: Configuration): void {
+  private _removeExpired(now: number, configuration: Configuration): void {
     const { presenceWindow, lease } = configuration.timing;
     this.monitor.presence.update(now, presenceWindow, configuration.planning.maxWait);
     this.leases.removeExpired(now, lease);
@@ -227,7 +227,7 @@
     }
   }
 
-  private async _carryOut(action: Action, configuration: Configuration): Promise<void> {
+  private async _execute(action: Action, configuration: Configuration): Promise<void> {
     switch (action.kind) {
       case "formReplica":
         return this._formReplica(action.group, action.members, action.reason, configuration);
@@ -308,22 +308,28 @@
     });
   }
 
-  /** Stays in the instance's own epoch: it belongs to no replica, and any forming is newer. */
+  /**
+   * Loads a model into an instance that belongs to no replica. The order has the instance's own epoch, so
+   * that an order of any later replica is newer.
+   */
   private _warmInstance({ instance, model, modelVersion, adapters }: WarmInstanceAction): void {
     const standby = { replicaId: ReplicaId(""), epoch: instance.epoch, members: [], rank: 0 };
     this._sendOrder(instance, { ...standby, model, modelVersion, adapters });
   }
 
-  /** Not awaited: a silent instance must not hold up the others' orders. */
+  /**
+   * Sends an order without waiting for the answer, so that an unresponsive instance does not delay other
+   * orders.
+   */
   private _sendOrder(instance: InstanceFacts, order: EngineOrder): void {
     const engine = this.monitor.getEngine(instance.id);
     if (engine === undefined) return;
-    this._ordering.add(instance.id);
+    this._pendingOrders.add(instance.id);
     engine
       .sendOrder(order, ORDER_TIMEOUT_MS)
       .catch((cause: unknown) =>
         this._options.logger.warn({ event: "order_failed", instance: instance.id, reason: String(cause) }),
       )
-      .finally(() => this._ordering.delete(instance.id));
+      .finally(() => this._pendingOrders.delete(instance.id));
   }
 }
--- a/src/control/LossLedger.ts
+++ b/src/control/LossLedger.ts
@@ -1,15 +1,15 @@
 /**
- * Group downtime and stranded accelerators, the two measures that users weigh.
+ * Accounts group downtime and stranded accelerators, the two measures of lost capacity.
  *
- * Group downtime counts, per model, one second for each second of each replica that
- * is wanted and can't serve. A stranded accelerator is healthy, present, and in no
- * serving replica. Both are added up by cause and failure domain.
+ * Group downtime counts, per model, one second for each second in which one configured replica can't serve. A
+ * stranded accelerator is healthy, present and in no serving replica. Both are summed by cause and failure
+ * domain.
  */
 import type { Configuration } from "../configuration";
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { InstanceFacts, PlanningFacts } from "../planner";
 
-/** Seconds lost, of one model, failure domain and cause. */
+/** Lost seconds of one model, failure domain and cause. */
 export interface Loss {
   readonly model: string;
   readonly failureDomain: string;
@@ -18,7 +18,7 @@
   strandedAcceleratorS: number;
 }
 
-/** Why an instance is stranded. */
+/** The reason for which an instance is stranded. */
 export type StrandedReason =
   | "absent"
   | "leaving"
@@ -30,24 +30,21 @@
 
 const SHORTAGE_CAUSE = "no instances to form it";
 
-/** Losses since the ledger began. */
+/** Losses since the ledger was created. */
 export class LossLedger {
   private readonly _losses = new Map<string, Loss>();
   private _accountedAt: number;
 
-  /**
-   * @param now - Monotonic milliseconds.
-   */
+  /** @param now - Monotonic time in milliseconds. */
   constructor(now: number) {
     this._accountedAt = now;
   }
 
-  /** Gets all losses. */
   getLosses(): Loss[] {
     return [...this._losses.values()];
   }
 
-  /** Adds the time since the last call, as the facts stand now. */
+  /** Adds the time since the last call, all of it attributed according to the given facts. */
   account(now: number, facts: PlanningFacts, configuration: Configuration): void {
     const seconds = Math.max(0, now - this._accountedAt) / 1_000;
     this._accountedAt = now;
@@ -92,15 +89,15 @@
 
   private _getLoss(model: string, failureDomain: string, cause: string): Loss {
     const key = `${model}/${failureDomain}/${cause}`;
-    const known = this._losses.get(key);
-    if (known !== undefined) return known;
+    const existing = this._losses.get(key);
+    if (existing !== undefined) return existing;
     const loss: Loss = { model, failureDomain, cause, groupDowntimeS: 0, strandedAcceleratorS: 0 };
     this._losses.set(key, loss);
     return loss;
   }
 }
 
-/** Gets ids of a replica's instances that are absent or not in its epoch. */
+/** Gets the ids of a replica's instances that are absent, not ready or not in its epoch. */
 export function getAbsentInstances(
   now: number,
   replica: Replica,
@@ -118,8 +115,8 @@
 }
 
 /**
- * Gets why an instance is in no serving replica.
- * @returns `undefined` when it is in one.
+ * Gets the reason for which an instance is in no serving replica.
+ * @returns `undefined` when the instance is in a serving replica.
  */
 export function getStrandedReason(
   now: number,
@@ -132,7 +129,7 @@
   const replica = facts.replicas.find((candidate) =>
     candidate.members.some((member) => member.instanceId === instance.id),
   );
-  if (replica === undefined) return getFreeReason(facts, configuration);
+  if (replica === undefined) return getUnassignedReason(facts, configuration);
   if (replica.phase === ReplicaPhase.FORMING) return "loading";
   if (replica.phase === ReplicaPhase.RETIRING) return "replica is retiring";
   return isServing(now, replica, facts, configuration) ? undefined : "replica is missing an instance";
@@ -148,9 +145,9 @@
   return getAbsentInstances(now, replica, facts, configuration).length === 0;
 }
 
-function getFreeReason(facts: PlanningFacts, configuration: Configuration): StrandedReason {
-  const isShort = configuration.groups.some(
+function getUnassignedReason(facts: PlanningFacts, configuration: Configuration): StrandedReason {
+  const isGroupIncomplete = configuration.groups.some(
     (group) => facts.replicas.filter((replica) => replica.group === group.name).length < group.replicas,
   );
-  return isShort ? "too few free instances in its fabric domain" : "no group wants it";
+  return isGroupIncomplete ? "too few free instances in its fabric domain" : "no group wants it";
 }
--- a/src/control/routes/entryRoutes.ts
+++ b/src/control/routes/entryRoutes.ts
@@ -1,4 +1,6 @@
-/** Serves entries: leases with what must be in force under them, and claims. */
+/**
+ * Serves entries: renews their leases, sends them the view that is valid under the lease, and grants claims.
+ */
 import { create } from "@bufbuild/protobuf";
 import type { ConnectRouter } from "@connectrpc/connect";
 import type { Clock } from "../../clock";
@@ -18,7 +20,7 @@
 import { getAbsentInstances } from "../LossLedger";
 import type { PatchCache } from "../PatchCache";
 
-/** What entry routes work with. */
+/** Options of the entry routes. */
 export interface EntryRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<Leadership>;
@@ -41,7 +43,7 @@
         if (result?.kind !== "existingClaim") return { granted: result?.kind === "grantedClaim" };
         return {
           granted: false,
-          existing: describeExisting(leadership, result.claim, clock.getMonotonicMs()),
+          existing: getReportedClaim(leadership, result.claim, clock.getMonotonicMs()),
         };
       });
     },
@@ -54,8 +56,11 @@
   });
 }
 
-/** A request whose entry is gone will never be told of: whether it ran is unknown for good. */
-function describeExisting(leadership: Leadership, claim: RequestClaim, now: number): RequestClaim {
+/**
+ * Gets a claim with the state to report. If the claim's entry has no lease any more, it will never report the
+ * outcome, so a running claim becomes unknown.
+ */
+function getReportedClaim(leadership: Leadership, claim: RequestClaim, now: number): RequestClaim {
   if (claim.state !== ClaimState.RUNNING || !leadership.leases.isClear(now)) return claim;
   const isLive = leadership.leases.getLiveHolders(now).some((holder) => holder.entryId === claim.entryId);
   return isLive ? claim : { ...claim, state: ClaimState.UNKNOWN };
@@ -67,7 +72,7 @@
 
 const DEFAULT_RETENTION_MS = 86_400_000;
 
-/** Grants a lease. Runs without a pause, so that lease and view belong together. */
+/** Grants a lease. Runs synchronously, so that lease and view are consistent. */
 function renewLease(
   options: EntryRouteOptions,
   leadership: Leadership,
@@ -105,13 +110,16 @@
     full: changed === undefined,
     replicas: changed ?? machine.getReplicas(),
     entries: getEntryAddresses(leadership, now),
-    absentInstances: getAbsences(leadership, configuration, now),
+    absentInstances: getAbsentMembers(leadership, configuration, now),
     concurrencyShare: leadership.entries.getConcurrencyShare(now, leadership.leases, request.entryId),
     serviceEndpoints: getServiceEndpoints(leadership),
   });
 }
 
-/** An entry that is behind gets the difference where that is shorter, else the whole text. */
+/**
+ * Gets the configuration for an entry with an older version: a patch if that is shorter, otherwise the whole
+ * text.
+ */
 function createConfigurationFields(
   request: RenewRequest,
   newest: ConfigurationVersion | undefined,
@@ -125,7 +133,7 @@
 
 function getEntryAddresses(leadership: Leadership, now: number): RenewResponse["entries"] {
   return leadership.entries
-    .getLive(now, leadership.leases)
+    .getLiveRenewals(now, leadership.leases)
     .filter((renewal) => !renewal.stopping)
     .map((renewal) => ({
       $typeName: "ploverstage.v1.EntryAddress" as const,
@@ -134,8 +142,11 @@
     }));
 }
 
-/** A new leader's silence about an instance means nothing until it had time to ask. */
-function getAbsences(
+/**
+ * Gets the absent instances of all replicas. Returns none until a new leader has had time to probe the
+ * instances.
+ */
+function getAbsentMembers(
   leadership: Leadership,
   configuration: Configuration | undefined,
   now: number,
--- a/src/control/routes/index.ts
+++ b/src/control/routes/index.ts
@@ -1,3 +1,3 @@
-/** The interfaces that a control process serves. */
+/** The RPC services of a control process. */
 export { addEntryRoutes } from "./entryRoutes";
 export { addOperatorRoutes } from "./operatorRoutes";
--- a/src/control/routes/operatorRoutes.ts
+++ b/src/control/routes/operatorRoutes.ts
@@ -1,4 +1,4 @@
-/** Serves operators: configuration changes, their history, status and the burn report. */
+/** Serves operators: configuration changes, their history, the status and the burn report. */
 import { Code, ConnectError, type ConnectRouter } from "@connectrpc/connect";
 import type { Clock } from "../../clock";
 import { parseConfiguration } from "../../configuration";
@@ -11,7 +11,7 @@
 import type { Leadership } from "../Leadership";
 import { createLossStatuses, createStatus } from "./status";
 
-/** What operator routes work with. */
+/** Options of the operator routes. */
 export interface OperatorRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<Leadership>;
@@ -20,10 +20,11 @@
 }
 
 const CHANGE_ID = /^[A-Za-z0-9][A-Za-z0-9.-]{0,99}$/;
-const OPERATOR = /^[A-Za-z0-9][A-Za-z0-9.@-]{0,99}$/;
+const OPERATOR_NAME = /^[A-Za-z0-9][A-Za-z0-9.@-]{0,99}$/;
+/** Most versions that one history call returns. */
 const MAX_HISTORY = 1_000;
 
-/** Adds the operators' service to a router. */
+/** Adds the operator service to a router. */
 export function addOperatorRoutes(router: ConnectRouter, options: OperatorRouteOptions): void {
   const { driver, guard, clock } = options;
   router.service(OperatorService, {
@@ -46,7 +47,7 @@
           ? machine.getConfiguration()
           : machine.getConfigurationByVersion(request.version);
         if (found === undefined && !isNewest) {
-          throw new ConnectError(`no version ${request.version} is kept`, Code.NotFound);
+          throw new ConnectError(`version ${request.version} is not retained`, Code.NotFound);
         }
         return { configuration: found };
       });
@@ -72,8 +73,8 @@
 }
 
 async function applyConfiguration({ driver, clock }: OperatorRouteOptions, request: ApplyRequest) {
-  throwIfMisnamed("change id", request.changeId, CHANGE_ID);
-  throwIfMisnamed("operator", request.operator, OPERATOR);
+  throwIfInvalidName("change id", request.changeId, CHANGE_ID);
+  throwIfInvalidName("operator", request.operator, OPERATOR_NAME);
   const faults = getFaults(request.text);
   if (faults.length > 0) return { outcome: ApplyOutcome.INVALID, faults };
   const result = await driver.propose({
@@ -101,9 +102,9 @@
   throw new ConnectError(`unexpected result ${result?.kind}`, Code.Internal);
 }
 
-function throwIfMisnamed(what: string, value: string, pattern: RegExp): void {
+function throwIfInvalidName(field: string, value: string, pattern: RegExp): void {
   if (pattern.test(value)) return;
-  throw new ConnectError(`${what} ${JSON.stringify(value)} does not match ${pattern}`, Code.InvalidArgument);
+  throw new ConnectError(`${field} ${JSON.stringify(value)} does not match ${pattern}`, Code.InvalidArgument);
 }
 
 function getFaults(text: string) {
--- a/src/control/routes/status.ts
+++ b/src/control/routes/status.ts
@@ -1,4 +1,4 @@
-/** Puts the status of the whole system together, with what is wrong first. */
+/** Creates the status of the whole system, with a list of its problems. */
 import type { MessageInitShape } from "@bufbuild/protobuf";
 import type { Clock } from "../../clock";
 import type { Configuration } from "../../configuration";
@@ -21,17 +21,17 @@
 type EntryInit = MessageInitShape<typeof EntryStatusSchema>;
 type InstanceInit = MessageInitShape<typeof InstanceStatusSchema>;
 
-/** What the status is put together from. */
+/** Sources of the status. */
 export interface StatusSources {
   readonly driver: ConsensusDriver;
   readonly clock: Clock;
   readonly configurations: ConfigurationCache;
 }
 
-/** A member that has not answered for so long is reported. */
-const SILENT_MEMBER_MS = 2_000;
+/** A member that has not answered for this long, in milliseconds, is reported as a problem. */
+const MEMBER_TIMEOUT_MS = 2_000;
 
-/** Gets the status as the leader sees it. */
+/** Creates the status as observed by the leader. */
 export function createStatus(sources: StatusSources, leadership: Leadership): StatusInit {
   const { driver, clock, configurations } = sources;
   const now = clock.getMonotonicMs();
@@ -67,7 +67,7 @@
   return { ...base, replicas, instances, problems };
 }
 
-/** Gets losses in the form of the report. */
+/** Gets the losses in the form of the status message. */
 export function createLossStatuses(leadership: Leadership): MessageInitShape<typeof LossStatusSchema>[] {
   return leadership.ledger.getLosses().map((loss) => ({
     model: loss.model,
@@ -82,13 +82,13 @@
   return driver.node.membership.members.map((member) => {
     const progress = driver.node.getProgress(member.id);
     const isSelf = member.id === driver.node.id;
-    // The beginning of a term is no sign of life of a member that has not answered since.
-    const silentMs = progress?.hasAnswered === true ? now - progress.answeredAt : -1;
+    // `answeredAt` starts with the term, so it counts only once the member has answered in this term.
+    const answerAgeMs = progress?.hasAnswered === true ? now - progress.answeredAt : -1;
     return {
       member,
       leader: isSelf,
       matchIndex: isSelf ? driver.node.log.lastIndex : (progress?.matchIndex ?? 0),
-      answeredMsAgo: isSelf ? 0 : silentMs,
+      answeredMsAgo: isSelf ? 0 : answerAgeMs,
     };
   });
 }
@@ -97,7 +97,7 @@
   const holders = new Map(
     leadership.leases.getLiveHolders(now).map((holder) => [String(holder.entryId), holder]),
   );
-  return leadership.entries.getLive(now, leadership.leases).map((renewal) => ({
+  return leadership.entries.getLiveRenewals(now, leadership.leases).map((renewal) => ({
     entryId: renewal.entryId,
     address: renewal.callerAddress,
     failureDomain: renewal.failureDomain,
@@ -127,13 +127,14 @@
 }
 
 function getMemberProblems(driver: ConsensusDriver, members: readonly MemberInit[]): string[] {
-  const isSilent = (member: MemberInit) =>
-    (member.answeredMsAgo ?? -1) < 0 || member.answeredMsAgo! > SILENT_MEMBER_MS;
-  const silent = members.filter((member) => !member.leader && isSilent(member));
+  const isUnresponsive = (member: MemberInit) =>
+    (member.answeredMsAgo ?? -1) < 0 || member.answeredMsAgo! > MEMBER_TIMEOUT_MS;
+  const unresponsive = members.filter((member) => !member.leader && isUnresponsive(member));
   const voters = getVoters(driver.node.membership).length;
-  const spare = Math.floor((voters - 1) / 2) - silent.filter((member) => !member.member?.learner).length;
-  const problems = silent.map((member) => `control ${member.member?.id} does not answer`);
-  if (spare <= 0 && silent.length > 0) {
+  const toleratedLosses =
+    Math.floor((voters - 1) / 2) - unresponsive.filter((member) => !member.member?.learner).length;
+  const problems = unresponsive.map((member) => `control ${member.member?.id} does not answer`);
+  if (toleratedLosses <= 0 && unresponsive.length > 0) {
     problems.unshift("the loss of one more control process would stop all changes");
   }
   return problems;
