--- a/src/discovery/HttpInstanceSource.ts
+++ b/src/discovery/HttpInstanceSource.ts
@@ -1,4 +1,4 @@
-/** The platform over HTTP and JSON: `GET /v1/instances`. */
+/** Reads the platform's list of instances over HTTP and JSON: `GET /v1/instances`. */
 import { Result, Schema } from "effect";
 import { MalformedAnswer, RefusedOrder } from "../errors";
 import type { HttpClient } from "../http";
@@ -27,15 +27,17 @@
   private readonly _client: HttpClient;
   private readonly _address: string;
 
-  /**
-   * @param address - host:port of the platform.
-   */
+  /** @param address - host:port of the platform. */
   constructor(client: HttpClient, address: string) {
     this._client = client;
     this._address = address;
   }
 
-  /** Gets the instances that the platform knows of. */
+  /**
+   * Gets the instances that the platform lists.
+   * @throws RefusedOrder - When the platform's answer has a status other than 200.
+   * @throws MalformedAnswer - When the answer has an unexpected form.
+   */
   async getInstances(timeoutMs: number): Promise<Instance[]> {
     const address = this._address;
     const answer = await this._client.sendJson({
--- a/src/discovery/index.ts
+++ b/src/discovery/index.ts
@@ -1,3 +1,3 @@
-/** Discovery: which instances there are. */
+/** Discovery of the platform's instances. */
 export { HttpInstanceSource } from "./HttpInstanceSource";
 export type { Instance, InstanceKind, InstanceSource } from "./InstanceSource";
--- a/src/rpc/CallTrace.ts
+++ b/src/rpc/CallTrace.ts
@@ -1,33 +1,33 @@
-/** Which processes one call to the leader asked, for the line that tells of its outcome. */
+/** Records which processes one call to the leader was sent to, for the log line about its outcome. */
 
-/** The way of one call. */
+/** The attempts of one call. */
 export class CallTrace {
   private readonly _failures = new Map<string, string>();
-  private _tries = 0;
+  private _attemptCount = 0;
   private _lastAddress = "";
 
-  /** Gets how many processes were asked, each as often as it was. */
+  /** Gets the number of attempts; a process that was called twice counts twice. */
   get tries(): number {
-    return this._tries;
+    return this._attemptCount;
   }
 
-  /** Gets the address that was asked last, empty when none was. */
+  /** Gets the address of the last attempt; empty before the first one. */
   get lastAddress(): string {
     return this._lastAddress;
   }
 
-  /** Notes that a process is asked. */
-  addTry(address: string): void {
-    this._tries += 1;
+  /** Records an attempt at a process. */
+  addAttempt(address: string): void {
+    this._attemptCount += 1;
     this._lastAddress = address;
   }
 
-  /** Notes why a process that was asked did not serve the call. */
+  /** Records why an attempt failed; replaces the earlier failure of the same process. */
   addFailure(address: string, reason: string): void {
     this._failures.set(address, reason);
   }
 
-  /** Gets the newest failure of each process, by address. */
+  /** Gets the latest failure of each process, by address. */
   getFailures(): Readonly<Record<string, string>> {
     return Object.fromEntries(this._failures);
   }
--- a/src/rpc/GuardedSessionManager.ts
+++ b/src/rpc/GuardedSessionManager.ts
@@ -1,110 +1,118 @@
 /**
- * Sessions of calls over HTTP/2 whose ends end nobody, and keep nobody waiting.
+ * HTTP/2 sessions for calls, replaced when they end.
  *
- * A peer that closes its side (it stops, or took this process for gone while it was frozen)
- * makes a session end with an error. Where no call is open any more, nothing listens to it,
- * and an error event without a listener ends the process. A session that ends without an error
- * while its manager waits for a ping would keep that manager waiting for good: each session that
- * has ended takes its manager with it.
+ * A peer that closes its side (because it stops, or because it received nothing while this process was
+ * paused) makes a session end with an error. If no call is open, the session has no listener for the error
+ * event, and an error event without a listener ends the process. If a session ends without an error while its
+ * session manager waits for a ping, that manager waits forever. For these reasons each session gets an error
+ * listener, and its manager is replaced when it ends.
  */
 import { type ClientHttp2Stream, constants, type Http2Session } from "node:http2";
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { widenWindow } from "./flowControl";
-import type { SessionPings } from "./SessionPings";
+import type { SessionPinger } from "./SessionPings";
 
 type TransportOptions = Extract<Parameters<typeof createConnectTransport>[0], { httpVersion: "2" }>;
-/** What a transport asks of whoever opens its sessions. */
+/** The interface through which a transport opens sessions. */
 type SessionManager = NonNullable<TransportOptions["sessionManager"]>;
 
-/** A manager and what calls that wait for a session of it learn. */
-interface Managed {
+/** A session manager, and the promise that fails the calls waiting for one of its sessions. */
+interface ManagerState {
   readonly manager: Http2SessionManager;
   /** Rejects once one of its sessions has ended. */
-  readonly ended: Promise<never>;
-  readonly end: (reason: ConnectError) => void;
+  readonly sessionEnded: Promise<never>;
+  readonly rejectSessionEnded: (reason: ConnectError) => void;
 }
 
-/** A peer that misses the answer to a ping for so long is cut off. */
-const PATIENCE_MS = 1_500;
+/** A session whose peer does not answer a ping within this time, in milliseconds, is destroyed. */
+const PING_TIMEOUT_MS = 1_500;
 
-/** Passes everything on to a session manager, and takes another one once a session of it has ended. */
-export class GuardedSessionManager implements SessionManager {
+/** Delegates to a session manager, and creates a new one after one of its sessions has ended. */
+export class ReconnectingSessionManager implements SessionManager {
   private readonly _createManager: () => Http2SessionManager;
-  private readonly _pings: SessionPings;
-  private readonly _guarded = new WeakMap<Http2Session, Managed>();
-  private _current: Managed;
+  private readonly _pinger: SessionPinger;
+  private readonly _managerStates = new WeakMap<Http2Session, ManagerState>();
+  private _current: ManagerState;
 
   /**
-   * @param createManager - Makes one that opens sessions.
-   * @param pings - Find out that a peer is gone that says nothing.
+   * @param createManager - Creates a session manager.
+   * @param pinger - Detects peers that no longer respond.
    */
-  constructor(createManager: () => Http2SessionManager, pings: SessionPings) {
+  constructor(createManager: () => Http2SessionManager, pinger: SessionPinger) {
     this._createManager = createManager;
-    this._pings = pings;
-    this._current = this._create();
+    this._pinger = pinger;
+    this._current = this._createState();
   }
 
-  /** Gets the host that sessions connect to. */
+  /** Gets the origin that sessions connect to. */
   get authority(): string {
     return this._current.manager.authority;
   }
 
   /**
-   * Issues a request on a session.
-   * @throws ConnectError - When the session ended before the request was sent.
+   * Opens a stream for a request.
+   * @throws ConnectError - When a session ended before the request was sent.
    */
   async request(...parameters: Parameters<Http2SessionManager["request"]>): Promise<ClientHttp2Stream> {
-    const managed = this._current;
-    const opening = managed.manager.request(...parameters);
+    const state = this._current;
+    const opening = state.manager.request(...parameters);
     try {
-      const stream = await Promise.race([opening, managed.ended]);
-      if (stream.session !== undefined) this._guard(managed, stream.session);
+      const stream = await Promise.race([opening, state.sessionEnded]);
+      if (stream.session !== undefined) this._addSession(state, stream.session);
       return stream;
     } catch (cause) {
-      // Nobody waits for it any more: a peer would answer it all the same.
+      // The call has failed, so the stream is closed: otherwise the peer would still answer it.
       opening.then(
-        (stream) => this._drop(managed, stream),
+        (stream) => this._closeLateStream(state, stream),
         () => {},
       );
       throw cause;
     }
   }
 
-  /** Notes that bytes of an answer were read. */
+  /** Reports to the session's manager that bytes of an answer were read. */
   notifyResponseByteRead(stream: ClientHttp2Stream): void {
-    const { manager } = (stream.session && this._guarded.get(stream.session)) ?? this._current;
+    const { manager } = (stream.session && this._managerStates.get(stream.session)) ?? this._current;
     manager.notifyResponseByteRead(stream);
   }
 
-  /** Closes a stream that came too late for its call: it and its session may still fail, and nobody listens to them. */
-  private _drop(managed: Managed, stream: ClientHttp2Stream): void {
+  /**
+   * Closes a stream that was opened after its call had failed. The stream and its session may still emit
+   * errors, which have no other listener.
+   */
+  private _closeLateStream(state: ManagerState, stream: ClientHttp2Stream): void {
     stream.on("error", () => {});
-    if (stream.session !== undefined) this._guard(managed, stream.session);
+    if (stream.session !== undefined) this._addSession(state, stream.session);
     stream.close(constants.NGHTTP2_CANCEL);
   }
 
-  private _create(): Managed {
-    let end: Managed["end"] = () => {};
-    const ended = new Promise<never>((_, reject) => {
-      end = reject;
+  private _createState(): ManagerState {
+    let rejectSessionEnded: ManagerState["rejectSessionEnded"] = () => {};
+    const sessionEnded = new Promise<never>((_, reject) => {
+      rejectSessionEnded = reject;
     });
-    // Mostly nobody waits for a session when one ends.
-    ended.catch(() => {});
-    return { manager: this._createManager(), ended, end };
+    // Usually no call waits when a session ends; prevents an unhandled rejection.
+    sessionEnded.catch(() => {});
+    return { manager: this._createManager(), sessionEnded, rejectSessionEnded };
   }
 
-  /** Open calls learn of the end from their streams, later ones get a new session. */
-  private _guard(managed: Managed, session: Http2Session): void {
-    if (this._guarded.has(session)) return;
-    this._guarded.set(session, managed);
+  /**
+   * Adds listeners to a new session. When it ends, open calls fail through their streams, and later calls get
+   * a new session.
+   */
+  private _addSession(state: ManagerState, session: Http2Session): void {
+    if (this._managerStates.has(session)) return;
+    this._managerStates.set(session, state);
     session.on("error", () => {});
     widenWindow(session);
-    this._pings.add(session, PATIENCE_MS);
+    this._pinger.add(session, PING_TIMEOUT_MS);
     session.once("close", () => {
-      this._pings.remove(session);
-      if (this._current === managed) this._current = this._create();
-      managed.end(new ConnectError("the session ended", Code.Unavailable));
+      this._pinger.remove(session);
+      if (this._current === state) this._current = this._createState();
+      state.rejectSessionEnded(
+        new ConnectError("the session ended before the request was sent", Code.Unavailable),
+      );
     });
   }
 }
--- a/src/rpc/LeaderClient.ts
+++ b/src/rpc/LeaderClient.ts
@@ -1,8 +1,8 @@
 /**
- * Calls the control leader: finds it, follows hints, and goes round the others.
+ * Calls the control leader: follows the hints of other processes, or tries all processes in turn.
  *
- * Only calls that may safely be made again go through here: each is a read, or
- * carries an id by which the agreed state knows it again.
+ * Only calls that are safe to repeat are made here: each is a read, or carries an id by which the committed
+ * state recognises a repetition.
  */
 
 import type { DescService } from "@bufbuild/protobuf";
@@ -13,71 +13,75 @@
 import { SearchPause } from "./SearchPause";
 import type { TransportPool } from "./TransportPool";
 
-/** Header in which a process that doesn't lead names the one that does. */
+/** Header in which a process that is not the leader names the leader. */
 export const LEADER_HEADER = "leader-address";
 
-/** How a leader is called. */
+/** Options of a leader client. */
 export interface LeaderClientOptions {
-  /** host:port of control processes; read again whenever another one is to be asked. */
+  /** host:port of the control processes; read again before each attempt. */
   readonly addresses: readonly string[];
-  /** Whether a leader that is not among them may be asked, where settings name only some. */
+  /**
+   * Whether to call a leader that is not in `addresses`, for settings that name only some of the processes.
+   */
   readonly followsHints?: boolean;
   readonly transports: TransportPool;
   readonly clock: Clock;
-  /** Gives the leader's address where this process knows it otherwise, empty where it does not: it is asked first. */
+  /** Gets the leader's address from another source; empty if it has none. This leader is called first. */
   readonly getLeaderAddress?: () => string;
 }
 
-/** A call to whichever process is taken for the leader. */
+/** A call to the process that is assumed to be the leader. */
 export type LeaderCall<S extends DescService, R> = (client: Client<S>, timeoutMs: number) => Promise<R>;
 
-/** A process that was not heard to lead is given up after this time, one that is known to lead only once another one leads. */
-const ATTEMPT_MS = 700;
-/** How often it is looked whether another process leads. */
-const LOOK_MS = 50;
+/**
+ * Timeout of an attempt at a process that may not be the leader, in milliseconds. An attempt at the leader
+ * given by `getLeaderAddress` lasts until another process becomes the leader or the whole call times out.
+ */
+const ATTEMPT_TIMEOUT_MS = 700;
+/** Interval of the checks for another leader during a call, in milliseconds. */
+const LEADER_CHECK_INTERVAL_MS = 50;
 
-/** A client of one service of the control leader. */
+/** A client for one service of the control leader. */
 export class LeaderClient<S extends DescService> {
   private readonly _options: LeaderClientOptions;
   private readonly _service: S;
   private readonly _clients = new Map<string, Client<S>>();
-  private _current: string;
+  private _nextAddress: string;
 
-  /**
-   * @param service - The generated description of the service.
-   */
+  /** @param service - Generated descriptor of the service. */
   constructor(service: S, options: LeaderClientOptions) {
     this._service = service;
     this._options = options;
-    this._current = options.addresses[0]!;
+    this._nextAddress = options.addresses[0]!;
   }
 
   /**
-   * Calls the leader until one answers or the time is up.
-   * @param trace - Told which processes are asked, and what they answer.
-   * @throws UnreachableControl - When none answered in time.
-   * @throws ConnectError - When the leader refused the call for good.
+   * Calls processes until the leader answers or the time is over.
+   * @param totalMs - Timeout of all attempts together.
+   * @param trace - Records the attempts and their failures.
+   * @throws UnreachableControl - When the leader did not answer in time.
+   * @throws ConnectError - When the call was refused for a reason that a repetition can't change.
    */
   async call<R>(call: LeaderCall<S, R>, totalMs: number, trace = new CallTrace()): Promise<R> {
     const endAt = this._options.clock.getMonotonicMs() + totalMs;
-    let reason = "none was asked";
+    let reason = "no process was called";
     const search = new SearchPause();
     let failedLeader = "";
     for (;;) {
       const leftMs = endAt - this._options.clock.getMonotonicMs();
       if (leftMs <= 0) throw new UnreachableControl({ tried: this._options.addresses, reason });
-      const leader = this._getKnownLeader(failedLeader);
-      const asked = leader ?? this._current;
-      trace.addTry(asked);
-      const attemptMs = leader === undefined ? Math.min(ATTEMPT_MS, leftMs) : leftMs;
+      const expectedLeader = this._getExpectedLeader(failedLeader);
+      const address = expectedLeader ?? this._nextAddress;
+      trace.addAttempt(address);
+      const attemptMs = expectedLeader === undefined ? Math.min(ATTEMPT_TIMEOUT_MS, leftMs) : leftMs;
       try {
         // The protocol's timeouts are whole milliseconds.
-        const answer = call(this._getClient(asked), Math.ceil(attemptMs));
-        return await (leader === undefined ? answer : this._waitWhileLeading(leader, answer));
+        const answer = call(this._getClient(address), Math.ceil(attemptMs));
+        return await (expectedLeader === undefined ? answer : this._waitForLeader(expectedLeader, answer));
       } catch (cause) {
-        reason = this._goOn(asked, cause);
-        trace.addFailure(asked, reason);
-        failedLeader = leader ?? failedLeader;
+        reason = this._handleFailure(address, cause);
+        trace.addFailure(address, reason);
+        failedLeader = expectedLeader ?? failedLeader;
       }
       const waitMs = Math.min(search.addFailure(this._options.addresses.length), leftMs);
       await pause(waitMs);
@@ -85,60 +89,67 @@
   }
 
   /**
-   * A leader that answers late is doing what it was asked: asked again it would do that twice.
-   * @throws ConnectError - When another process leads.
+   * Waits for the leader's answer without a shorter timeout: a slow leader is still executing the call, and a
+   * repetition would execute it twice.
+   * @throws ConnectError - When another process became the leader.
    */
-  private async _waitWhileLeading<R>(leader: string, answer: Promise<R>): Promise<R> {
+  private async _waitForLeader<R>(leader: string, answer: Promise<R>): Promise<R> {
     let timer: NodeJS.Timeout | undefined;
     const isDeposed = () => !["", leader].includes(this._options.getLeaderAddress?.() ?? "");
     const deposed = new Promise<never>((_, reject) => {
-      const look = () => {
+      const check = () => {
         if (isDeposed()) reject(new ConnectError("another process leads", Code.Unavailable));
       };
-      timer = setInterval(look, LOOK_MS);
+      timer = setInterval(check, LEADER_CHECK_INTERVAL_MS);
     });
     try {
       return await Promise.race([answer, deposed]);
     } finally {
       clearInterval(timer);
-      // What it comes to later concerns nobody.
+      // If another process leads, a later failure of this abandoned call must not be an unhandled rejection.
       answer.catch(() => {});
     }
   }
 
-  /** What this process knows of the leader may be outdated: one that has failed is asked again only on others' word. */
-  private _getKnownLeader(failedLeader: string): string | undefined {
+  /**
+   * Gets the leader's address from `getLeaderAddress`. The address may be outdated, so a leader that has
+   * failed is called again only if another process names it.
+   */
+  private _getExpectedLeader(failedLeader: string): string | undefined {
     const leader = this._options.getLeaderAddress?.() ?? "";
     return leader === "" || leader === failedLeader ? undefined : leader;
   }
 
-  /** Turns to another process; gives the reason in words. */
-  private _goOn(asked: string, cause: unknown): string {
+  /**
+   * Selects the next process to call and returns the failure's message.
+   * @throws ConnectError - When a repetition can't succeed.
+   */
+  private _handleFailure(address: string, cause: unknown): string {
     const error = ConnectError.from(cause);
-    if (isFinal(error.code)) throw error;
-    // Another call that had asked the same process may have turned away from it already.
-    if (this._current === asked)
-      this._current = this._getNext(asked, error.metadata.get(LEADER_HEADER) ?? "");
+    if (isPermanent(error.code)) throw error;
+    // A concurrent call that failed at the same process may have selected the next one already.
+    if (this._nextAddress === address)
+      this._nextAddress = this._selectNextAddress(address, error.metadata.get(LEADER_HEADER) ?? "");
     return error.rawMessage;
   }
 
-  private _getNext(asked: string, hint: string): string {
+  private _selectNextAddress(failedAddress: string, hint: string): string {
     const { addresses, followsHints } = this._options;
-    const isKnown = addresses.includes(hint) || followsHints === true;
-    if (hint !== "" && hint !== asked && isKnown) return hint;
-    return addresses[(addresses.indexOf(asked) + 1) % addresses.length]!;
+    const isAllowed = addresses.includes(hint) || followsHints === true;
+    if (hint !== "" && hint !== failedAddress && isAllowed) return hint;
+    return addresses[(addresses.indexOf(failedAddress) + 1) % addresses.length]!;
   }
 
   private _getClient(address: string): Client<S> {
-    const known = this._clients.get(address);
-    if (known !== undefined) return known;
+    const existing = this._clients.get(address);
+    if (existing !== undefined) return existing;
     const client = createClient(this._service, this._options.transports.getTransport(address));
     this._clients.set(address, client);
     return client;
   }
 }
 
-function isFinal(code: Code): boolean {
+function isPermanent(code: Code): boolean {
   return (
     code === Code.Unauthenticated ||
     code === Code.PermissionDenied ||
@@ -148,7 +159,7 @@
   );
 }
 
-/** Makes the refusal of a process that doesn't lead. */
+/** Creates the error with which a process that is not the leader refuses a call. */
 export function createLeaderRefusal(leaderAddress: string): ConnectError {
   return new ConnectError("not the leader", Code.FailedPrecondition, { [LEADER_HEADER]: leaderAddress });
 }
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -1,4 +1,4 @@
-/** A server of our own protocol: connect over HTTP/2 without TLS. */
+/** A server for calls between processes and from operators: Connect over HTTP/2 without TLS. */
 import {
   constants,
   createServer,
@@ -17,36 +17,38 @@
 import { listen } from "../http";
 import { getCallClass } from "./callClasses";
 import { SESSION_SETTINGS, widenWindow } from "./flowControl";
-import { SessionPings } from "./SessionPings";
+import { SessionPinger } from "./SessionPings";
 
-/** What a server serves, and to whom. */
+/** Options of an RPC server. */
 export interface RpcServerOptions {
   /** host:port */
   readonly listen: string;
   readonly routes: (router: ConnectRouter) => void;
   readonly interceptors: Interceptor[];
-  /** Begins calls at their time; each begins as it comes in without it. */
+  /** Decides when each call begins; without it calls begin on arrival. */
   readonly calls?: CallOrder;
   /** Called when a peer has opened a session. */
   readonly onSession?: () => void;
 }
 
-/** Largest message accepted: a snapshot of the state must fit. */
+/** Largest accepted message; a snapshot of the state must fit. */
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
 /**
- * A caller that misses the answer to a ping for so long is cut off. A machine without power says nothing: until
- * then callers are still sent to its entry.
+ * A session whose peer does not answer a ping within this time, in milliseconds, is destroyed. A machine that
+ * lost power sends nothing; until its session ends, callers are still sent to its entry.
  */
-const PATIENCE_MS = 500;
-/** Members miss each other by the agreement's own messages; one that is only late need not set everything up anew. */
-const MEMBER_PATIENCE_MS = 3_000;
+const PING_TIMEOUT_MS = 500;
+/**
+ * Ping timeout for sessions of consensus members, in milliseconds. Members detect lost members by the
+ * consensus messages, and a member that is only slow should not have to set up its session again.
+ */
+const MEMBER_PING_TIMEOUT_MS = 3_000;
 const CONSENSUS_PATH = `/${ConsensusService.typeName}/`;
 
-/** A listening server. */
 export class RpcServer {
   private readonly _server: Http2Server;
   private readonly _sessions = new Set<ServerHttp2Session>();
-  private readonly _pings = new SessionPings(new SystemClock());
+  private readonly _pinger = new SessionPinger(new SystemClock());
 
   private constructor(options: RpcServerOptions) {
     const serve = connectNodeAdapter({
@@ -57,7 +59,7 @@
     const { calls } = options;
     this._server = createServer(
       { settings: SESSION_SETTINGS },
-      calls === undefined ? serve : (request, response) => addCall(calls, serve, request, response),
+      calls === undefined ? serve : (request, response) => enqueueCall(calls, serve, request, response),
     );
     this._server.on("session", (session) => {
       options.onSession?.();
@@ -66,7 +68,7 @@
     this._server.on("stream", (stream: ServerHttp2Stream, headers: IncomingHttpHeaders) => {
       const isMember = String(headers[constants.HTTP2_HEADER_PATH]).startsWith(CONSENSUS_PATH);
       if (isMember && stream.session !== undefined) {
-        this._pings.setPatience(stream.session, MEMBER_PATIENCE_MS);
+        this._pinger.setTimeoutMs(stream.session, MEMBER_PING_TIMEOUT_MS);
       }
     });
   }
@@ -78,27 +80,27 @@
     return server;
   }
 
-  /** Stops listening and ends all sessions. */
+  /** Stops listening and destroys all sessions. */
   async stop(): Promise<void> {
     const closed = new Promise<void>((resolve) => this._server.close(() => resolve()));
     for (const session of this._sessions) session.destroy();
     await closed;
-    this._pings.stop();
+    this._pinger.stop();
   }
 
   private _addSession(session: ServerHttp2Session): void {
     this._sessions.add(session);
     widenWindow(session);
-    this._pings.add(session, PATIENCE_MS);
+    this._pinger.add(session, PING_TIMEOUT_MS);
     session.once("close", () => {
-      this._pings.remove(session);
+      this._pinger.remove(session);
       this._sessions.delete(session);
     });
     session.on("error", () => session.destroy());
   }
 }
 
-function addCall(
+function enqueueCall(
   calls: CallOrder,
   serve: ReturnType<typeof connectNodeAdapter>,
   request: Http2ServerRequest,
--- a/src/rpc/SearchPause.ts
+++ b/src/rpc/SearchPause.ts
@@ -1,44 +1,48 @@
 /**
- * How long to wait before the next process is asked who leads.
+ * Computes how long to wait before the next attempt to find the leader.
  *
- * While there is one that was not asked yet, waiting only makes the leader be found later;
- * after a round of all of them it keeps an election from being disturbed. Pure.
+ * Within a round, in which every process is called once, a longer wait would only delay finding the leader.
+ * Between rounds a wait keeps the calls from disturbing an election. Performs no I/O.
  */
 
-/** Between two processes of one round, milliseconds. */
-const STEP_MS = 10;
-/** After a first round; doubled with each that follows, up to the longest for the time of an election. */
-const FIRST_ROUND_MS = 50;
-const MAX_ROUND_MS = 200;
+/** Wait between two processes of one round, in milliseconds. */
+const STEP_PAUSE_MS = 10;
 /**
- * Rounds, some two seconds of them, in which an election is over. Whoever goes on to ask as often keeps
- * the next one from being over: processes would do nothing but refuse.
+ * Wait after the first round, in milliseconds. It doubles after each further round, up to
+ * `MAX_ROUND_PAUSE_MS` for the usual duration of an election.
+ */
+const FIRST_ROUND_PAUSE_MS = 50;
+const MAX_ROUND_PAUSE_MS = 200;
+/**
+ * Number of rounds, about two seconds of them, in which an election usually completes. If callers kept this
+ * rate afterwards, the processes would spend their time on refusals and the next election would not complete.
  */
 const ELECTION_ROUNDS = 12;
-const MAX_LATE_ROUND_MS = 800;
+/** Longest wait after `ELECTION_ROUNDS`, in milliseconds. */
+const MAX_LATE_ROUND_PAUSE_MS = 800;
 
-/** The pauses of one search. */
+/** The waits of one search for the leader. */
 export class SearchPause {
   private _failures = 0;
-  private _roundMs = FIRST_ROUND_MS;
+  private _roundPauseMs = FIRST_ROUND_PAUSE_MS;
 
   /**
-   * Notes that a process did not answer as the leader.
-   * @param processes - How many there are to ask.
-   * @returns How long to wait before the next one, milliseconds.
+   * Records that a process did not answer as the leader.
+   * @param processCount - Number of processes in a round.
+   * @returns How long to wait before the next attempt, in milliseconds.
    */
-  addFailure(processes: number): number {
+  addFailure(processCount: number): number {
     this._failures += 1;
-    if (this._failures % Math.max(1, processes) !== 0) return STEP_MS;
-    const pauseMs = this._roundMs;
-    const isLate = this._failures >= ELECTION_ROUNDS * processes;
-    this._roundMs = Math.min(isLate ? MAX_LATE_ROUND_MS : MAX_ROUND_MS, pauseMs * 2);
+    if (this._failures % Math.max(1, processCount) !== 0) return STEP_PAUSE_MS;
+    const pauseMs = this._roundPauseMs;
+    const isLate = this._failures >= ELECTION_ROUNDS * processCount;
+    this._roundPauseMs = Math.min(isLate ? MAX_LATE_ROUND_PAUSE_MS : MAX_ROUND_PAUSE_MS, pauseMs * 2);
     return pauseMs;
   }
 
-  /** Notes that the leader was found: the next search begins anew. */
+  /** Resets the waits after the leader was found. */
   reset(): void {
     this._failures = 0;
-    this._roundMs = FIRST_ROUND_MS;
+    this._roundPauseMs = FIRST_ROUND_PAUSE_MS;
   }
 }
--- a/src/rpc/SessionPings.ts
+++ b/src/rpc/SessionPings.ts
@@ -1,108 +1,115 @@
 /**
- * Finds out that peers are gone that say nothing, by pings over their sessions.
+ * Detects peers that no longer respond, by pings on their sessions.
  *
- * A frozen peer keeps its connection, and a connection may go silent for good: only a missing answer tells them from
- * a quiet one. Whoever says something is not asked.
+ * A paused peer keeps its connection open, and a broken connection may stay open without delivering anything.
+ * Only a ping without an answer distinguishes them from an idle peer. A peer that has sent any bytes since
+ * the last check is not pinged.
  */
 import { constants, type Http2Session } from "node:http2";
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { Clock } from "../clock";
 
-/** How often sessions are looked at. */
-const LOOK_MS = 250;
+/** Interval between two checks of the sessions, in milliseconds. */
+const CHECK_INTERVAL_MS = 250;
 /**
- * A process that runs its own timer so late, milliseconds, has not looked at answers that came in
- * time: a busy leader would cut off members that have just found it, and tell them everything once more.
+ * If a check is delayed by more than this, in milliseconds, this process has not yet read answers that
+ * arrived in time, so no session is destroyed. Otherwise a busy leader would disconnect members that have
+ * just found it, and would have to send them everything again.
  */
-const LATE_MS = 100;
+const MAX_CHECK_DELAY_MS = 100;
 
-/** The part of a session that is needed. */
+/** The part of a session that is used here. */
 export type PingedSession = Pick<Http2Session, "ping" | "destroy" | "destroyed" | "closed"> & {
-  /** Undefined once the session has ended. */
+  /** `undefined` once the session has ended. */
   readonly socket?: { readonly bytesRead: number } | undefined;
 };
 
-/** What is known of one session. */
-interface Watched {
-  patienceMs: number;
+/** State of one session. */
+interface SessionState {
+  timeoutMs: number;
   bytesRead: number;
-  /** When a ping was sent that has not been answered; `undefined` without one. */
-  askedAt: number | undefined;
+  /** When the unanswered ping was sent; `undefined` if there is none. */
+  pingedAt: number | undefined;
 }
 
-/** Pings over all sessions of one process, or of one server. */
-export class SessionPings {
+/** Pings all sessions of one process or one server. */
+export class SessionPinger {
   private readonly _clock: Clock;
-  private readonly _watched = new Map<PingedSession, Watched>();
+  private readonly _states = new Map<PingedSession, SessionState>();
   private _timer: NodeJS.Timeout | undefined;
-  private _lookedAt = 0;
+  private _checkedAt = 0;
 
-  /**
-   * @param clock - Tells how late this process runs as well.
-   */
+  /** @param clock - Also used to measure delays of this process's own timers. */
   constructor(clock: Clock) {
     this._clock = clock;
   }
 
   /**
-   * Looks at a session until it is removed.
-   * @param patienceMs - It is destroyed once it has left a ping unanswered for so long.
+   * Checks a session until it is removed.
+   * @param timeoutMs - The session is destroyed when a ping has been unanswered for this long.
    */
-  add(session: PingedSession, patienceMs: number): void {
-    this._watched.set(session, { patienceMs, bytesRead: getBytesRead(session), askedAt: undefined });
+  add(session: PingedSession, timeoutMs: number): void {
+    this._states.set(session, {
+      timeoutMs,
+      bytesRead: getBytesRead(session),
+      pingedAt: undefined,
+    });
     if (this._timer !== undefined) return;
-    this._lookedAt = this._clock.getMonotonicMs();
-    this._timer = setInterval(() => this._look(), LOOK_MS).unref();
+    this._checkedAt = this._clock.getMonotonicMs();
+    this._timer = setInterval(() => this._checkSessions(), CHECK_INTERVAL_MS).unref();
   }
 
-  /** Gives a session that is looked at another patience. */
-  setPatience(session: PingedSession, patienceMs: number): void {
-    const watched = this._watched.get(session);
-    if (watched !== undefined) watched.patienceMs = patienceMs;
+  /** Changes the ping timeout of a session. */
+  setTimeoutMs(session: PingedSession, timeoutMs: number): void {
+    const state = this._states.get(session);
+    if (state !== undefined) state.timeoutMs = timeoutMs;
   }
 
-  /** Looks at a session no more. */
+  /** Stops checking a session. */
   remove(session: PingedSession): void {
-    this._watched.delete(session);
-    if (this._watched.size === 0) this.stop();
+    this._states.delete(session);
+    if (this._states.size === 0) this.stop();
   }
 
-  /** Looks at none of them any more. */
+  /** Stops checking all sessions. */
   stop(): void {
     clearInterval(this._timer);
     this._timer = undefined;
   }
 
-  private _look(): void {
+  private _checkSessions(): void {
     const now = this._clock.getMonotonicMs();
-    const isLate = now - this._lookedAt > LOOK_MS + LATE_MS;
-    this._lookedAt = now;
-    for (const [session, watched] of this._watched) {
-      // A destroyed session is told to be closed only a moment later, and throws when it is pinged.
-      if (!session.destroyed && !session.closed) this._lookAt(now, isLate, session, watched);
+    const isLate = now - this._checkedAt > CHECK_INTERVAL_MS + MAX_CHECK_DELAY_MS;
+    this._checkedAt = now;
+    for (const [session, state] of this._states) {
+      // A destroyed session emits "close" only later, and throws when it is pinged.
+      if (!session.destroyed && !session.closed) this._checkSession(now, isLate, session, state);
     }
   }
 
-  private _lookAt(now: number, isLate: boolean, session: PingedSession, watched: Watched): void {
+  private _checkSession(now: number, isLate: boolean, session: PingedSession, state: SessionState): void {
     const bytesRead = getBytesRead(session);
-    const isHeard = bytesRead !== watched.bytesRead;
-    watched.bytesRead = bytesRead;
-    if (isHeard) watched.askedAt = undefined;
-    else if (watched.askedAt === undefined) this._ask(now, session, watched);
-    else if (!isLate && now - watched.askedAt >= watched.patienceMs) cut(session);
+    const hasReceived = bytesRead !== state.bytesRead;
+    state.bytesRead = bytesRead;
+    if (hasReceived) state.pingedAt = undefined;
+    else if (state.pingedAt === undefined) this._sendPing(now, session, state);
+    else if (!isLate && now - state.pingedAt >= state.timeoutMs) destroySession(session);
   }
 
-  private _ask(now: number, session: PingedSession, watched: Watched): void {
+  private _sendPing(now: number, session: PingedSession, state: SessionState): void {
     const isSent = session.ping((failure) => {
-      if (failure === null) watched.askedAt = undefined;
+      if (failure === null) state.pingedAt = undefined;
     });
-    if (isSent) watched.askedAt = now;
+    if (isSent) state.pingedAt = now;
   }
 }
 
-/** Calls under way end with an error: without one they would wait for good. */
-function cut(session: PingedSession): void {
-  session.destroy(new ConnectError("a ping was not answered", Code.Unavailable), constants.NGHTTP2_CANCEL);
+/** Destroys a session with an error; without an error its open calls would wait forever. */
+function destroySession(session: PingedSession): void {
+  session.destroy(
+    new ConnectError("the peer did not answer a ping in time", Code.Unavailable),
+    constants.NGHTTP2_CANCEL,
+  );
 }
 
 function getBytesRead({ socket }: PingedSession): number {
--- a/src/rpc/TransportPool.ts
+++ b/src/rpc/TransportPool.ts
@@ -1,35 +1,33 @@
 /**
- * Transports of one process, one a peer.
+ * The transports of one process, one per peer.
  *
- * All that a process asks of a peer shares a session: sessions cost their ends more than most calls, and one over which
- * something was just said needs no look before the next call.
+ * All calls to a peer share a session, because opening and closing a session costs both ends more than most
+ * calls do, and a session that has just received data needs no ping before the next call.
  */
 import type { Transport } from "@connectrpc/connect";
 import { SystemClock } from "../clock";
 import { createRpcTransport } from "./createRpcTransport";
-import { SessionPings } from "./SessionPings";
+import { SessionPinger } from "./SessionPings";
 
-/** Opened transports by the address of the peer. */
+/** Open transports by peer address. */
 export class TransportPool {
   private readonly _secret: string | undefined;
-  private readonly _pings = new SessionPings(new SystemClock());
+  private readonly _pinger = new SessionPinger(new SystemClock());
   private readonly _transports = new Map<string, Transport>();
 
-  /**
-   * @param secret - The shared secret; `undefined` where the network alone protects the calls.
-   */
+  /** @param secret - Shared secret; `undefined` if only the network protects the calls. */
   constructor(secret: string | undefined) {
     this._secret = secret;
   }
 
   /**
-   * Gets the transport to one process.
+   * Gets the transport to a process.
    * @param address - host:port of its interface.
    */
   getTransport(address: string): Transport {
-    const known = this._transports.get(address);
-    if (known !== undefined) return known;
-    const transport = createRpcTransport(address, this._secret, this._pings);
+    const existing = this._transports.get(address);
+    if (existing !== undefined) return existing;
+    const transport = createRpcTransport(address, this._secret, this._pinger);
     this._transports.set(address, transport);
     return transport;
   }
--- a/src/rpc/bundledHeaders.ts
+++ b/src/rpc/bundledHeaders.ts
@@ -1,2 +1,2 @@
-/** What the bundle takes where code names the web platform's `Headers`. */
+/** Replaces the web platform's `Headers` in the bundle. */
 export { CallHeaders as Headers } from "./CallHeaders";
--- a/src/rpc/callClasses.ts
+++ b/src/rpc/callClasses.ts
@@ -1,4 +1,4 @@
-/** How valuable calls of our own protocol are, by their paths. */
+/** Assigns calls of the protocol between processes to admission classes, by path. */
 
 import type { CallClass } from "../admission";
 import { ConsensusService } from "../gen/ploverstage/v1/consensus_pb";
@@ -16,7 +16,7 @@
   [getPath(ConsensusService, join), "relay"],
   [getPath(FleetService, putDeclaration), "order"],
   [getPath(FleetService, getDeclaration), "order"],
-  // A request that crashes instances comes again within a fraction of a second.
+  // A request that crashes instances is sent again within a fraction of a second.
   [getPath(FleetService, reportCrashes), "order"],
   [getPath(FleetService, relay), "relay"],
   [getPath(FleetService, report), "relay"],
@@ -24,7 +24,7 @@
   [getPath(FleetService, suspect), "report"],
 ]);
 
-/** Gets the class of a call; one that isn't known goes last. */
+/** Gets the class of a call; an unknown call gets the lowest one. */
 export function getCallClass(path: string): CallClass {
   return CLASSES.get(path) ?? "report";
 }
--- a/src/rpc/callCounter.ts
+++ b/src/rpc/callCounter.ts
@@ -1,24 +1,27 @@
-/** Counts the calls of our own protocol where they arrive. */
+/** Counts the incoming calls of the protocol between processes. */
 import type { Interceptor } from "@connectrpc/connect";
 import type { Clock } from "../clock";
 import type { CallLoad } from "../metrics";
 
-/** Makes an interceptor that notes each call; of one that streams, how long its answer took to begin. */
+/**
+ * Creates an interceptor that counts each call and measures how long it took; for a streaming call, how long
+ * until its answer began.
+ */
 export function createCallCounter(load: CallLoad, clock: Clock): Interceptor {
   return (next) => async (request) => {
     const call = request.method.name;
     const startedAt = clock.getMonotonicMs();
     load.addBegun(call);
-    const getEnd = (hasFailed: boolean) => {
+    const getOutcome = (hasFailed: boolean) => {
       if (request.signal.aborted) return "gone";
       return hasFailed ? "failed" : "answered";
     };
     try {
       const response = await next(request);
-      load.addEnd(call, getEnd(false), clock.getMonotonicMs() - startedAt);
+      load.addEnd(call, getOutcome(false), clock.getMonotonicMs() - startedAt);
       return response;
     } catch (cause) {
-      load.addEnd(call, getEnd(true), clock.getMonotonicMs() - startedAt);
+      load.addEnd(call, getOutcome(true), clock.getMonotonicMs() - startedAt);
       throw cause;
     }
   };
--- a/src/rpc/createRpcTransport.ts
+++ b/src/rpc/createRpcTransport.ts
@@ -1,42 +1,43 @@
-/** The calling side of our own protocol. */
+/** The client side of the protocol between processes. */
 import type { Transport } from "@connectrpc/connect";
 import { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { SystemClock } from "../clock";
 import { SESSION_SETTINGS } from "./flowControl";
-import { GuardedSessionManager } from "./GuardedSessionManager";
+import { ReconnectingSessionManager } from "./GuardedSessionManager";
 import { openSocket } from "./openSocket";
-import { SessionPings } from "./SessionPings";
+import { SessionPinger } from "./SessionPings";
 import { createSecretSender } from "./secrets";
 
-/** A session without calls is closed after this time, milliseconds. */
-const IDLE_MS = 30_000;
+/** A session without calls is closed after this time, in milliseconds. */
+const IDLE_TIMEOUT_MS = 30_000;
 
 /**
- * Makes a transport to one process.
+ * Creates a transport to one process.
  * @param address - host:port of its interface.
- * @param secret - The shared secret; `undefined` where the network alone protects the calls.
- * @param pings - Find out that the process is gone.
+ * @param secret - Shared secret; `undefined` if only the network protects the calls.
+ * @param pinger - Detects that the process no longer responds.
  */
 export function createRpcTransport(
   address: string,
   secret: string | undefined,
-  pings = new SessionPings(new SystemClock()),
+  pinger = new SessionPinger(new SystemClock()),
 ): Transport {
   const baseUrl = `http://${address}`;
-  // Without an interval the library's pings are off: they take a peer for gone while it is this process that runs late.
-  const times = { idleConnectionTimeoutMs: IDLE_MS };
+  // Without a ping interval the library's pings are off. They would count a peer as lost when only this
+  // process is delayed.
+  const timeouts = { idleConnectionTimeoutMs: IDLE_TIMEOUT_MS };
   return createConnectTransport({
     baseUrl,
     httpVersion: "2",
     interceptors: secret === undefined ? [] : [createSecretSender(secret)],
     acceptCompression: [],
-    sessionManager: new GuardedSessionManager(
+    sessionManager: new ReconnectingSessionManager(
       () =>
-        new Http2SessionManager(baseUrl, times, {
+        new Http2SessionManager(baseUrl, timeouts, {
           createConnection: () => openSocket(address),
           settings: SESSION_SETTINGS,
         }),
-      pings,
+      pinger,
     ),
   });
 }
--- a/src/rpc/flowControl.ts
+++ b/src/rpc/flowControl.ts
@@ -1,18 +1,18 @@
 /**
- * How much peers may send before they hear that it was read.
+ * Flow-control windows: how many bytes a peer may send before it receives an acknowledgement.
  *
- * With the protocol's usual windows of 64 KB a declaration of some hundred kilobytes waits for a turn of both ends' event
- * loops after each of them: seconds between processes that run late.
+ * With the protocol's default windows of 64 KB, a declaration of several hundred kilobytes waits after each
+ * window for a turn of both event loops, which adds up to seconds between delayed processes.
  */
 import type { Http2Session, Settings } from "node:http2";
 
-/** Of one call, and of a session; above the largest declarations and views. */
+/** Window of one call and of a session, in bytes; larger than the largest declarations and views. */
 export const WINDOW_BYTES = 2 * 1024 * 1024;
 
-/** What a session tells its peer at its start. */
+/** HTTP/2 settings sent when a session opens. */
 export const SESSION_SETTINGS: Settings = { initialWindowSize: WINDOW_BYTES };
 
-/** Lets the peer send as much over the whole session as in one call. */
+/** Sets the window of the whole session, which the settings don't cover, to that of one call. */
 export function widenWindow(session: Pick<Http2Session, "setLocalWindowSize">): void {
   session.setLocalWindowSize(WINDOW_BYTES);
 }
--- a/src/rpc/openSocket.ts
+++ b/src/rpc/openSocket.ts
@@ -1,20 +1,22 @@
-/** Connections of our own protocol that come up in time or not at all. */
+/** Opens connections with a timeout for the protocol between processes. */
 import { connect, type Socket } from "node:net";
 import { splitAddress } from "../http";
 
 /**
- * A connection that does not come up within this time is given up, milliseconds: longer than a link that is
- * choked keeps packets, shorter than the pause between two tries of the system, which doubles while a partition
- * lasts, so that a peer would be found seconds after it is over.
+ * Timeout for opening a connection, in milliseconds. It is longer than a congested link delays packets, and
+ * shorter than the operating system's retry interval. That interval doubles during a partition, so without
+ * this timeout a peer would only be reached seconds after the partition has ended.
  */
-export const CONNECT_MS = 1_500;
+export const CONNECT_TIMEOUT_MS = 1_500;
 
-/** Opens a connection to host:port; it is destroyed with an error where it does not come up in time. */
-export function openSocket(address: string, connectMs = CONNECT_MS): Socket {
+/**
+ * Opens a connection to host:port. If it is not established in time, the socket is destroyed with an error.
+ */
+export function openSocket(address: string, timeoutMs = CONNECT_TIMEOUT_MS): Socket {
   const { host, port } = splitAddress(address);
   const socket = connect({ host, port });
-  const fail = () => socket.destroy(new Error(`no connection to ${address} within ${connectMs} ms`));
-  const timer = setTimeout(fail, connectMs);
+  const fail = () => socket.destroy(new Error(`no connection to ${address} within ${timeoutMs} ms`));
+  const timer = setTimeout(fail, timeoutMs);
   socket.once("connect", () => clearTimeout(timer));
   socket.once("close", () => clearTimeout(timer));
   return socket;
--- a/src/rpc/secrets.ts
+++ b/src/rpc/secrets.ts
@@ -3,21 +3,21 @@
 import { Code, ConnectError, type Interceptor } from "@connectrpc/connect";
 import { MissingSecret } from "../errors";
 
-const HEADER = "authorization";
+const SECRET_HEADER = "authorization";
 
-/** Makes an interceptor that shows the secret with each call. */
+/** Creates an interceptor that sends the secret with each call. */
 export function createSecretSender(secret: string): Interceptor {
   return (next) => (call) => {
-    call.header.set(HEADER, `Bearer ${secret}`);
+    call.header.set(SECRET_HEADER, `Bearer ${secret}`);
     return next(call);
   };
 }
 
-/** Makes an interceptor that refuses calls without the secret. */
+/** Creates an interceptor that refuses calls without the secret. */
 export function createSecretGuard(secret: string, interfaceName: string): Interceptor {
-  const expected = digest(`Bearer ${secret}`);
+  const expected = hashText(`Bearer ${secret}`);
   return (next) => (call) => {
-    if (!timingSafeEqual(expected, digest(call.header.get(HEADER) ?? ""))) {
+    if (!timingSafeEqual(expected, hashText(call.header.get(SECRET_HEADER) ?? ""))) {
       const refusal = new MissingSecret({ interface: interfaceName });
       throw new ConnectError(refusal.message, Code.Unauthenticated);
     }
@@ -25,7 +25,7 @@
   };
 }
 
-/** Digests have one length, so comparing them tells nothing of the secret's. */
-function digest(text: string): Buffer {
+/** Hashes a text. Digests have equal lengths, so comparing them reveals nothing about the secret's length. */
+function hashText(text: string): Buffer {
   return createHash("sha256").update(text).digest();
 }
--- a/test/rpc/GuardedSessionManager.test.ts
+++ b/test/rpc/GuardedSessionManager.test.ts
@@ -1,8 +1,8 @@
 import { EventEmitter } from "node:events";
 import type { Http2SessionManager } from "@connectrpc/connect-node";
 import { describe, expect, it } from "vitest";
-import { GuardedSessionManager } from "../../src/rpc/GuardedSessionManager";
-import { SessionPings } from "../../src/rpc/SessionPings";
+import { ReconnectingSessionManager } from "../../src/rpc/GuardedSessionManager";
+import { SessionPinger } from "../../src/rpc/SessionPings";
 
 describe("GuardedSessionManager", () => {
   it("outlives the errors of a stream that came too late for its call, and of its session", async () => {
@@ -21,8 +21,8 @@
       request: () => opened.shift(),
       notifyResponseByteRead: () => {},
     };
-    const pings = new SessionPings({ getMonotonicMs: () => 0, getWallMs: () => 0 });
-    const guarded = new GuardedSessionManager(() => inner as unknown as Http2SessionManager, pings);
+    const pings = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
+    const guarded = new ReconnectingSessionManager(() => inner as unknown as Http2SessionManager, pings);
     await guarded.request("POST", "/", {}, {});
     const call = guarded.request("POST", "/", {}, {});
     first.emit("close");
@@ -41,9 +41,9 @@
       request: () => Promise.resolve({ session }),
       notifyResponseByteRead: () => {},
     };
-    const pings = new SessionPings({ getMonotonicMs: () => 0, getWallMs: () => 0 });
+    const pings = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
     expect(() => session.emit("error", new Error("received GOAWAY"))).toThrow("received GOAWAY");
-    const guarded = new GuardedSessionManager(() => inner as unknown as Http2SessionManager, pings);
+    const guarded = new ReconnectingSessionManager(() => inner as unknown as Http2SessionManager, pings);
     await guarded.request("POST", "/", {}, {});
     await guarded.request("POST", "/", {}, {});
     expect(session.listenerCount("error")).toBe(1);
--- a/test/rpc/SessionPings.test.ts
+++ b/test/rpc/SessionPings.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { SessionPings } from "../../src/rpc/SessionPings";
+import { SessionPinger } from "../../src/rpc/SessionPings";
 
 const LOOK_MS = 250;
 const PATIENCE_MS = 500;
@@ -25,13 +25,13 @@
 describe("SessionPings", () => {
   let now: number;
   let session: Session;
-  let pings: SessionPings;
+  let pings: SessionPinger;
 
   beforeEach(() => {
     vi.useFakeTimers();
     now = 0;
     session = new Session();
-    pings = new SessionPings({ getMonotonicMs: () => now, getWallMs: () => now });
+    pings = new SessionPinger({ getMonotonicMs: () => now, getWallMs: () => now });
     pings.add(session as never, PATIENCE_MS);
   });
 
@@ -98,7 +98,7 @@
   });
 
   it("waits for longer for a peer that it was told to be patient with", async () => {
-    pings.setPatience(session as never, 3_000);
+    pings.setTimeoutMs(session as never, 3_000);
     for (let looks = 0; looks < 12; looks++) await look();
     expect(session.destroyed).toBe(false);
     await look();
--- a/test/rpc/openSocket.test.ts
+++ b/test/rpc/openSocket.test.ts
@@ -11,7 +11,7 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { FleetService } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { createRpcTransport } from "../../src/rpc";
-import { CONNECT_MS as LONGEST_CONNECT_MS, openSocket } from "../../src/rpc/openSocket";
+import { CONNECT_TIMEOUT_MS as LONGEST_CONNECT_MS, openSocket } from "../../src/rpc/openSocket";
 import { waitUntil } from "../support/waitUntil";
 
 const CONNECT_MS = 200;
