--- a/src/clock/Clock.ts
+++ b/src/clock/Clock.ts
@@ -1,15 +1,15 @@
-/** Reading of the present time; only shells read it, deciding functions are given it. */
+/** The clocks of a process. Only I/O code reads them; decision functions take the time as a parameter. */
 
 import { getSuspensionClock } from "./SuspensionClock";
 
-/** The two clocks of a process, in milliseconds. */
+/** A monotonic clock and a wall clock, in milliseconds. */
 export interface Clock {
   /**
-   * Gets monotonic time: for intervals, leases and deadlines. It counts the time in which the machine was
-   * suspended, as it counts that in which the process was stopped: others have gone on meanwhile.
+   * Gets monotonic time for intervals, leases and deadlines. It includes time in which the machine was
+   * suspended or the process was stopped, because other processes continued during that time.
    */
   getMonotonicMs(): number;
-  /** Gets wall time: for records that people read. */
+  /** Gets wall time, for records that people read. */
   getWallMs(): number;
 }
 
@@ -28,7 +28,7 @@
 
 const US_PER_MS = 1_000;
 
-/** Gets the processor time that this process has used since it was started, milliseconds. */
+/** Gets the processor time used by this process since its start, in milliseconds. */
 export function getProcessorMs(): number {
   const { user, system } = process.cpuUsage();
   return Math.round((user + system) / US_PER_MS);
--- a/src/clock/SuspendedTime.ts
+++ b/src/clock/SuspendedTime.ts
@@ -1,63 +1,67 @@
 /**
- * Tells how long this machine has been suspended, from readings of its clocks. Pure.
+ * Computes how long the machine has been suspended from readings of its clocks. Performs no I/O.
  *
- * The time of day may be stepped in either direction, so that by itself it proves nothing. Where the time since the
- * start of the machine can't be read, a step forward counts as a suspension: what is taken for one costs a moment of
- * service, what is missed breaks promises.
+ * The wall clock may be stepped in either direction, so a difference of the wall clock alone proves no
+ * suspension. Where the boot time can't be read, a forward step is counted as a suspension: a false
+ * suspension interrupts service for a moment, but an undetected one breaks leases and deadlines.
  */
 
-/** One reading of all clocks, milliseconds. */
+/** One reading of all clocks, in milliseconds. */
 export interface ClockReading {
-  /** Doesn't count the time in which the machine is suspended. */
+  /** Steady clock, which stops while the machine is suspended. */
   readonly steadyMs: number;
   /** Unix time; may be stepped. */
   readonly wallMs: number;
-  /** Time since the machine was started; `undefined` where it can't be read. */
+  /** Time since the machine was booted, including suspensions; `undefined` if it can't be read. */
   readonly bootMs: number | undefined;
 }
 
-/** Clocks that are read one after the other differ by less, and so do their drifts between two looks. */
-const NOTICEABLE_MS = 20;
-/** The time of day alone: corrections of it that add up to less are no suspension. */
-const NOTICEABLE_STEP_MS = 100;
+/**
+ * Shortest suspension that is counted, in milliseconds. Clocks that are read one after the other differ by
+ * less, and so does their drift between two readings.
+ */
+const MIN_SUSPENSION_MS = 20;
+/**
+ * Shortest forward step of the wall clock that is counted as a suspension if there is no boot time, in
+ * milliseconds. Corrections that add up to less between two readings are not counted.
+ */
+const MIN_WALL_STEP_MS = 100;
 
-/** The suspended time of one process. */
+/** The total suspended time of one process. */
 export class SuspendedTime {
   private _totalMs = 0;
-  /** How far each clock was ahead of the steady one when that was last looked at. */
-  private _wallLeadMs: number;
-  private _bootLeadMs: number | undefined;
+  /** How far the wall clock and the boot time were ahead of the steady clock at the last reading. */
+  private _wallOffsetMs: number;
+  private _bootOffsetMs: number | undefined;
 
-  /**
-   * @param first - At the start of the process.
-   */
+  /** @param first - Reading at the start of the process. */
   constructor({ steadyMs, wallMs, bootMs }: ClockReading) {
-    this._wallLeadMs = wallMs - steadyMs;
-    this._bootLeadMs = bootMs === undefined ? undefined : bootMs - steadyMs;
+    this._wallOffsetMs = wallMs - steadyMs;
+    this._bootOffsetMs = bootMs === undefined ? undefined : bootMs - steadyMs;
   }
 
-  /** Gets all of it since the start of the process, milliseconds. */
+  /** Gets the total since the start of the process, in milliseconds. */
   get totalMs(): number {
     return this._totalMs;
   }
 
-  /** Checks whether the time of day and the steady clock have parted: then all clocks are to be read. */
-  isDue(steadyMs: number, wallMs: number): boolean {
-    return Math.abs(wallMs - steadyMs - this._wallLeadMs) > NOTICEABLE_MS;
+  /** Checks whether the wall clock has diverged from the steady clock, so that all clocks have to be read. */
+  hasDiverged(steadyMs: number, wallMs: number): boolean {
+    return Math.abs(wallMs - steadyMs - this._wallOffsetMs) > MIN_SUSPENSION_MS;
   }
 
-  /** Takes a reading over. */
+  /** Adds a reading, and with it a suspension since the last reading. */
   addReading({ steadyMs, wallMs, bootMs }: ClockReading): void {
-    const wallLeadMs = wallMs - steadyMs;
-    const wallGainMs = wallLeadMs - this._wallLeadMs;
-    this._wallLeadMs = wallLeadMs;
-    if (bootMs === undefined || this._bootLeadMs === undefined) {
-      if (wallGainMs > NOTICEABLE_STEP_MS) this._totalMs += wallGainMs;
+    const wallOffsetMs = wallMs - steadyMs;
+    const wallGainMs = wallOffsetMs - this._wallOffsetMs;
+    this._wallOffsetMs = wallOffsetMs;
+    if (bootMs === undefined || this._bootOffsetMs === undefined) {
+      if (wallGainMs > MIN_WALL_STEP_MS) this._totalMs += wallGainMs;
       return;
     }
-    const bootGainMs = bootMs - steadyMs - this._bootLeadMs;
-    if (bootGainMs <= NOTICEABLE_MS) return;
+    const bootGainMs = bootMs - steadyMs - this._bootOffsetMs;
+    if (bootGainMs <= MIN_SUSPENSION_MS) return;
     this._totalMs += bootGainMs;
-    this._bootLeadMs += bootGainMs;
+    this._bootOffsetMs += bootGainMs;
   }
 }
--- a/src/clock/SuspensionClock.ts
+++ b/src/clock/SuspensionClock.ts
@@ -1,36 +1,45 @@
-/** Monotonic time that counts the time in which the machine was suspended. */
+/** Monotonic time that includes the time in which the machine was suspended. */
 
 import { MissingBootTime } from "../errors";
 import { type BootTime, loadBootTime } from "./BootTime";
 import { type ClockReading, SuspendedTime } from "./SuspendedTime";
 
-/** Where a process reads the time, in milliseconds. */
+/** The clocks that are read, in milliseconds. */
 export interface TimeSources {
   readonly getSteadyMs: () => number;
   readonly getWallMs: () => number;
-  /** Or why the time since the start of the machine can't be read. */
+  /** The boot time, or the reason why it can't be read. */
   readonly boot: BootTime | MissingBootTime;
 }
 
-/** Reading all clocks takes some microseconds; one that took so long is made again. */
+/**
+ * A reading of all clocks takes a few microseconds. One that took longer than this, in milliseconds, is
+ * repeated.
+ */
 const MAX_READING_MS = 5;
-const MAX_READINGS = 5;
+const MAX_REPEATS = 5;
 
-/** One process has one count of suspended time. Nothing is read before the first use: a kept heap has no clock. */
-let shared: SuspensionClock | undefined;
+/**
+ * The suspension clock of this process. It is created on first use, because a heap snapshot can't contain a
+ * clock.
+ */
+let sharedClock: SuspensionClock | undefined;
 
-/** Gets the clock of this process that counts suspended time. */
+/** Gets the suspension clock of this process. */
 export function getSuspensionClock(): SuspensionClock {
-  shared ??= new SuspensionClock({
+  sharedClock ??= new SuspensionClock({
     getSteadyMs: () => performance.now(),
     getWallMs: () => Date.now(),
-    boot: openBootTime(),
+    boot: loadBootTimeOrError(),
   });
-  return shared;
+  return sharedClock;
 }
 
-/** Without it steps forward of the time of day count as suspensions: what was missing is kept for the log. */
-function openBootTime(): BootTime | MissingBootTime {
+/**
+ * Loads the boot time. An error is returned for the log; without the boot time, forward steps of the wall
+ * clock are counted as suspensions.
+ */
+function loadBootTimeOrError(): BootTime | MissingBootTime {
   try {
     return loadBootTime();
   } catch (cause) {
@@ -39,52 +48,48 @@
   }
 }
 
-/** Monotonic time that goes on while the machine is suspended. */
+/** A monotonic clock that continues while the machine is suspended. */
 export class SuspensionClock {
   private readonly _sources: TimeSources;
   private readonly _suspended: SuspendedTime;
 
-  /**
-   * @param sources - What it reads.
-   */
   constructor(sources: TimeSources) {
     this._sources = sources;
     this._suspended = new SuspendedTime(this._read());
   }
 
-  /** Gets why the time since the start of the machine can't be read here; `undefined` where it can. */
+  /** Gets the reason why the boot time can't be read; `undefined` if it can. */
   get missingBootTime(): MissingBootTime | undefined {
     const { boot } = this._sources;
     return boot instanceof MissingBootTime ? boot : undefined;
   }
 
   /**
-   * Gets monotonic time. The time of day is compared first, since that costs less; a step of it that hides a
-   * suspension is found by the next look.
+   * Gets monotonic time in milliseconds. The wall clock is compared first, because that costs less. If a step
+   * of the wall clock hides a suspension, the next call of `updateSuspendedMs` finds it.
    */
   getMs(): number {
     const steadyMs = this._sources.getSteadyMs();
-    if (this._suspended.isDue(steadyMs, this._sources.getWallMs())) this.look();
+    if (this._suspended.hasDiverged(steadyMs, this._sources.getWallMs())) this.updateSuspendedMs();
     return steadyMs + this._suspended.totalMs;
   }
 
   /**
    * Reads all clocks.
-   * @returns How long the machine has been suspended since the process started.
+   * @returns How long the machine has been suspended since the process started, in milliseconds.
    */
-  look(): number {
+  updateSuspendedMs(): number {
     this._suspended.addReading(this._read());
     return this._suspended.totalMs;
   }
 
-  /** A process that is held up between two clocks must not take that for a difference of them. */
+  /**
+   * Reads all clocks. The reading is repeated if the process was delayed between two clocks, since the delay
+   * would count as a difference between them.
+   */
   private _read(): ClockReading {
     let reading = this._readOnce();
-    for (
-      let i = 0;
-      i < MAX_READINGS && this._sources.getSteadyMs() - reading.steadyMs > MAX_READING_MS;
-      i++
-    ) {
+    for (let i = 0; i < MAX_REPEATS && this._sources.getSteadyMs() - reading.steadyMs > MAX_READING_MS; i++) {
       reading = this._readOnce();
     }
     return reading;
--- a/src/clock/TurnQueue.ts
+++ b/src/clock/TurnQueue.ts
@@ -1,29 +1,27 @@
 /**
- * Lets only so much of one kind of work begin in one turn of the event loop.
+ * Limits how much work of one kind starts in one turn of the event loop.
  *
- * Between two turns messages are read and timers run: heartbeats and votes never wait for more than
- * one turn's share of a long list.
+ * Messages are read and timers run between two turns, so heartbeats and votes wait for at most one turn's
+ * share of a long list.
  */
 
-/** Work that waits for its turn, first come, first served. */
+/** Work that starts in order of arrival. */
 export class TurnQueue {
   private readonly _perTurn: number;
   private readonly _waiting: (() => void)[] = [];
-  private _begun = 0;
+  private _startedInTurn = 0;
   private _isScheduled = false;
 
-  /**
-   * @param perTurn - Pieces of work that may begin in one turn.
-   */
+  /** @param perTurn - Number of work items that may start in one turn. */
   constructor(perTurn: number) {
     this._perTurn = perTurn;
   }
 
-  /** Resolves when one more piece may begin. */
+  /** Resolves when one more work item may start. */
   enter(): Promise<void> {
     this._schedule();
-    if (this._begun < this._perTurn && this._waiting.length === 0) {
-      this._begun += 1;
+    if (this._startedInTurn < this._perTurn && this._waiting.length === 0) {
+      this._startedInTurn += 1;
       return Promise.resolve();
     }
     return new Promise((resolve) => this._waiting.push(resolve));
@@ -38,8 +36,8 @@
   private _startTurn(): void {
     this._isScheduled = false;
     const next = this._waiting.splice(0, this._perTurn);
-    this._begun = next.length;
+    this._startedInTurn = next.length;
     if (next.length > 0) this._schedule();
-    for (const begin of next) begin();
+    for (const start of next) start();
   }
 }
--- a/src/clock/index.ts
+++ b/src/clock/index.ts
@@ -1,4 +1,4 @@
-/** Reading of the present time, and how late a process runs. */
+/** The clocks of a process, and the lag of its event loop. */
 export { type BootTime, loadBootTime } from "./BootTime";
 export { type Clock, getProcessorMs, SystemClock } from "./Clock";
 export { LoopLag } from "./LoopLag";
--- a/src/clock/pause.ts
+++ b/src/clock/pause.ts
@@ -1,4 +1,4 @@
-/** Waits for some time, milliseconds of the steady clock. */
+/** Waits for a time in milliseconds of the steady clock. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/src/process/HealthServer.ts
+++ b/src/process/HealthServer.ts
@@ -2,10 +2,13 @@
 import { createServer, type Server, type ServerResponse } from "node:http";
 import { listen } from "../http";
 
-/** Gives `undefined` when ready, else the reason why not. */
+/** Returns `undefined` when the process is ready, otherwise the reason why it is not. */
 export type ReadinessCheck = () => string | undefined;
 
-/** Answers a health path; gives whether the path was one. */
+/**
+ * Answers a request for a health path.
+ * @returns Whether the path was a health path.
+ */
 export function answerHealth(
   path: string | undefined,
   response: ServerResponse,
@@ -21,7 +24,7 @@
   return true;
 }
 
-/** Starts a server for health alone. */
+/** Starts a server that serves only the health paths. */
 export async function startHealthServer(address: string, check: ReadinessCheck): Promise<Server> {
   const server = createServer((request, response) => {
     if (!answerHealth(request.url, response, check)) sendJson(response, 404, { error: "not found" });
--- a/src/process/LoadWatch.ts
+++ b/src/process/LoadWatch.ts
@@ -1,14 +1,14 @@
 /**
- * Tells what a process did while it ran late.
+ * Logs the work of a process while its event loop is late.
  *
- * One that has more to do than it gets processor time for logs no stall, since no single turn of its event
- * loop is long: it is the sum that is.
+ * A process that needs more processor time than it gets logs no stall, because no single turn of its event
+ * loop is long; only the sum of the lags shows the overload.
  */
 import { PerformanceObserver } from "node:perf_hooks";
 import { type Clock, getProcessorMs, type LoopLag } from "../clock";
 import type { CallLoad, Logger, Metrics } from "../metrics";
 
-/** What a watch works with. */
+/** Options of a load monitor. */
 export interface LoadWatchOptions {
   readonly clock: Clock;
   readonly lag: LoopLag;
@@ -17,43 +17,41 @@
   readonly metrics: Metrics;
 }
 
-const INTERVAL_MS = 1_000;
-/** Part of the time in which the loop was late from which on a process counts as busy. */
+/** Interval of the reports, in milliseconds. */
+const REPORT_INTERVAL_MS = 1_000;
+/** A process counts as busy if its event loop was late for at least this fraction of the interval. */
 const BUSY_RATIO = 0.25;
 
-/** Looks at one process. */
+/** Monitors the load of one process. */
 export class LoadWatch {
   private readonly _options: LoadWatchOptions;
-  private readonly _collections: PerformanceObserver;
+  private readonly _gcObserver: PerformanceObserver;
   private readonly _timer: NodeJS.Timeout;
-  private _collectedMs = 0;
+  private _gcMs = 0;
   private _processorMs = getProcessorMs();
-  private _toldAt: number;
+  private _reportedAt: number;
 
-  /**
-   * @param options - What it looks at, and whom it tells.
-   */
+  /** @param options - Sources of the measurements, log and metrics. */
   constructor(options: LoadWatchOptions) {
     this._options = options;
-    this._toldAt = options.clock.getMonotonicMs();
-    this._collections = new PerformanceObserver((list) => {
-      for (const { duration } of list.getEntries()) this._collectedMs += duration;
+    this._reportedAt = options.clock.getMonotonicMs();
+    this._gcObserver = new PerformanceObserver((list) => {
+      for (const { duration } of list.getEntries()) this._gcMs += duration;
     });
-    this._collections.observe({ entryTypes: ["gc"] });
-    this._timer = setInterval(() => this._tell(), INTERVAL_MS).unref();
+    this._gcObserver.observe({ entryTypes: ["gc"] });
+    this._timer = setInterval(() => this._report(), REPORT_INTERVAL_MS).unref();
   }
 
-  /** Looks no more. */
   stop(): void {
     clearInterval(this._timer);
-    this._collections.disconnect();
+    this._gcObserver.disconnect();
   }
 
-  private _tell(): void {
+  private _report(): void {
     const { clock, lag, load, logger, metrics } = this._options;
     const now = clock.getMonotonicMs();
-    const spanMs = now - this._toldAt;
-    const lateMs = lag.takeLateMs();
+    const spanMs = now - this._reportedAt;
+    const lateMs = lag.takeTotalMs();
     const processorMs = getProcessorMs();
     const { calls, sessions } = load.take();
     metrics.gauge("loop_late_ratio", Math.min(1, lateMs / spanMs));
@@ -63,18 +61,18 @@
         span_ms: Math.round(spanMs),
         late_ms: Math.round(lateMs),
         cpu_ms: Math.round(processorMs - this._processorMs),
-        collected_ms: Math.round(this._collectedMs),
+        collected_ms: Math.round(this._gcMs),
         sessions,
-        calls: getRounded(calls),
+        calls: roundTimes(calls),
       });
     }
-    this._toldAt = now;
+    this._reportedAt = now;
     this._processorMs = processorMs;
-    this._collectedMs = 0;
+    this._gcMs = 0;
   }
 }
 
-function getRounded(calls: ReturnType<CallLoad["take"]>["calls"]): object {
+function roundTimes(calls: ReturnType<CallLoad["take"]>["calls"]): object {
   const round = ([call, figures]: [string, (typeof calls)[string]]) => [
     call,
     { ...figures, tookMs: Math.round(figures.tookMs) },
--- a/src/process/ProcessSignals.ts
+++ b/src/process/ProcessSignals.ts
@@ -1,28 +1,29 @@
 /**
- * The signals by which operators steer a process.
+ * Handles the signals by which operators control a process.
  *
- * They are taken from its first moment to its end: a signal that nobody listens to ends a process at once, with all
- * that it was doing. Supervisors send a stop again, to the group and to the process, or each second until it is gone.
+ * The handlers are installed when the process starts and stay until it ends, because a signal without a
+ * handler ends the process at once, with all its requests. Supervisors repeat stop signals: they send one to
+ * the process group and one to the process, or one per second until the process has ended.
  */
 import type { Logger } from "../metrics";
 
 const STOP_SIGNALS = ["SIGTERM", "SIGINT"] as const;
 const RELOAD_SIGNAL = "SIGHUP";
 
-/** A signal that asks a process to stop. */
+/** A signal that stops a process. */
 export type StopSignal = (typeof STOP_SIGNALS)[number];
 
-/** Where signals arrive. */
+/** Source of signals, usually the process itself. */
 export type SignalSource = Pick<NodeJS.EventEmitter, "on">;
 
-/** The signals of one process. */
+/** The signals received by one process. */
 export class ProcessSignals {
-  /** Resolves with the first stop signal: that one decides. */
+  /** Resolves with the first stop signal; later stop signals are only logged. */
   readonly firstStop: Promise<StopSignal>;
   private _resolveFirstStop!: (signal: StopSignal) => void;
   private _logger: Logger | undefined;
-  private _stops = 0;
-  private _reloads = 0;
+  private _stopCount = 0;
+  private _reloadCount = 0;
 
   private constructor() {
     this.firstStop = new Promise((resolve) => {
@@ -30,34 +31,35 @@
     });
   }
 
-  /** Takes the signals of a process over, for good. */
+  /** Installs the handlers; they are never removed. */
   static takeOver(source: SignalSource): ProcessSignals {
     const signals = new ProcessSignals();
     for (const signal of STOP_SIGNALS) source.on(signal, () => signals._addStop(signal));
     source.on(RELOAD_SIGNAL, () => {
-      signals._reloads += 1;
+      signals._reloadCount += 1;
     });
     return signals;
   }
 
-  /** Gets whether a stop has been asked for. */
+  /** Checks whether a stop signal has been received. */
   get isStopping(): boolean {
-    return this._stops > 0;
+    return this._stopCount > 0;
   }
 
-  /** Gets how often a reload has been asked for. */
+  /** Gets the number of reload signals received. */
   get reloadCount(): number {
-    return this._reloads;
+    return this._reloadCount;
   }
 
-  /** Sets where stop signals that come again are told. */
+  /** Sets the logger for repeated stop signals. */
   setLogger(logger: Logger): void {
     this._logger = logger;
   }
 
   private _addStop(signal: StopSignal): void {
-    this._stops += 1;
+    this._stopCount += 1;
     this._resolveFirstStop(signal);
-    if (this._stops > 1) this._logger?.info({ event: "stop_signal_repeated", signal, count: this._stops });
+    if (this._stopCount > 1)
+      this._logger?.info({ event: "stop_signal_repeated", signal, count: this._stopCount });
   }
 }
--- a/src/process/SuspensionWatch.ts
+++ b/src/process/SuspensionWatch.ts
@@ -1,60 +1,63 @@
 /**
- * Notices that the machine was suspended, soon after it has woken.
+ * Detects that the machine was suspended, soon after it has resumed.
  *
- * Timers run by the steady clock: one that was due during the suspension comes as much later. What must not wait for
- * that, such as the final answer of a request whose time is over, is done by those who are told here.
+ * Timers run by the steady clock, so a timer that was due during the suspension fires later by the suspended
+ * time. Work that must not wait for its timer, such as the final answer to a request past its deadline, is
+ * done in `onWake`.
  */
 import type { SuspensionClock } from "../clock";
 import type { Logger, Metrics } from "../metrics";
 
-/** How often the clocks are read, milliseconds: a wake is noticed within that time. */
-const LOOK_MS = 50;
-/** Shorter ones are no more than a slow turn of the event loop, and change nothing. */
-const TOLD_MS = 100;
+/**
+ * Interval between two readings of the clocks, in milliseconds; a suspension is detected within this time.
+ */
+const CHECK_INTERVAL_MS = 50;
+/**
+ * Shorter suspensions, in milliseconds, are ignored: they have no more effect than a slow turn of the event
+ * loop.
+ */
+const MIN_SUSPENSION_MS = 100;
 
-/** What a watch works with. */
+/** Options of a suspension monitor. */
 export interface SuspensionWatchOptions {
   readonly clock: SuspensionClock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called after each wake. */
+  /** Called after each suspension. */
   readonly onWake: () => void;
 }
 
-/** Watches for as long as it runs. */
+/** Detects suspensions of the machine. */
 export class SuspensionWatch {
   private readonly _options: SuspensionWatchOptions;
   private _timer: NodeJS.Timeout | undefined;
-  private _seenMs: number;
+  private _lastTotalMs: number;
 
-  /**
-   * @param options - Clock, log and whom to tell.
-   */
+  /** @param options - Clock, log, metrics and callback. */
   constructor(options: SuspensionWatchOptions) {
     this._options = options;
-    this._seenMs = options.clock.look();
+    this._lastTotalMs = options.clock.updateSuspendedMs();
   }
 
-  /** Starts watching. */
+  /** Starts reading the clocks at an interval. */
   start(): void {
     const { clock, logger } = this._options;
     const missing = clock.missingBootTime;
     if (missing !== undefined) logger.warn({ event: "boot_time_missing", reason: missing.reason });
-    this._timer = setInterval(() => this.look(), LOOK_MS).unref();
+    this._timer = setInterval(() => this.check(), CHECK_INTERVAL_MS).unref();
   }
 
-  /** Watches no more. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  /** Looks whether the machine was suspended since the last look. */
-  look(): void {
+  /** Checks whether the machine was suspended since the last check, and if so logs it and calls `onWake`. */
+  check(): void {
     const { clock, logger, metrics, onWake } = this._options;
-    const totalMs = clock.look();
-    const spanMs = Math.round(totalMs - this._seenMs);
-    this._seenMs = totalMs;
-    if (spanMs < TOLD_MS) return;
+    const totalMs = clock.updateSuspendedMs();
+    const spanMs = Math.round(totalMs - this._lastTotalMs);
+    this._lastTotalMs = totalMs;
+    if (spanMs < MIN_SUSPENSION_MS) return;
     logger.warn({
       event: "suspended",
       span_ms: spanMs,
--- a/src/process/index.ts
+++ b/src/process/index.ts
@@ -1,4 +1,4 @@
-/** What all processes share. */
+/** Parts shared by all processes. */
 export { answerHealth, type ReadinessCheck, startHealthServer } from "./HealthServer";
 export { LoadWatch, type LoadWatchOptions } from "./LoadWatch";
 export { ProcessSignals, type SignalSource, type StopSignal } from "./ProcessSignals";
--- a/src/process/reportResources.ts
+++ b/src/process/reportResources.ts
@@ -1,14 +1,17 @@
-/** Reports a process's own resources. */
+/** Reports the memory use of a process. */
 import { Effect } from "effect";
 import type { Metrics } from "../metrics";
 
-const INTERVAL_MS = 10_000;
+const REPORT_INTERVAL_MS = 10_000;
 
-/** Reports resident memory now and then, for as long as the scope is open. */
+/** Reports the resident memory every 10 seconds until the scope is closed. */
 export function reportResources(metrics: Metrics) {
   return Effect.acquireRelease(
     Effect.sync(() =>
-      setInterval(() => metrics.gauge("resident_bytes", process.memoryUsage.rss()), INTERVAL_MS).unref(),
+      setInterval(
+        () => metrics.gauge("resident_bytes", process.memoryUsage.rss()),
+        REPORT_INTERVAL_MS,
+      ).unref(),
     ),
     (timer) => Effect.sync(() => clearInterval(timer)),
   );
--- a/src/rpc/SessionPings.ts
+++ b/src/rpc/SessionPings.ts
@@ -49,11 +49,7 @@
    * @param timeoutMs - The session is destroyed when a ping has been unanswered for this long.
    */
   add(session: PingedSession, timeoutMs: number): void {
-    this._states.set(session, {
-      timeoutMs,
-      bytesRead: getBytesRead(session),
-      pingedAt: undefined,
-    });
+    this._states.set(session, { timeoutMs, bytesRead: getBytesRead(session), pingedAt: undefined });
     if (this._timer !== undefined) return;
     this._checkedAt = this._clock.getMonotonicMs();
     this._timer = setInterval(() => this._checkSessions(), CHECK_INTERVAL_MS).unref();
--- a/test/clock/SuspensionClock.test.ts
+++ b/test/clock/SuspensionClock.test.ts
@@ -69,14 +69,14 @@
       clock.getMs();
     }
     expect(clock.getMs() - before).toBeCloseTo(40);
-    expect(clock.look()).toBe(0);
+    expect(clock.updateSuspendedMs()).toBe(0);
   });
 
   it("counts a suspension that a step of the time of day hides, at the next look", () => {
     const clock = machine.createClock();
     machine.suspend(3_000);
     machine.stepTimeOfDay(-3_000);
-    expect(clock.look()).toBeCloseTo(3_000);
+    expect(clock.updateSuspendedMs()).toBeCloseTo(3_000);
   });
 
   it("counts every suspension once, whatever the time of day does, and never goes back", () => {
@@ -96,7 +96,7 @@
           else if (kind === "run") machine.run(ms);
           else machine.suspend(ms);
           if (kind !== "stepTimeOfDay") passedMs += ms;
-          clock.look();
+          clock.updateSuspendedMs();
           expect(clock.getMs() - before).toBeCloseTo(passedMs);
         }
       }),
@@ -119,7 +119,7 @@
       machine.run(10);
       clock.getMs();
     }
-    expect(clock.look()).toBe(0);
+    expect(clock.updateSuspendedMs()).toBe(0);
     expect(clock.getMs() - machine.steadyMs - before).toBeLessThanOrEqual(0);
   });
 
@@ -148,11 +148,11 @@
       },
     });
     machine.stepTimeOfDay(2_400);
-    watch.look();
+    watch.check();
     machine.run(50);
     machine.suspend(4_000);
-    watch.look();
-    watch.look();
+    watch.check();
+    watch.check();
     expect(wakes).toBe(1);
     expect(lines).toEqual([{ event: "suspended", span_ms: 4_000, told_by: "bootTime" }]);
   });
