--- a/test/clock/SuspensionClock.test.ts
+++ b/test/clock/SuspensionClock.test.ts
@@ -1,10 +1,10 @@
 /**
- * A process must not take the time in which its machine was suspended for time that has not passed.
+ * Guards against suspended time that a process does not count.
  *
- * What could happen: the steady clock stands still while a machine is suspended. After seconds of it a process
- * would send requests on whose callers are gone, with as much time as before, go by a view that the others have moved on
- * from, and hold leases that were given to others. The time of day tells of it, but may itself be stepped in either
- * direction; the time since the start of the machine can't be.
+ * The steady clock stops while a machine is suspended. After a suspension of seconds, a process that only
+ * reads this clock would forward requests with their full timeouts although their callers are gone, use an
+ * outdated view, and use leases that were granted to others meanwhile. The wall clock shows the suspension,
+ * but may itself be stepped in either direction; the time since boot can't be stepped.
  */
 import fc from "fast-check";
 import { beforeEach, describe, expect, it } from "vitest";
@@ -15,7 +15,7 @@
 
 const START_WALL_MS = 1_700_000_000_000;
 
-/** A machine whose clocks the tests move. */
+/** A machine whose clocks are set by the tests. */
 class Machine {
   steadyMs = 5_000;
   wallMs = START_WALL_MS;
@@ -60,7 +60,7 @@
     expect(clock.getMs() - before).toBeCloseTo(5_200);
   });
 
-  it("takes no step of the time of day for one, in either direction and back", () => {
+  it("does not count steps of the wall clock in either direction as suspensions", () => {
     const clock = machine.createClock();
     const before = clock.getMs();
     for (const step of [2_400, -2_400, -3_600_000, 3_600_000]) {
@@ -72,14 +72,14 @@
     expect(clock.updateSuspendedMs()).toBe(0);
   });
 
-  it("counts a suspension that a step of the time of day hides, at the next look", () => {
+  it("counts a suspension hidden by a step of the wall clock when all clocks are read", () => {
     const clock = machine.createClock();
     machine.suspend(3_000);
     machine.stepTimeOfDay(-3_000);
     expect(clock.updateSuspendedMs()).toBeCloseTo(3_000);
   });
 
-  it("counts every suspension once, whatever the time of day does, and never goes back", () => {
+  it("counts every suspension once and never goes back, despite steps of the wall clock", () => {
     const step = fc.record({
       kind: fc.constantFrom("run", "suspend", "stepTimeOfDay"),
       ms: fc.integer({ min: 30, max: 10_000 }),
@@ -103,12 +103,12 @@
     );
   });
 
-  it("takes no pause between two of its readings for one", () => {
+  it("does not count a delay between reading two clocks as a suspension", () => {
     let reads = 0;
     const clock = new SuspensionClock({
       getSteadyMs: () => machine.steadyMs,
       getWallMs: () => {
-        // Held up right after the steady clock was read, once in a while.
+        // Simulates an occasional delay right after the steady clock was read.
         if (reads++ % 4 === 1) machine.run(90);
         return machine.wallMs;
       },
@@ -123,7 +123,7 @@
     expect(clock.getMs() - machine.steadyMs - before).toBeLessThanOrEqual(0);
   });
 
-  it("takes a step forward for a suspension where nothing tells them apart, and a step back for none", () => {
+  it("counts forward steps of the wall clock as suspensions, but not backward steps, if there is no boot time", () => {
     const clock = machine.createClock(false);
     const before = clock.getMs();
     machine.stepTimeOfDay(2_400);
@@ -133,8 +133,8 @@
   });
 });
 
-describe("SuspensionWatch", () => {
-  it("tells of a suspension once, and of no step of the time of day", () => {
+describe("SuspensionMonitor", () => {
+  it("reports a suspension once, and no step of the wall clock", () => {
     const machine = new Machine();
     const lines: object[] = [];
     const logger = { warn: (line: object) => lines.push(line) } as never;
@@ -159,7 +159,7 @@
 });
 
 describe("loadBootTime", () => {
-  it("goes on as the steady clock does while the machine runs", async () => {
+  it("advances like the steady clock while the machine runs", async () => {
     const boot = loadBootTime();
     const [before, steadyBefore] = [boot.getMs(), performance.now()];
     await new Promise((resolve) => setTimeout(resolve, 50));
--- a/test/clock/TurnQueue.test.ts
+++ b/test/clock/TurnQueue.test.ts
@@ -2,7 +2,7 @@
 import { TurnQueue } from "../../src/clock";
 
 describe("TurnQueue", () => {
-  it("begins a few pieces a turn, in order, and lets other work run in between", async () => {
+  it("starts a limited number of items per turn, in order, and lets other work run in between", async () => {
     const turns: number[][] = [[], [], [], []];
     let turn = 0;
     const count = () => {
--- a/test/process/ProcessSignals.test.ts
+++ b/test/process/ProcessSignals.test.ts
@@ -7,7 +7,7 @@
 const SIGNALS = ["SIGTERM", "SIGINT", "SIGHUP"] as const;
 
 describe("ProcessSignals", () => {
-  it("has the first stop signal decide and tells the others, whatever series comes", async () => {
+  it("resolves with the first stop signal and logs the others, for any series of signals", async () => {
     const property = fc.asyncProperty(fc.array(fc.constantFrom(...SIGNALS)), async (series) => {
       const source = new EventEmitter();
       const lines: string[] = [];
@@ -23,7 +23,7 @@
     await fc.assert(property, { seed: 20_261_204 });
   });
 
-  it("never leaves a signal to its own effect, however often it came", () => {
+  it("handles every signal, also when it is repeated", () => {
     const source = new EventEmitter();
     ProcessSignals.takeOver(source);
     for (let i = 0; i < 3; i++) for (const signal of SIGNALS) expect(source.emit(signal)).toBe(true);
--- a/test/rpc/CallHeaders.test.ts
+++ b/test/rpc/CallHeaders.test.ts
@@ -4,7 +4,7 @@
 
 const NAMES = ["accept", "Accept", "content-type", "Content-Type", "x-a"];
 
-/** What is done with headers, one after the other. */
+/** Random sequences of operations on headers. */
 const steps = fc.array(
   fc.tuple(
     fc.constantFrom("append" as const, "set" as const, "delete" as const),
@@ -26,7 +26,7 @@
 }
 
 describe("CallHeaders", () => {
-  it("hold what the web platform's hold, whatever is done with them", () => {
+  it("have the same values as the web platform's headers after any operations", () => {
     fc.assert(
       fc.property(steps, (taken) => {
         const own = new CallHeaders();
@@ -40,7 +40,7 @@
     );
   });
 
-  it("are made from others, from pairs and from objects", () => {
+  it("can be created from other headers, from pairs and from objects", () => {
     const pairs: [string, string][] = [
       ["a", "1"],
       ["b", "2"],
@@ -50,7 +50,7 @@
     }
   });
 
-  it("give each header to a callback", () => {
+  it("pass each header to a callback", () => {
     const given: string[] = [];
     new CallHeaders({ a: "1" }).forEach((value, name) => {
       given.push(name, value);
--- a/test/rpc/GuardedSessionManager.test.ts
+++ b/test/rpc/GuardedSessionManager.test.ts
@@ -4,48 +4,54 @@
 import { ReconnectingSessionManager } from "../../src/rpc/GuardedSessionManager";
 import { SessionPinger } from "../../src/rpc/SessionPings";
 
-describe("GuardedSessionManager", () => {
-  it("outlives the errors of a stream that came too late for its call, and of its session", async () => {
+describe("ReconnectingSessionManager", () => {
+  it("handles errors of a stream that opened after its call had failed, and of its session", async () => {
     const first = Object.assign(new EventEmitter(), { setLocalWindowSize: () => {} });
     const second = Object.assign(new EventEmitter(), { setLocalWindowSize: () => {} });
-    const late = Object.assign(new EventEmitter(), { session: second, close: () => {} });
-    let open: (stream: object) => void = () => {};
-    const opened = [
+    const lateStream = Object.assign(new EventEmitter(), { session: second, close: () => {} });
+    let openStream: (stream: object) => void = () => {};
+    const openings = [
       Promise.resolve({ session: first }),
       new Promise((resolve) => {
-        open = resolve;
+        openStream = resolve;
       }),
     ];
-    const inner = {
+    const fakeManager = {
       authority: "http://127.0.0.1:1",
-      request: () => opened.shift(),
+      request: () => openings.shift(),
       notifyResponseByteRead: () => {},
     };
-    const pings = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
-    const guarded = new ReconnectingSessionManager(() => inner as unknown as Http2SessionManager, pings);
-    await guarded.request("POST", "/", {}, {});
-    const call = guarded.request("POST", "/", {}, {});
+    const pinger = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
+    const manager = new ReconnectingSessionManager(
+      () => fakeManager as unknown as Http2SessionManager,
+      pinger,
+    );
+    await manager.request("POST", "/", {}, {});
+    const call = manager.request("POST", "/", {}, {});
     first.emit("close");
     await expect(call).rejects.toThrow("the session ended");
-    open(late);
+    openStream(lateStream);
     await Promise.resolve();
-    const reset = new Error("read ECONNRESET");
-    expect(() => late.emit("error", reset)).not.toThrow();
-    expect(() => second.emit("error", reset)).not.toThrow();
+    const resetError = new Error("read ECONNRESET");
+    expect(() => lateStream.emit("error", resetError)).not.toThrow();
+    expect(() => second.emit("error", resetError)).not.toThrow();
   });
 
-  it("outlives the error of a session on which no call is open any more, and listens once", async () => {
+  it("handles the error of a session without open calls with a single listener", async () => {
     const session = Object.assign(new EventEmitter(), { setLocalWindowSize: () => {} });
-    const inner = {
+    const fakeManager = {
       authority: "http://127.0.0.1:1",
       request: () => Promise.resolve({ session }),
       notifyResponseByteRead: () => {},
     };
-    const pings = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
+    const pinger = new SessionPinger({ getMonotonicMs: () => 0, getWallMs: () => 0 });
     expect(() => session.emit("error", new Error("received GOAWAY"))).toThrow("received GOAWAY");
-    const guarded = new ReconnectingSessionManager(() => inner as unknown as Http2SessionManager, pings);
-    await guarded.request("POST", "/", {}, {});
-    await guarded.request("POST", "/", {}, {});
+    const manager = new ReconnectingSessionManager(
+      () => fakeManager as unknown as Http2SessionManager,
+      pinger,
+    );
+    await manager.request("POST", "/", {}, {});
+    await manager.request("POST", "/", {}, {});
     expect(session.listenerCount("error")).toBe(1);
     expect(() => session.emit("error", new Error("received GOAWAY"))).not.toThrow();
   });
--- a/test/rpc/LeaderClient.test.ts
+++ b/test/rpc/LeaderClient.test.ts
@@ -9,73 +9,79 @@
 
 describe("LeaderClient", () => {
   let client: LeaderClient<typeof FleetService>;
-  let asked: string[];
-  let known: string;
+  let called: string[];
+  let knownLeader: string;
 
   beforeEach(() => {
     vi.useFakeTimers({ now: 0 });
-    asked = [];
-    known = "";
+    called = [];
+    knownLeader = "";
     client = new LeaderClient(FleetService, {
       addresses: ADDRESSES,
       transports: new TransportPool(undefined),
       clock: { getMonotonicMs: () => Date.now(), getWallMs: () => Date.now() },
-      getLeaderAddress: () => known,
+      getLeaderAddress: () => knownLeader,
     });
   });
   afterEach(() => {
     vi.useRealTimers();
   });
 
-  /** Calls until the leader answers; gives when that was. */
+  /**
+   * Calls until the leader answers.
+   * @returns When the leader was called, in milliseconds of the fake clock.
+   */
   async function findLeader(getLeader: () => string | undefined, hint = ""): Promise<number> {
     let foundAt = Number.NaN;
     const trace = new CallTrace();
-    const tell = () => {
-      asked.push(trace.lastAddress);
+    const respond = () => {
+      called.push(trace.lastAddress);
       if (trace.lastAddress !== getLeader()) return Promise.reject(createLeaderRefusal(hint));
       foundAt = Date.now();
       return Promise.resolve(1);
     };
-    const call = client.call(tell, TOTAL_MS, trace);
+    const call = client.call(respond, TOTAL_MS, trace);
     await Promise.all([call, vi.advanceTimersByTimeAsync(TOTAL_MS)]);
     return foundAt;
   }
 
-  it("asks all processes within a moment", async () => {
+  it("calls three processes within 30 ms", async () => {
     expect(await findLeader(() => ADDRESSES[2])).toBeLessThanOrEqual(30);
-    expect(asked).toEqual(ADDRESSES);
+    expect(called).toEqual(ADDRESSES);
   });
 
-  it("follows a hint at once", async () => {
+  it("follows a hint within 15 ms", async () => {
     expect(await findLeader(() => ADDRESSES[2], ADDRESSES[2])).toBeLessThanOrEqual(15);
-    expect(asked).toEqual([ADDRESSES[0], ADDRESSES[2]]);
+    expect(called).toEqual([ADDRESSES[0], ADDRESSES[2]]);
   });
 
-  it("finds a leader soon after it was elected, and asks no more often than a few times a round", async () => {
+  it("finds a leader within 250 ms of its election, with fewer than 30 calls", async () => {
     const ELECTED_AT = 900;
     const foundAt = await findLeader(() => (Date.now() >= ELECTED_AT ? ADDRESSES[1] : undefined));
     expect(foundAt - ELECTED_AT).toBeLessThanOrEqual(250);
-    expect(asked.length).toBeLessThan(30);
+    expect(called.length).toBeLessThan(30);
   });
 
-  it("asks the leader first that its process knows, and others where that one is gone", async () => {
-    known = "127.0.0.1:9";
-    expect(await findLeader(() => known)).toBe(0);
-    expect(asked).toEqual([known]);
-    asked = [];
+  it("calls the leader given by getLeaderAddress first, and the other processes if it fails", async () => {
+    knownLeader = "127.0.0.1:9";
+    expect(await findLeader(() => knownLeader)).toBe(0);
+    expect(called).toEqual([knownLeader]);
+    called = [];
     const startedAt = Date.now();
     expect((await findLeader(() => ADDRESSES[1])) - startedAt).toBeLessThanOrEqual(100);
-    expect(asked).toEqual([known, ADDRESSES[0], ADDRESSES[1]]);
+    expect(called).toEqual([knownLeader, ADDRESSES[0], ADDRESSES[1]]);
   });
 
-  /** Calls a leader that answers late; gives whom it asked, and when it had an answer. */
-  async function callLate(answerMs: number): Promise<{ asked: string[]; answeredAt: number }> {
+  /**
+   * Makes a call that the first process answers only after `answerMs`.
+   * @returns The called processes, and when the call was answered.
+   */
+  async function callSlowLeader(answerMs: number): Promise<{ called: string[]; answeredAt: number }> {
     let answeredAt = Number.NaN;
     const trace = new CallTrace();
     const startedAt = Date.now();
-    const tell = (_: unknown, timeoutMs: number) => {
-      asked.push(trace.lastAddress);
+    const respond = (_: unknown, timeoutMs: number) => {
+      called.push(trace.lastAddress);
       return new Promise((resolve, reject) => {
         const isLate = trace.lastAddress === ADDRESSES[0] && answerMs > timeoutMs;
         const failure = new ConnectError("the operation timed out", Code.DeadlineExceeded);
@@ -83,45 +89,51 @@
         setTimeout(() => (isLate ? reject(failure) : resolve(1)), Math.min(waitMs, timeoutMs));
       });
     };
-    const call = client.call(tell, TOTAL_MS, trace).then(() => {
+    const call = client.call(respond, TOTAL_MS, trace).then(() => {
       answeredAt = Date.now() - startedAt;
     });
     await Promise.all([call, vi.advanceTimersByTimeAsync(TOTAL_MS)]);
-    return { asked, answeredAt };
+    return { called, answeredAt };
   }
 
-  it("asks a leader that is only late once, for as long as it has time", async () => {
-    known = ADDRESSES[0]!;
-    expect(await callLate(1_300)).toEqual({ asked: [known], answeredAt: 1_300 });
+  it("calls a slow leader only once and waits for its answer", async () => {
+    knownLeader = ADDRESSES[0]!;
+    expect(await callSlowLeader(1_300)).toEqual({ called: [knownLeader], answeredAt: 1_300 });
   });
 
-  it("waits no longer for a late leader once another one leads", async () => {
-    known = ADDRESSES[0]!;
+  it("abandons a slow leader when another process becomes the leader", async () => {
+    knownLeader = ADDRESSES[0]!;
     setTimeout(() => {
-      known = ADDRESSES[2]!;
+      knownLeader = ADDRESSES[2]!;
     }, 400);
-    const late = await callLate(10_000);
-    expect(late.asked).toEqual([ADDRESSES[0], ADDRESSES[2]]);
-    expect(late.answeredAt).toBeLessThanOrEqual(500);
+    const outcome = await callSlowLeader(10_000);
+    expect(outcome.called).toEqual([ADDRESSES[0], ADDRESSES[2]]);
+    expect(outcome.answeredAt).toBeLessThanOrEqual(500);
   });
 
-  it("gives up a process soon that it does not know to lead", async () => {
-    const late = await callLate(10_000);
-    expect(late.asked).toEqual([ADDRESSES[0], ADDRESSES[1]]);
-    expect(late.answeredAt).toBeLessThanOrEqual(800);
+  it("abandons a slow process within 800 ms if getLeaderAddress does not name it", async () => {
+    const outcome = await callSlowLeader(10_000);
+    expect(outcome.called).toEqual([ADDRESSES[0], ADDRESSES[1]]);
+    expect(outcome.answeredAt).toBeLessThanOrEqual(800);
   });
 
-  describe("calls at once", () => {
-    /** Some at a time, as operators and relays make them. */
+  describe("concurrent calls", () => {
+    /** Numbers of concurrent calls that operators and relays make. */
     const COUNTS = [2, 3, 4, 6, 8];
-    /** Until another process has answered. */
+    /** Time until a process that is not the leader answers. */
     const ANSWER_MS = 3;
 
     /**
-     * Calls some times at once; gives when each reached the leader.
-     * @param failure - What another process answers, and after how long.
+     * Makes concurrent calls.
+     * @param failure - Error with which the other processes answer.
+     * @param afterMs - Time after which they answer.
+     * @returns When each call reached the leader.
      */
-    async function findTogether(count: number, failure: ConnectError, afterMs: number): Promise<number[]> {
+    async function callConcurrently(
+      count: number,
+      failure: ConnectError,
+      afterMs: number,
+    ): Promise<number[]> {
       const foundAt: number[] = [];
       const fail = () =>
         new Promise<never>((_, reject) => {
@@ -129,34 +141,34 @@
         });
       const call = () => {
         const trace = new CallTrace();
-        const tell = () => {
+        const respond = () => {
           if (trace.lastAddress !== ADDRESSES[2]) return fail();
           foundAt.push(Date.now());
           return Promise.resolve(1);
         };
-        return client.call(tell, TOTAL_MS, trace);
+        return client.call(respond, TOTAL_MS, trace);
       };
       const calls = Promise.allSettled(Array.from({ length: count }, call));
       await Promise.all([calls, vi.advanceTimersByTimeAsync(2 * TOTAL_MS)]);
       return foundAt;
     }
 
-    it.each(COUNTS)("all reach the leader that a process names (%i calls)", async (count) => {
-      const foundAt = await findTogether(count, createLeaderRefusal(ADDRESSES[2]!), ANSWER_MS);
+    it.each(COUNTS)("all reach the leader that another process names (%i calls)", async (count) => {
+      const foundAt = await callConcurrently(count, createLeaderRefusal(ADDRESSES[2]!), ANSWER_MS);
       expect(foundAt).toHaveLength(count);
       expect(Math.max(...foundAt)).toBeLessThanOrEqual(50);
     });
 
-    it.each(COUNTS)("pass over no process while others do not answer (%i calls)", async (count) => {
-      const SILENT_MS = 300;
-      const failure = new ConnectError("silent", Code.DeadlineExceeded);
-      const foundAt = await findTogether(count, failure, SILENT_MS);
+    it.each(COUNTS)("skip no process while the others time out (%i calls)", async (count) => {
+      const TIMEOUT_MS = 300;
+      const failure = new ConnectError("no answer in time", Code.DeadlineExceeded);
+      const foundAt = await callConcurrently(count, failure, TIMEOUT_MS);
       expect(foundAt).toHaveLength(count);
-      expect(Math.max(...foundAt)).toBeLessThanOrEqual(2 * SILENT_MS + 50);
+      expect(Math.max(...foundAt)).toBeLessThanOrEqual(2 * TIMEOUT_MS + 50);
     });
   });
 
-  it("gives up in the time that it has, and at once where asking again is of no use", async () => {
+  it("fails when its time is over, and at once after a permanent error", async () => {
     const call = client.call(() => Promise.reject(createLeaderRefusal("")), TOTAL_MS);
     const failed = expect(call).rejects.toBeInstanceOf(UnreachableControl);
     await vi.advanceTimersByTimeAsync(TOTAL_MS + 1);
--- a/test/rpc/SearchPause.test.ts
+++ b/test/rpc/SearchPause.test.ts
@@ -3,22 +3,22 @@
 
 const PROCESSES = 5;
 
-/** Asks in vain for some time; gives how often. */
-function search(pause: SearchPause, milliseconds: number): number {
-  let asked = 0;
-  for (let passed = 0; passed < milliseconds; asked++) passed += pause.addFailure(PROCESSES);
-  return asked;
+/** Counts the failed attempts that fit into a time. */
+function countAttempts(pause: SearchPause, milliseconds: number): number {
+  let attempts = 0;
+  for (let elapsed = 0; elapsed < milliseconds; attempts++) elapsed += pause.addFailure(PROCESSES);
+  return attempts;
 }
 
-describe("SearchPause", () => {
-  it("asks all at once first, then less and less often the longer there is no leader", () => {
+describe("SearchBackoff", () => {
+  it("allows a fast first round, then reduces the rate while there is no leader", () => {
     const pause = new SearchPause();
-    expect(search(pause, 40)).toBe(4);
-    search(pause, 2_500);
-    const early = search(new SearchPause(), 1_000);
-    search(pause, 2_000);
-    expect(search(pause, 5_000) / 5).toBeLessThan(early / 3);
+    expect(countAttempts(pause, 40)).toBe(4);
+    countAttempts(pause, 2_500);
+    const initialAttempts = countAttempts(new SearchPause(), 1_000);
+    countAttempts(pause, 2_000);
+    expect(countAttempts(pause, 5_000) / 5).toBeLessThan(initialAttempts / 3);
     pause.reset();
-    expect(search(pause, 1_000)).toBe(early);
+    expect(countAttempts(pause, 1_000)).toBe(initialAttempts);
   });
 });
--- a/test/rpc/SessionPings.test.ts
+++ b/test/rpc/SessionPings.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { SessionPinger } from "../../src/rpc/SessionPings";
 
-const LOOK_MS = 250;
-const PATIENCE_MS = 500;
+const CHECK_INTERVAL_MS = 250;
+const PING_TIMEOUT_MS = 500;
 
-/** A session as Node's: it throws when it is pinged after its end. */
-class Session {
+/** Fake session. Like a session of Node, it throws when it is pinged after it was destroyed. */
+class FakeSession {
   destroyed = false;
   closed = false;
   socket = { bytesRead: 0 };
@@ -22,93 +22,93 @@
   }
 }
 
-describe("SessionPings", () => {
+describe("SessionPinger", () => {
   let now: number;
-  let session: Session;
-  let pings: SessionPinger;
+  let session: FakeSession;
+  let pinger: SessionPinger;
 
   beforeEach(() => {
     vi.useFakeTimers();
     now = 0;
-    session = new Session();
-    pings = new SessionPinger({ getMonotonicMs: () => now, getWallMs: () => now });
-    pings.add(session as never, PATIENCE_MS);
+    session = new FakeSession();
+    pinger = new SessionPinger({ getMonotonicMs: () => now, getWallMs: () => now });
+    pinger.add(session as never, PING_TIMEOUT_MS);
   });
 
   afterEach(() => {
-    pings.stop();
+    pinger.stop();
     vi.useRealTimers();
   });
 
-  /** Lets time pass until the sessions are looked at next, which may be late. */
-  async function look(afterMs = LOOK_MS): Promise<void> {
+  /** Advances the time to the next check of the sessions, which may be late. */
+  async function advanceToCheck(afterMs = CHECK_INTERVAL_MS): Promise<void> {
     now += afterMs;
-    await vi.advanceTimersByTimeAsync(LOOK_MS);
+    await vi.advanceTimersByTimeAsync(CHECK_INTERVAL_MS);
   }
 
-  it("keeps a peer that answers, and cuts one off within a second that does not", async () => {
-    await look();
+  it("keeps the session of a peer that answers, and destroys it within a second after the last answer", async () => {
+    await advanceToCheck();
     session.pings.pop()!(null);
     const answeredAt = now;
-    for (let looks = 0; looks < 10 && !session.destroyed; looks++) await look();
+    for (let checks = 0; checks < 10 && !session.destroyed; checks++) await advanceToCheck();
     expect(session.destroyed).toBe(true);
     expect(now - answeredAt).toBeLessThanOrEqual(1_000);
-    expect(now - answeredAt).toBeGreaterThan(PATIENCE_MS);
+    expect(now - answeredAt).toBeGreaterThan(PING_TIMEOUT_MS);
   });
 
-  it("asks nothing of a peer that says something anyway", async () => {
-    for (let looks = 0; looks < 10; looks++) {
+  it("sends no ping to a peer that sends data", async () => {
+    for (let checks = 0; checks < 10; checks++) {
       session.socket.bytesRead += 1;
-      await look();
+      await advanceToCheck();
     }
     expect(session.pings).toEqual([]);
     expect(session.destroyed).toBe(false);
   });
 
-  it("takes what a peer says for the answer to a ping", async () => {
-    await look();
+  it("counts received data as the answer to a ping", async () => {
+    await advanceToCheck();
     expect(session.pings).toHaveLength(1);
     session.socket.bytesRead += 1;
-    await look();
-    await look();
-    await look();
+    await advanceToCheck();
+    await advanceToCheck();
+    await advanceToCheck();
     expect(session.destroyed).toBe(false);
     expect(session.pings).toHaveLength(2);
   });
 
-  it("leaves a session alone that has ended and is not closed yet", async () => {
-    await look();
+  it("does not ping a destroyed session that has not emitted its close event", async () => {
+    await advanceToCheck();
     session.pings.pop()!(null);
     session.destroyed = true;
-    await look();
+    await advanceToCheck();
     expect(session.pings).toEqual([]);
   });
 
-  it("takes no peer for gone while it runs late itself", async () => {
-    await look();
-    await look(LOOK_MS * 8);
+  it("destroys no session while its own checks are late", async () => {
+    await advanceToCheck();
+    await advanceToCheck(CHECK_INTERVAL_MS * 8);
     expect(session.destroyed).toBe(false);
     session.pings.pop()!(null);
-    await look();
-    await look();
+    await advanceToCheck();
+    await advanceToCheck();
     expect(session.destroyed).toBe(false);
-    await look();
-    await look();
+    await advanceToCheck();
+    await advanceToCheck();
     expect(session.destroyed).toBe(true);
   });
 
-  it("waits for longer for a peer that it was told to be patient with", async () => {
-    pings.setTimeoutMs(session as never, 3_000);
-    for (let looks = 0; looks < 12; looks++) await look();
+  it("applies a longer timeout set for one session", async () => {
+    pinger.setTimeoutMs(session as never, 3_000);
+    for (let checks = 0; checks < 12; checks++) await advanceToCheck();
     expect(session.destroyed).toBe(false);
-    await look();
-    await look();
+    await advanceToCheck();
+    await advanceToCheck();
     expect(session.destroyed).toBe(true);
   });
 
-  it("looks at a session no more once it was removed", async () => {
-    pings.remove(session as never);
-    await look();
+  it("does not ping a removed session", async () => {
+    pinger.remove(session as never);
+    await advanceToCheck();
     expect(session.pings).toEqual([]);
   });
 });
--- a/test/rpc/TransportPool.test.ts
+++ b/test/rpc/TransportPool.test.ts
@@ -9,11 +9,11 @@
 import { Relay } from "../support/Relay";
 import { waitUntil } from "../support/waitUntil";
 
-/** Between late processes an answer takes so long, both ways together. */
-const ONE_WAY_MS = 600;
-const LATE_FOR_MS = 4_000;
-/** A peer that says nothing is missed within this time. */
-const SILENT_MS = 2_300;
+/** Delay in each direction, as between delayed processes; an answer takes twice as long. */
+const ONE_WAY_DELAY_MS = 600;
+const SLOW_FOR_MS = 4_000;
+/** Longest time until a peer without answers is detected. */
+const MAX_DETECTION_MS = 2_300;
 
 describe("TransportPool", () => {
   let server: RpcServer;
@@ -64,40 +64,40 @@
     members.send(create(ConsensusMessageSchema, { to: "m" }), relay.address);
   }
 
-  it("has all that a process asks of a peer share one session", async () => {
+  it("shares one session between all calls to a peer", async () => {
     deliver();
-    await waitUntil("it is delivered", () => delivered === 1);
-    for (const pooled of [transports, transports]) {
-      const client = createClient(FleetService, pooled.getTransport(relay.address));
+    await waitUntil("the message is delivered", () => delivered === 1);
+    for (const pool of [transports, transports]) {
+      const client = createClient(FleetService, pool.getTransport(relay.address));
       await Promise.all([client.getDeclaration({}), client.getDeclaration({})]);
     }
     expect(sessions).toBe(1);
   });
 
-  it("ends all calls of a session that says nothing any more, and opens another one", async () => {
+  it("fails all calls of a session whose peer stops answering, and opens another session", async () => {
     const client = createClient(FleetService, transports.getTransport(relay.address));
     const watching = client.watch({ watcherId: "w" })[Symbol.asyncIterator]();
     await watching.next();
     deliver();
-    await waitUntil("it is delivered", () => delivered === 1);
+    await waitUntil("the message is delivered", () => delivered === 1);
     relay.cut();
     const startedAt = performance.now();
-    await expect(watching.next()).rejects.toThrow("a ping was not answered");
-    expect(performance.now() - startedAt).toBeLessThan(SILENT_MS);
+    await expect(watching.next()).rejects.toThrow("the peer did not answer a ping in time");
+    expect(performance.now() - startedAt).toBeLessThan(MAX_DETECTION_MS);
     relay.heal();
-    await waitUntil("what comes later is delivered", () => {
+    await waitUntil("a later message is delivered", () => {
       deliver();
       return delivered > 1;
     });
   });
 
-  it("keeps the session of a member that is only late", async () => {
+  it("keeps the session of a member that is only slow", async () => {
     deliver();
-    await waitUntil("it is delivered", () => delivered === 1);
-    relay.setDelay(ONE_WAY_MS);
-    await new Promise((resolve) => setTimeout(resolve, LATE_FOR_MS));
+    await waitUntil("the message is delivered", () => delivered === 1);
+    relay.setDelay(ONE_WAY_DELAY_MS);
+    await new Promise((resolve) => setTimeout(resolve, SLOW_FOR_MS));
     deliver();
-    await waitUntil("it is delivered", () => delivered === 2);
+    await waitUntil("the second message is delivered", () => delivered === 2);
     expect(sessions).toBe(1);
   });
 });
--- a/test/rpc/callOrder.test.ts
+++ b/test/rpc/callOrder.test.ts
@@ -7,7 +7,7 @@
 
 const SUSPICIONS = 200;
 
-it("an order that comes in behind calls of less value is begun before nearly all of them", async () => {
+it("an order that arrives after 200 calls of a lower class begins before most of them", async () => {
   const [listen] = (await getFreeAddresses(1)) as [string];
   const begun: string[] = [];
   const server = await RpcServer.start({
--- a/test/rpc/createRpcTransport.test.ts
+++ b/test/rpc/createRpcTransport.test.ts
@@ -6,18 +6,18 @@
 import { Relay } from "../support/Relay";
 import { waitUntil } from "../support/waitUntil";
 
-/** Longer than a session says nothing before it is looked at. */
-const REST_MS = 1_200;
-const CALL_MS = 700;
-const ONE_WAY_MS = 100;
+/** Longer than a session may be idle before it is pinged. */
+const IDLE_MS = 1_200;
+const CALL_TIMEOUT_MS = 700;
+const ONE_WAY_DELAY_MS = 100;
 const LARGE_BYTES = 360_000;
 
-function rest(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
 describe("createRpcTransport", () => {
-  it("outlives a peer that closes its sessions after the last call ended, and calls it again", async () => {
+  it("survives a peer that closes its sessions after the last call, and calls it again", async () => {
     const [address] = (await getFreeAddresses(1)) as [string];
     const errors: unknown[] = [];
     const onError = (error: unknown) => errors.push(error);
@@ -49,13 +49,13 @@
       await server.stop();
       expect(watching).toBeGreaterThanOrEqual(round);
     }
-    // The end of the last session has been seen once a further call is refused.
+    // The end of the last session has been processed once another call is refused.
     await expect(client.suspect({ suspicions: [{ targetId: "t" }] }, { timeoutMs: 1_000 })).rejects.toThrow();
     process.off("uncaughtException", onError);
     expect(errors).toEqual([]);
   });
 
-  it("sends as much as a large declaration in the time of two round trips", async () => {
+  it("sends a large declaration within two round trips", async () => {
     const [listen] = (await getFreeAddresses(1)) as [string];
     const server = await RpcServer.start({
       listen,
@@ -67,16 +67,16 @@
     const relay = await Relay.start(listen);
     const client = createClient(FleetService, createRpcTransport(relay.address, undefined));
     await client.getDeclaration({});
-    relay.setDelay(ONE_WAY_MS);
+    relay.setDelay(ONE_WAY_DELAY_MS);
     const startedAt = performance.now();
     await client.putDeclaration({ version: 1, document: new Uint8Array(LARGE_BYTES) });
     const tookMs = performance.now() - startedAt;
     await relay.stop();
     await server.stop();
-    expect(tookMs).toBeLessThan(2 * 2 * ONE_WAY_MS);
+    expect(tookMs).toBeLessThan(2 * 2 * ONE_WAY_DELAY_MS);
   });
 
-  it("calls a peer again whose session ended, without an error, while it was being looked at", async () => {
+  it("calls a peer again after its session ended without an error during a ping", async () => {
     const [listen] = (await getFreeAddresses(1)) as [string];
     const server = await RpcServer.start({
       listen,
@@ -88,20 +88,20 @@
     const relay = await Relay.start(listen);
     const client = createClient(FleetService, createRpcTransport(relay.address, undefined));
     const call = () =>
-      client.getDeclaration({}, { timeoutMs: CALL_MS }).then(
+      client.getDeclaration({}, { timeoutMs: CALL_TIMEOUT_MS }).then(
         () => "answered",
         (cause: unknown) => String(cause),
       );
     const outcomes = [await call()];
-    await rest(REST_MS);
+    await sleep(IDLE_MS);
     relay.cut("fromTarget");
-    const lost = call();
-    await rest(CALL_MS / 7);
+    const lostCall = call();
+    await sleep(CALL_TIMEOUT_MS / 7);
     relay.heal();
-    await lost;
+    await lostCall;
     for (let i = 0; i < 3; i++) {
       outcomes.push(await call());
-      await rest(REST_MS);
+      await sleep(IDLE_MS);
     }
     await relay.stop();
     await server.stop();
--- a/test/rpc/openSocket.test.ts
+++ b/test/rpc/openSocket.test.ts
@@ -1,8 +1,9 @@
 /**
- * Entries that had been cut off from control for ten seconds went by an outdated declaration for 6.8 s after
- * the cut was over (a day with a cut, two plays of two; control had been at work all the time). Their
- * connections were still coming up: the system had sent the first packet again after 1, 3 and 7 s, each time
- * into the cut, and would have next after 15 s; each try of ours waited for the same connection.
+ * Guards against connections that are still being established after a partition. The operating system repeats
+ * the first packet of a connection after 1, 3, 7 and 15 s. In a partition of ten seconds the first three
+ * repetitions are lost. Without a timeout every attempt of an entry waits for the same connection until the
+ * fourth one, and entries use an outdated declaration for 6.8 s after the partition, although control
+ * processes are available.
  */
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
@@ -11,12 +12,15 @@
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { FleetService } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { createRpcTransport } from "../../src/rpc";
-import { CONNECT_TIMEOUT_MS as LONGEST_CONNECT_MS, openSocket } from "../../src/rpc/openSocket";
+import { CONNECT_TIMEOUT_MS as DEFAULT_TIMEOUT_MS, openSocket } from "../../src/rpc/openSocket";
 import { waitUntil } from "../support/waitUntil";
 
-const CONNECT_MS = 200;
-/** A listener that accepts nothing holds a few connections; the next one does not come up. */
-const FILLING = 8;
+const TIMEOUT_MS = 200;
+/**
+ * Number of connections that fill the backlog of a listener that accepts none; the next connection is not
+ * established.
+ */
+const BACKLOG_CONNECTIONS = 8;
 const LISTENER = `
   const server = require("node:net").createServer(() => {});
   server.listen({ port: 0, host: "127.0.0.1", backlog: 1 }, () => console.log(server.address().port));
@@ -25,7 +29,7 @@
 describe("openSocket", () => {
   let listener: ChildProcess;
   let address: string;
-  const open: Socket[] = [];
+  const openSockets: Socket[] = [];
 
   beforeEach(async () => {
     listener = spawn(process.execPath, ["-e", LISTENER], { stdio: ["ignore", "pipe", "inherit"] });
@@ -34,28 +38,29 @@
   });
 
   afterEach(() => {
-    for (const socket of open.splice(0)) socket.destroy();
+    for (const socket of openSockets.splice(0)) socket.destroy();
     listener.kill("SIGKILL");
   });
 
-  async function fill(): Promise<void> {
+  async function fillBacklog(): Promise<void> {
     const port = Number(address.split(":")[1]);
     listener.kill("SIGSTOP");
-    for (let i = 0; i < FILLING; i++) open.push(connect({ host: "127.0.0.1", port }).on("error", () => {}));
-    await waitUntil("some connections do not come up", () => open.some((socket) => socket.connecting));
+    for (let i = 0; i < BACKLOG_CONNECTIONS; i++)
+      openSockets.push(connect({ host: "127.0.0.1", port }).on("error", () => {}));
+    await waitUntil("the backlog is full", () => openSockets.some((socket) => socket.connecting));
   }
 
-  it("gives a connection up that does not come up, so that the next try makes a new one", async () => {
-    await fill();
-    const stuck = openSocket(address, CONNECT_MS);
-    const [cause] = (await once(stuck, "error")) as [Error];
+  it("destroys a socket that does not connect in time, so that the next attempt opens a new connection", async () => {
+    await fillBacklog();
+    const unconnected = openSocket(address, TIMEOUT_MS);
+    const [cause] = (await once(unconnected, "error")) as [Error];
     expect(cause.message).toContain("no connection");
-    expect(stuck.destroyed).toBe(true);
-    for (const socket of open.splice(0)) socket.destroy();
+    expect(unconnected.destroyed).toBe(true);
+    for (const socket of openSockets.splice(0)) socket.destroy();
     listener.kill("SIGCONT");
-    await waitUntil("a new one comes up", async () => {
-      const next = openSocket(address, CONNECT_MS);
-      open.push(next);
+    await waitUntil("a new connection is established", async () => {
+      const next = openSocket(address, TIMEOUT_MS);
+      openSockets.push(next);
       return once(next, "connect").then(
         () => true,
         () => false,
@@ -63,26 +68,26 @@
     });
   });
 
-  it("ends nobody when the call that waited for it was given up before", async () => {
+  it("causes no unhandled error when the waiting call was abandoned before the timeout", async () => {
     const unhandled: unknown[] = [];
-    const note = (cause: unknown) => unhandled.push(cause);
-    process.on("unhandledRejection", note);
-    process.on("uncaughtException", note);
-    await fill();
+    const record = (cause: unknown) => unhandled.push(cause);
+    process.on("unhandledRejection", record);
+    process.on("uncaughtException", record);
+    await fillBacklog();
     const client = createClient(FleetService, createRpcTransport(address, undefined));
-    const call = client.getDeclaration({}, { timeoutMs: CONNECT_MS });
+    const call = client.getDeclaration({}, { timeoutMs: TIMEOUT_MS });
     await expect(call).rejects.toThrow();
-    await new Promise((resolve) => setTimeout(resolve, LONGEST_CONNECT_MS + CONNECT_MS));
-    process.off("unhandledRejection", note);
-    process.off("uncaughtException", note);
+    await new Promise((resolve) => setTimeout(resolve, DEFAULT_TIMEOUT_MS + TIMEOUT_MS));
+    process.off("unhandledRejection", record);
+    process.off("uncaughtException", record);
     expect(unhandled).toEqual([]);
   });
 
-  it("leaves one alone that came up", async () => {
-    const socket = openSocket(address, CONNECT_MS);
-    open.push(socket);
+  it("does not destroy a connected socket", async () => {
+    const socket = openSocket(address, TIMEOUT_MS);
+    openSockets.push(socket);
     await once(socket, "connect");
-    await new Promise((resolve) => setTimeout(resolve, CONNECT_MS * 2));
+    await new Promise((resolve) => setTimeout(resolve, TIMEOUT_MS * 2));
     expect(socket.destroyed).toBe(false);
   });
 });
