--- a/src/process/SuspensionWatch.ts
+++ b/src/process/SuspensionWatch.ts
@@ -3,7 +3,7 @@
  *
  * Timers run by the steady clock, so a timer that was due during the suspension fires later by the suspended
  * time. Work that must not wait for its timer, such as the final answer to a request past its deadline, is
- * done in `onWake`.
+ * done in `onResume`.
  */
 import type { SuspensionClock } from "../clock";
 import type { Logger, Metrics } from "../metrics";
@@ -51,7 +51,7 @@
     clearInterval(this._timer);
   }
 
-  /** Checks whether the machine was suspended since the last check, and if so logs it and calls `onWake`. */
+  /** Checks whether the machine was suspended since the last check, and if so logs it and calls `onResume`. */
   check(): void {
     const { clock, logger, metrics, onWake } = this._options;
     const totalMs = clock.updateSuspendedMs();
