--- a/src/control/routes/entryRoutes.ts
+++ b/src/control/routes/entryRoutes.ts
@@ -61,7 +61,7 @@
  * outcome, so a running claim becomes unknown.
  */
 function getReportedClaim(leadership: Leadership, claim: RequestClaim, now: number): RequestClaim {
-  if (claim.state !== ClaimState.RUNNING || !leadership.leases.isClear(now)) return claim;
+  if (claim.state !== ClaimState.RUNNING || !leadership.leases.haveEarlierLeasesExpired(now)) return claim;
   const isLive = leadership.leases.getLiveHolders(now).some((holder) => holder.entryId === claim.entryId);
   return isLive ? claim : { ...claim, state: ClaimState.UNKNOWN };
 }
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -93,12 +93,12 @@
   /** Serves on, but ends each connection with its answer. */
   announceStop(): void {
     this._isStopping = true;
-    this._connections.announceEnd();
+    this._connections.announceClose();
   }
 
   /** Stops listening; resolves once every answer is over and no caller uses its connection any more. */
   async stop(): Promise<void> {
-    await this._connections.end(MAX_ACCEPT_MS);
+    await this._connections.drain(MAX_ACCEPT_MS);
     this._server.close();
   }
 
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -26,10 +26,10 @@
 import { type RetryBound, SharedRetryBudget } from "../routing";
 import { TransportPool } from "../rpc";
 import type { GatewaySettings, LiveSettings } from "../settings";
-import { CrashWatch } from "./CrashWatch";
+import { HeldBytes } from "./AnswerBuffers";
+import { CrashMonitor } from "./CrashMonitor";
 import type { Dialect } from "./Dialect";
 import { GatewayServer } from "./GatewayServer";
-import { HeldBytes } from "./HeldBytes";
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
@@ -105,11 +105,11 @@
   const getEntryCount = () => Math.max(1, view.entryCount);
   let routes: RouteTable | undefined;
   const ledger = new CrashLedger();
-  const crashes = new CrashWatch({
+  const crashes = new CrashMonitor({
     ledger,
     logger,
     metrics,
-    onNews: () => {
+    onChange: () => {
       reporter.sendSoon();
       server.withdrawProven();
     },
@@ -190,7 +190,7 @@
     metrics,
     onWake: () => {
       server.endLate();
-      client.dropIdle();
+      client.closeIdle();
       watcher.restart();
     },
   });
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -7,7 +7,7 @@
  */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
-import { CallOrder } from "../admission";
+import { CallScheduler } from "../admission";
 import { getProcessorMs, getSuspensionClock, LoopLag, SystemClock } from "../clock";
 import { createMembership, getVoterCount } from "../consensus";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
@@ -19,7 +19,7 @@
   createInitialSnapshot,
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   LeaderGuard,
   LeadershipWatch,
@@ -152,7 +152,7 @@
     });
     const guard = new LeaderGuard(driver, getLeadership);
     const callLoad = new CallLoad(options.metrics);
-    const callOrder = new CallOrder(options.metrics);
+    const callOrder = new CallScheduler(options.metrics);
     yield* Effect.acquireRelease(
       Effect.sync(
         () => new LoadWatch({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
@@ -269,10 +269,10 @@
   if (isBootstrapMember && (await FileStorage.getMemberId(dataFolder)) === undefined) {
     const bootstrapMembers = [...seeds]
       .sort()
-      .map((seed) => createMember(seed, getFirstId(seed), getRpcAddress(settings, seed), ""));
+      .map((seed) => createMember(seed, getBootstrapMemberId(seed), getRpcAddress(settings, seed), ""));
     await FileStorage.create(
       dataFolder,
-      getFirstId(publicAddress),
+      getBootstrapMemberId(publicAddress),
       createInitialSnapshot(createMembership(bootstrapMembers)),
     );
     logger.info({ event: "data_folder_founded", founders: seeds });
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -32,7 +32,7 @@
   InstanceRegistry,
   type RegisteredInstance,
 } from "./InstanceRegistry";
-import { PlanningPace } from "./PlanningPace";
+import { PlanningSchedule } from "./PlanningSchedule";
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
@@ -76,7 +76,7 @@
   private readonly _committed: CommittedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
-  private readonly _planningInterval: PlanningPace;
+  private readonly _planningInterval: PlanningSchedule;
   private readonly _hearing: HeartbeatMonitor;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
@@ -90,7 +90,7 @@
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
     this._hearing = new HeartbeatMonitor(now);
-    this._planningInterval = new PlanningPace(now);
+    this._planningInterval = new PlanningSchedule(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -113,7 +113,7 @@
   async sendLoad(receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome | undefined> {
     const now = this._options.clock.getMonotonicMs();
     if (!this._isDue(now, receiver, order)) return undefined;
-    if (!this._limiter.takeLoad(now, this._options.getLoadLimit())) return undefined;
+    if (!this._limiter.tryAddLoad(now, this._options.getLoadLimit())) return undefined;
     const key = getLifeKey(receiver);
     this._toldToLoadAt.set(key, now);
     if (order.kind !== "stage") return this._send(now, receiver, order);
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -11,7 +11,7 @@
 } from "node:http2";
 import type { ConnectRouter, Interceptor } from "@connectrpc/connect";
 import { connectNodeAdapter } from "@connectrpc/connect-node";
-import type { CallOrder } from "../admission";
+import type { CallScheduler } from "../admission";
 import { SystemClock } from "../clock";
 import { ConsensusService } from "../gen/ploverstage/v1/consensus_pb";
 import { listen } from "../http";
@@ -26,7 +26,7 @@
   readonly routes: (router: ConnectRouter) => void;
   readonly interceptors: Interceptor[];
   /** Decides when each call begins; without it calls begin on arrival. */
-  readonly calls?: CallOrder;
+  readonly calls?: CallScheduler;
   /** Called when a peer has opened a session. */
   readonly onSession?: () => void;
 }
@@ -101,7 +101,7 @@
 }
 
 function enqueueCall(
-  calls: CallOrder,
+  calls: CallScheduler,
   serve: ReturnType<typeof connectNodeAdapter>,
   request: Http2ServerRequest,
   response: Http2ServerResponse,
