--- a/src/clock/LoopLag.ts
+++ b/src/clock/EventLoopLag.ts
@@ -28,7 +28,7 @@
 }
 
 /** Measures the lag of the event loop until it is stopped. */
-export class LoopLag {
+export class EventLoopLag {
   private readonly _clock: Clock;
   private readonly _timer: NodeJS.Timeout;
   private _lags: Lag[] = [];
--- a/src/clock/TurnQueue.ts
+++ b/src/clock/TurnQueue.ts
@@ -18,7 +18,7 @@
   }
 
   /** Resolves when one more work item may start. */
-  enter(): Promise<void> {
+  waitForTurn(): Promise<void> {
     this._schedule();
     if (this._startedInTurn < this._perTurn && this._waiting.length === 0) {
       this._startedInTurn += 1;
--- a/src/clock/index.ts
+++ b/src/clock/index.ts
@@ -1,7 +1,7 @@
 /** The clocks of a process, and the lag of its event loop. */
 export { type BootTime, loadBootTime } from "./BootTime";
 export { type Clock, getProcessorMs, SystemClock } from "./Clock";
-export { LoopLag } from "./LoopLag";
+export { EventLoopLag } from "./EventLoopLag";
 export { pause } from "./pause";
 export { type ClockReading, SuspendedTime } from "./SuspendedTime";
 export { getSuspensionClock, SuspensionClock, type TimeSources } from "./SuspensionClock";
--- a/src/process/HealthServer.ts
+++ b/src/process/HealthServer.ts
@@ -9,7 +9,7 @@
  * Answers a request for a health path.
  * @returns Whether the path was a health path.
  */
-export function answerHealth(
+export function handleHealthRequest(
   path: string | undefined,
   response: ServerResponse,
   check: ReadinessCheck,
@@ -27,7 +27,7 @@
 /** Starts a server that serves only the health paths. */
 export async function startHealthServer(address: string, check: ReadinessCheck): Promise<Server> {
   const server = createServer((request, response) => {
-    if (!answerHealth(request.url, response, check)) sendJson(response, 404, { error: "not found" });
+    if (!handleHealthRequest(request.url, response, check)) sendJson(response, 404, { error: "not found" });
   });
   await listen(server, address);
   return server;
--- a/src/process/ProcessSignals.ts
+++ b/src/process/ProcessSignals.ts
@@ -32,7 +32,7 @@
   }
 
   /** Installs the handlers; they are never removed. */
-  static takeOver(source: SignalSource): ProcessSignals {
+  static install(source: SignalSource): ProcessSignals {
     const signals = new ProcessSignals();
     for (const signal of STOP_SIGNALS) source.on(signal, () => signals._addStop(signal));
     source.on(RELOAD_SIGNAL, () => {
--- a/src/process/SuspensionWatch.ts
+++ b/src/process/SuspensionMonitor.ts
@@ -19,22 +19,22 @@
 const MIN_SUSPENSION_MS = 100;
 
 /** Options of a suspension monitor. */
-export interface SuspensionWatchOptions {
+export interface SuspensionMonitorOptions {
   readonly clock: SuspensionClock;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called after each suspension. */
-  readonly onWake: () => void;
+  readonly onResume: () => void;
 }
 
 /** Detects suspensions of the machine. */
-export class SuspensionWatch {
-  private readonly _options: SuspensionWatchOptions;
+export class SuspensionMonitor {
+  private readonly _options: SuspensionMonitorOptions;
   private _timer: NodeJS.Timeout | undefined;
   private _lastTotalMs: number;
 
   /** @param options - Clock, log, metrics and callback. */
-  constructor(options: SuspensionWatchOptions) {
+  constructor(options: SuspensionMonitorOptions) {
     this._options = options;
     this._lastTotalMs = options.clock.updateSuspendedMs();
   }
@@ -53,7 +53,7 @@
 
   /** Checks whether the machine was suspended since the last check, and if so logs it and calls `onResume`. */
   check(): void {
-    const { clock, logger, metrics, onWake } = this._options;
+    const { clock, logger, metrics, onResume: onWake } = this._options;
     const totalMs = clock.updateSuspendedMs();
     const spanMs = Math.round(totalMs - this._lastTotalMs);
     this._lastTotalMs = totalMs;
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -168,7 +168,7 @@
       bytes: document.length,
       took_ms: this._getElapsedMs(receivedAt),
       leader: trace.lastAddress,
-      tries: trace.tries,
+      tries: trace.attemptCount,
       failures: trace.getFailures(),
     });
     const { logger, metrics } = this._options;
@@ -195,7 +195,7 @@
       this._options.logger.warn({
         event: "declaration_unread",
         took_ms: this._getElapsedMs(receivedAt),
-        tries: trace.tries,
+        tries: trace.attemptCount,
         failures: trace.getFailures(),
         reason: String(cause),
       });
--- a/src/rpc/CallTrace.ts
+++ b/src/rpc/CallTrace.ts
@@ -7,7 +7,7 @@
   private _lastAddress = "";
 
   /** Gets the number of attempts; a process that was called twice counts twice. */
-  get tries(): number {
+  get attemptCount(): number {
     return this._attemptCount;
   }
 
--- a/src/rpc/LeaderClient.ts
+++ b/src/rpc/LeaderClient.ts
@@ -10,7 +10,7 @@
 import { type Clock, pause } from "../clock";
 import { UnreachableControl } from "../errors";
 import { CallTrace } from "./CallTrace";
-import { SearchPause } from "./SearchPause";
+import { SearchBackoff } from "./SearchBackoff";
 import type { TransportPool } from "./TransportPool";
 
 /** Header in which a process that is not the leader names the leader. */
@@ -65,7 +65,7 @@
   async call<R>(call: LeaderCall<S, R>, totalMs: number, trace = new CallTrace()): Promise<R> {
     const endAt = this._options.clock.getMonotonicMs() + totalMs;
     let reason = "no process was called";
-    const search = new SearchPause();
+    const search = new SearchBackoff();
     let failedLeader = "";
     for (;;) {
       const leftMs = endAt - this._options.clock.getMonotonicMs();
--- a/src/rpc/GuardedSessionManager.ts
+++ b/src/rpc/ReconnectingSessionManager.ts
@@ -11,7 +11,7 @@
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { widenWindow } from "./flowControl";
-import type { SessionPinger } from "./SessionPings";
+import type { SessionPinger } from "./SessionPinger";
 
 type TransportOptions = Extract<Parameters<typeof createConnectTransport>[0], { httpVersion: "2" }>;
 /** The interface through which a transport opens sessions. */
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -17,7 +17,7 @@
 import { listen } from "../http";
 import { getCallClass } from "./callClasses";
 import { SESSION_SETTINGS, widenWindow } from "./flowControl";
-import { SessionPinger } from "./SessionPings";
+import { SessionPinger } from "./SessionPinger";
 
 /** Options of an RPC server. */
 export interface RpcServerOptions {
--- a/src/rpc/SearchPause.ts
+++ b/src/rpc/SearchBackoff.ts
@@ -22,7 +22,7 @@
 const MAX_LATE_ROUND_PAUSE_MS = 800;
 
 /** The waits of one search for the leader. */
-export class SearchPause {
+export class SearchBackoff {
   private _failures = 0;
   private _roundPauseMs = FIRST_ROUND_PAUSE_MS;
 
--- a/src/rpc/TransportPool.ts
+++ b/src/rpc/TransportPool.ts
@@ -7,7 +7,7 @@
 import type { Transport } from "@connectrpc/connect";
 import { SystemClock } from "../clock";
 import { createRpcTransport } from "./createRpcTransport";
-import { SessionPinger } from "./SessionPings";
+import { SessionPinger } from "./SessionPinger";
 
 /** Open transports by peer address. */
 export class TransportPool {
--- a/test/rpc/GuardedSessionManager.test.ts
+++ b/test/rpc/ReconnectingSessionManager.test.ts
@@ -1,8 +1,8 @@
 import { EventEmitter } from "node:events";
 import type { Http2SessionManager } from "@connectrpc/connect-node";
 import { describe, expect, it } from "vitest";
-import { ReconnectingSessionManager } from "../../src/rpc/GuardedSessionManager";
-import { SessionPinger } from "../../src/rpc/SessionPings";
+import { ReconnectingSessionManager } from "../../src/rpc/ReconnectingSessionManager";
+import { SessionPinger } from "../../src/rpc/SessionPinger";
 
 describe("ReconnectingSessionManager", () => {
   it("handles errors of a stream that opened after its call had failed, and of its session", async () => {
--- a/test/rpc/SessionPings.test.ts
+++ b/test/rpc/SessionPinger.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { SessionPinger } from "../../src/rpc/SessionPings";
+import { SessionPinger } from "../../src/rpc/SessionPinger";
 
 const CHECK_INTERVAL_MS = 250;
 const PING_TIMEOUT_MS = 500;
