--- a/src/burn/BurnRecorder.ts
+++ b/src/burn/BurnRecorder.ts
@@ -1,11 +1,11 @@
-/** The windows that one entry counts: one a minute, organisation and class. */
+/** The service-level windows of one entry: one window per minute, organisation and class. */
 import { create } from "@bufbuild/protobuf";
 import { type BurnWindow, BurnWindowSchema } from "../gen/ploverstage/v1/control_pb";
 import { HELD_MINUTES } from "./BurnStore";
 import { addDuration, createHistogram, encodeHistogram, type Histogram } from "./Histogram";
 import { getMinute } from "./minutes";
 
-/** How one request ended, for the service level. */
+/** Outcome of one request for the service level. */
 export type BurnOutcome = "good" | "late" | "shed" | "failed";
 
 interface Window {
@@ -14,18 +14,18 @@
   readonly minute: number;
   readonly counts: Record<BurnOutcome, number>;
   readonly firstToken: Histogram;
-  /** Counts at the last time the window was taken for sending. */
+  /** Number of requests in the window when it was last taken for sending. */
   sentCount: number;
 }
 
-/** Counts requests into windows. */
+/** Counts requests in windows. */
 export class BurnRecorder {
   private readonly _windows = new Map<string, Window>();
 
   /**
    * Counts one request.
-   * @param wallMs - Wall clock, so that windows of entries fall together.
-   * @param firstTokenMs - Time to the first token, if there was one.
+   * @param wallMs - Wall clock time. It aligns the windows of different entries.
+   * @param firstTokenMs - Time to the first token, `undefined` if no token was received.
    */
   addRequest(
     wallMs: number,
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Takes the windows that changed since they were last taken.
-   * @param isAll - Takes all: a new leader knows none.
+   * Takes the windows that have changed since they were last taken, and removes those older than the
+   * retention.
+   * @param includesAll - Takes all windows, for a new leader, which has none.
    */
   takeChanged(wallMs: number, isAll: boolean): BurnWindow[] {
     const oldest = getMinute(wallMs) - HELD_MINUTES;
--- a/src/burn/BurnReport.ts
+++ b/src/burn/BurnReport.ts
@@ -1,25 +1,25 @@
 /**
- * The report on service-level burn, by organisation and class.
+ * The report on service-level burn by organisation and class.
  *
- * A burn rate is the share of bad requests over the share that the objective allows: at
- * 1 the allowance of a period is used up just at its end. Two windows must burn at once
- * for an alert, as is usual in the field: the long one shows that it matters, the short
- * one that it still goes on. Pure: the present time is an argument.
+ * A burn rate is the share of bad requests divided by the share that the objective allows. At a rate of 1,
+ * the error budget of a period is used up exactly at the end of the period. An alert requires a high rate in
+ * two windows, as is usual for multi-window burn rate alerts: the long window shows that the burn is
+ * significant, the short one that it is still going on. Pure: the current time is an argument.
  */
 import type { BurnWindow, LossStatus } from "../gen/ploverstage/v1/control_pb";
 import { createHistogram, decodeHistogram } from "./Histogram";
 import { getMinute } from "./minutes";
 
-/** What a class promises. */
+/** The service-level objective of a request class. */
 export interface Objective {
   readonly requestClass: string;
-  /** Share of requests that are to be good. */
+  /** Minimum share of good requests. */
   readonly objective: number;
-  /** First token promised within this time, milliseconds. */
+  /** Maximum time to the first token, milliseconds. */
   readonly firstTokenMs: number;
 }
 
-/** A pair of windows that burn fast or slowly enough for an alert. */
+/** The two windows and the minimum burn rate of an alert. */
 interface AlertRule {
   readonly alert: "fast" | "slow";
   readonly longMinutes: number;
@@ -37,7 +37,7 @@
   readonly burnRate: number;
 }
 
-/** One organisation's class. */
+/** The report on one class of an organisation. */
 export interface BurnRow {
   readonly organisation: string;
   readonly requestClass: string;
@@ -49,7 +49,7 @@
   readonly alert: "fast" | "slow" | undefined;
 }
 
-/** One minute of all organisations, for plots. */
+/** Counts of all organisations in one minute, for plots. */
 export interface BurnMinute {
   readonly minute: number;
   readonly total: number;
@@ -64,7 +64,7 @@
   readonly losses: readonly LossStatus[];
 }
 
-/** Windows of the report, minutes. */
+/** Lengths of the report's windows, minutes. */
 export const SPAN_MINUTES = [5, 30, 60, 360] as const;
 
 const RULES: readonly AlertRule[] = [
@@ -72,10 +72,10 @@
   { alert: "slow", longMinutes: 360, shortMinutes: 30, rate: 6 },
 ];
 const MIN_ALERT_REQUESTS = 20;
-/** Promised of a class that the configuration no longer declares. */
+/** Objective of a class that the configuration no longer declares. */
 const DEFAULT_OBJECTIVE = 0.95;
 
-/** Puts the report together. */
+/** Creates the report. */
 export function createBurnReport(
   nowMs: number,
   windows: readonly BurnWindow[],
@@ -139,13 +139,16 @@
   return { minutes, total, late, shed, failed, burnRate: getBurnRate(total, total - good, objective) };
 }
 
-/** An objective of 1 allows nothing: then any bad request burns without bound. */
+/** Gets the burn rate. An objective of 1 allows no bad request, so any bad request gives an infinite rate. */
 function getBurnRate(total: number, bad: number, objective: number): number {
   if (total === 0 || bad === 0) return 0;
   return bad / total / (1 - objective);
 }
 
-/** A handful of requests can't burn an allowance that anyone should be woken for. */
+/**
+ * Gets the alert of a class. Too few requests never alert, because they can't use up a significant part of
+ * the error budget.
+ */
 function getAlert(spans: readonly BurnSpan[]): "fast" | "slow" | undefined {
   if ((spans.at(-1)?.total ?? 0) < MIN_ALERT_REQUESTS) return undefined;
   const getRate = (minutes: number) => spans.find((span) => span.minutes === minutes)?.burnRate ?? 0;
@@ -167,7 +170,7 @@
   return [...minutes].map(([minute, sum]) => ({ minute, ...sum })).sort((a, b) => a.minute - b.minute);
 }
 
-/** What burns fastest comes first. */
+/** Sorts by the highest burn rate first. */
 function compareRows(a: BurnRow, b: BurnRow): number {
   const getRate = (row: BurnRow) => Math.max(...row.spans.map((span) => span.burnRate));
   return (
--- a/src/burn/BurnStore.ts
+++ b/src/burn/BurnStore.ts
@@ -1,9 +1,9 @@
 /**
- * Service-level windows of all entries, as the control leader holds them.
+ * The service-level windows of all entries, in the memory of the control leader.
  *
- * An entry sends whole windows, so that receiving one twice changes nothing, and sends
- * all it holds to a new leader. What is lost: windows of an entry that died, once the
- * leader that held them is gone too.
+ * An entry sends whole windows, so receiving a window twice changes nothing, and it sends all its retained
+ * windows to a new leader. The windows of an entry that crashed are lost once the leader that had received
+ * them ends as well.
  */
 
 import { create } from "@bufbuild/protobuf";
@@ -11,14 +11,16 @@
 import type { EntryId } from "../ids";
 import { mergeHistograms } from "./Histogram";
 
-/** Minutes of windows that are held. */
+/** Retention of windows, minutes. */
 export const HELD_MINUTES = 6 * 60;
 
-/** Windows by entry. */
+/** Service-level windows by entry. */
 export class BurnStore {
   private readonly _windows = new Map<EntryId, Map<string, BurnWindow>>();
 
-  /** Takes windows of an entry; a newer one replaces the one it continues. */
+  /**
+   * Sets windows of an entry. A window replaces an earlier one of the same minute, organisation and class.
+   */
   setWindows(entryId: EntryId, windows: readonly BurnWindow[]): void {
     let known = this._windows.get(entryId);
     if (known === undefined) {
@@ -28,7 +30,7 @@
     for (const window of windows) known.set(getKey(window), window);
   }
 
-  /** Forgets windows older than are held. */
+  /** Removes windows older than the retention. */
   removeOld(nowMinute: number): void {
     for (const [entryId, windows] of this._windows) {
       for (const [key, window] of windows) {
@@ -48,7 +50,7 @@
   }
 }
 
-/** Adds two windows of one organisation, class and minute. */
+/** Adds the counts of two windows of the same organisation, class and minute. */
 export function mergeWindows(first: BurnWindow | undefined, second: BurnWindow): BurnWindow {
   if (first === undefined) return second;
   return create(BurnWindowSchema, {
--- a/src/burn/Histogram.ts
+++ b/src/burn/Histogram.ts
@@ -1,4 +1,4 @@
-/** Mergeable latency histograms: HdrHistogram, milliseconds, two significant digits. */
+/** Mergeable latency histograms: HdrHistogram in milliseconds with two significant digits. */
 import {
   build,
   decodeFromCompressedBase64,
@@ -11,7 +11,7 @@
 const HIGHEST_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** Makes an empty histogram. */
+/** Creates an empty histogram. */
 export function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
@@ -21,23 +21,23 @@
   });
 }
 
-/** Adds a duration, clamped to the histogram's range. */
+/** Adds a duration, clamped to the range of the histogram. */
 export function addDuration(histogram: Histogram, milliseconds: number): void {
   histogram.recordValue(Math.min(HIGHEST_MS, Math.max(0, Math.round(milliseconds))));
 }
 
-/** Encodes a histogram in HdrHistogram's compressed form. */
+/** Encodes a histogram in the compressed HdrHistogram format. */
 export function encodeHistogram(histogram: Histogram): Uint8Array {
   return Buffer.from(encodeIntoCompressedBase64(histogram), "base64");
 }
 
-/** Decodes a histogram; no bytes give an empty one. */
+/** Decodes a histogram. An empty array gives an empty histogram. */
 export function decodeHistogram(bytes: Uint8Array): Histogram {
   if (bytes.length === 0) return createHistogram();
   return decodeFromCompressedBase64(Buffer.from(bytes).toString("base64"), 32, false);
 }
 
-/** Adds two encoded histograms. */
+/** Merges two encoded histograms. */
 export function mergeHistograms(first: Uint8Array, second: Uint8Array): Uint8Array {
   if (first.length === 0) return second;
   if (second.length === 0) return first;
--- a/src/burn/index.ts
+++ b/src/burn/index.ts
@@ -1,4 +1,4 @@
-/** Service-level counting and reports. */
+/** Service-level counts and reports. */
 export { type BurnOutcome, BurnRecorder } from "./BurnRecorder";
 export {
   type BurnMinute,
--- a/src/burn/minutes.ts
+++ b/src/burn/minutes.ts
@@ -1,9 +1,9 @@
-/** The minutes by which service-level windows are kept, counted from the Unix epoch. */
+/** Minutes of the service-level windows, counted from the Unix epoch. */
 
-/** Milliseconds a minute. */
+/** Milliseconds per minute. */
 export const MS_PER_MINUTE = 60_000;
 
-/** Gets the minute in which a wall clock time falls. */
+/** Gets the minute of a wall clock time. */
 export function getMinute(wallMs: number): number {
   return Math.floor(wallMs / MS_PER_MINUTE);
 }
--- a/src/burn/renderBurnHtml.ts
+++ b/src/burn/renderBurnHtml.ts
@@ -1,4 +1,4 @@
-/** The burn report as one self-contained HTML page with plots. */
+/** Renders the burn report as a self-contained HTML page with plots. */
 import type { BurnMinute, BurnReport, BurnRow } from "./BurnReport";
 import { MS_PER_MINUTE } from "./minutes";
 
@@ -9,7 +9,7 @@
 th,td{padding:.3rem .7rem;border-bottom:1px solid #ddd;text-align:right}th:first-child,td:first-child,th:nth-child(2),
 td:nth-child(2){text-align:left}.fast{background:#fdd}.slow{background:#ffe9c7}svg{background:#fafafa}`;
 
-/** Renders the page. */
+/** Renders the report as HTML. */
 export function renderBurnHtml(report: BurnReport): string {
   const at = new Date(report.atMs).toISOString();
   return `<!doctype html>
--- a/src/entry/AnswerWriter.ts
+++ b/src/entry/AnswerWriter.ts
@@ -1,8 +1,8 @@
 /**
- * Writes answers to callers in the published OpenAI-compatible form.
+ * Writes answers to callers in the OpenAI-compatible format.
  *
- * A stream is written as it comes, never held whole; a caller that reads slowly slows
- * the engine down. An answer that breaks off says so and lacks its end marker.
+ * A stream is forwarded frame by frame and never buffered as a whole, so backpressure from a slow caller
+ * slows the engine down. A stream that ends early closes with an error event and without its end marker.
  */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
@@ -10,7 +10,7 @@
 import type { Refusal } from "./Refusal";
 import type { ModelCall } from "./requests";
 
-/** Headers of answers. */
+/** Response headers that the entry sets. */
 export const ANSWER_HEADER = {
   requestId: "ploverstage-request-id",
   outcome: "ploverstage-outcome",
@@ -24,19 +24,19 @@
   readonly completionTokens: number;
 }
 
-/** Writes one model answer. */
+/** Writes the answer to one model request. */
 export interface AnswerWriter {
-  /** Whether the caller has seen anything of the answer. */
+  /** Whether any part of the answer has been sent to the caller. */
   readonly hasStarted: boolean;
-  /** Takes pieces; resolves once the caller can take more. */
+  /** Writes frames. Resolves once the response can take more data. */
   write(frames: readonly Frame[], replicaId: string): Promise<void>;
-  /** Ends a whole answer. */
+  /** Completes the answer. */
   finish(usage: Usage): void;
-  /** Forgets what was taken, when nothing of it was shown. */
+  /** Discards buffered frames before another attempt. Has no effect on a stream. */
   reset(): void;
 }
 
-/** Makes the writer that a call asks for. */
+/** Creates the stream or JSON writer that the call asks for. */
 export function createAnswerWriter(
   response: ServerResponse,
   requestId: string,
@@ -47,7 +47,7 @@
   return new WholeWriter(response, requestId, call, createdS);
 }
 
-/** Writes server-sent events. */
+/** Writes the answer as server-sent events. */
 class StreamWriter implements AnswerWriter {
   private readonly _response: ServerResponse;
   private readonly _requestId: string;
@@ -102,7 +102,7 @@
   }
 }
 
-/** Writes one JSON body; its size is bounded by the tokens that may be asked for. */
+/** Writes the answer as one JSON body. The maximum number of tokens of a request bounds its size. */
 class WholeWriter implements AnswerWriter {
   readonly hasStarted = false;
   private readonly _response: ServerResponse;
@@ -153,10 +153,11 @@
 }
 
 /**
- * Answers a request that was given up on, at once.
+ * Writes a refusal without delay.
  *
- * After the first byte of a stream only its body can tell: an error event, and no end
- * marker; the connection is closed so that it can't be taken for whole.
+ * Once a stream has started, its status and headers can't change. The refusal is then written as an error
+ * event without the end marker, and the connection is closed so that the caller can't take the answer for
+ * complete.
  */
 export function writeRefusal(
   response: ServerResponse,
@@ -193,7 +194,7 @@
   response.end(body);
 }
 
-/** Waits until a response takes more, or is gone. */
+/** Waits until the response has drained or its connection has closed. */
 export async function waitForRoom(response: ServerResponse): Promise<void> {
   const closed = new AbortController();
   const onClose = () => closed.abort();
@@ -201,7 +202,7 @@
   try {
     await once(response, "drain", { signal: closed.signal });
   } catch {
-    // The caller left: the request's own signal ends the work.
+    // The caller disconnected. The abort signal of the request ends the work.
   } finally {
     response.off("close", onClose);
   }
--- a/src/entry/CacheFollower.ts
+++ b/src/entry/CacheFollower.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the prefix table near to what replicas' caches hold, from their events.
+ * Updates the prefix table from the cache events of replicas.
  *
- * Events come late and with gaps. After a gap nothing that was known of the replica is
- * trusted: forgetting costs a prefill, never an answer.
+ * Events arrive late and may have gaps. After a gap, all prefixes recorded for the replica are removed: a
+ * missing prefix costs one prefill, but never an answer.
  */
 import type { Engine } from "../engine";
 import type { PrefixTable } from "../routing";
@@ -12,24 +12,25 @@
   isAsked: boolean;
 }
 
-/** Follows the caches of the replicas of one entry. */
+/** Tracks the prefix caches of all replicas that one entry routes to. */
 export class CacheFollower {
   private readonly _prefixes: PrefixTable;
   private readonly _followed = new Map<string, Followed>();
 
-  /**
-   * @param prefixes - The table to keep.
-   */
+  /** @param prefixes - The table to update. */
   constructor(prefixes: PrefixTable) {
     this._prefixes = prefixes;
   }
 
-  /** Asks a replica for what happened since it was last asked, unless it is being asked. */
+  /**
+   * Fetches a replica's cache events since the last fetch. Does nothing while a fetch for the replica is
+   * running.
+   */
   async follow(replicaId: string, engine: Engine, timeoutMs: number): Promise<void> {
     const followed = this._getFollowed(replicaId);
     if (followed.isAsked) return;
     followed.isAsked = true;
-    // An engine without events, or that is away, leaves the entry with its own guesses.
+    // If the engine has no events or can't be reached, the entry keeps its own estimates.
     const events = await engine.getCacheEvents(followed.sequence, timeoutMs).catch(() => []);
     followed.isAsked = false;
     for (const event of events) {
@@ -41,7 +42,7 @@
     }
   }
 
-  /** Forgets replicas that are gone. */
+  /** Removes all replicas that are not in `ids`. */
   retain(ids: ReadonlySet<string>): void {
     for (const id of this._followed.keys()) {
       if (ids.has(id)) continue;
--- a/src/entry/Claims.ts
+++ b/src/entry/Claims.ts
@@ -1,4 +1,4 @@
-/** Claims of non-repeatable requests in the agreed state. */
+/** Claims of non-repeatable requests in the replicated state. */
 import { create } from "@bufbuild/protobuf";
 import type { Clock } from "../clock";
 import type { ClaimResponse, EntryService } from "../gen/ploverstage/v1/control_pb";
@@ -15,7 +15,9 @@
 import type { ClassifiedRequest } from "./requests";
 
 const CLAIM_MS = 3_000;
-/** An outcome is reported for so long before it is left unknown to others. */
+/**
+ * Maximum time to report an outcome to the leader. After that, the outcome stays unknown to other entries.
+ */
 const SETTLE_MS = 60_000;
 
 const STATE_BY_OUTCOME: Readonly<Record<Outcome, ClaimState>> = {
@@ -35,33 +37,33 @@
   [ClaimState.UNSPECIFIED]: {
     code: "claim_unknown",
     outcome: "unknown",
-    reason: "the first request's state is lost",
+    reason: "the state of the first request with this key was lost",
   },
   [ClaimState.RUNNING]: {
     code: "claim_running",
     outcome: "unknown",
-    reason: "the first request with this key runs",
+    reason: "the first request with this key is still running",
   },
   [ClaimState.DONE]: {
     code: "claim_done",
     outcome: "done",
-    reason: "the first request with this key was answered",
+    reason: "the first request with this key has been answered",
   },
   [ClaimState.FAILED]: {
     code: "claim_failed",
     outcome: "failed",
-    reason: "the first request with this key failed",
+    reason: "the first request with this key has failed",
   },
   [ClaimState.UNKNOWN]: {
     code: "claim_unknown",
     outcome: "unknown",
-    reason: "whether the first request with this key ran is unknown",
+    reason: "it is unknown whether the first request with this key ran",
   },
 };
 
 const RUNNING_RETRY_MS = 2_000;
 
-/** The claims of one entry. */
+/** Makes and completes the claims of one entry. */
 export class Claims {
   private readonly _client: LeaderClient<typeof EntryService>;
   private readonly _entryId: EntryId;
@@ -69,9 +71,7 @@
   private readonly _logger: Logger;
   private readonly _held = new Set<RequestId>();
 
-  /**
-   * @param entryId - Whose claims they are.
-   */
+  /** @param entryId - The entry that owns the claims. */
   constructor(client: LeaderClient<typeof EntryService>, entryId: EntryId, clock: Clock, logger: Logger) {
     this._client = client;
     this._entryId = entryId;
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Claims the right to run a request, unless it needs no claim or holds one.
-   * @throws Refusal - When its key was claimed before, or control can't be reached.
+   * Claims the right to run a request. Does nothing if the request needs no claim or already has one.
+   * @throws Refusal - If the key was claimed before or the control process can't be reached.
    */
   async claimOnce(request: ClassifiedRequest): Promise<void> {
     if (request.isRepeatable || request.key === "" || this._held.has(request.id)) return;
@@ -103,7 +103,7 @@
     if (!response.granted) throw createDuplicateRefusal(response.existing, request);
   }
 
-  /** Records what became of a request, in the background, if it holds a claim. */
+  /** Records the outcome of a request in the background. Does nothing if the request has no claim. */
   settle(request: ClassifiedRequest, outcome: Outcome, status: number): void {
     if (this._held.delete(request.id)) this._settle(request, outcome, status);
   }
@@ -122,13 +122,17 @@
       );
   }
 
-  /** The claim may have been made all the same, so it is given back. */
+  /**
+   * Releases a claim after a failed call, because the leader may have committed the claim before the call
+   * failed.
+   * @throws Refusal - Always.
+   */
   private _giveUp(request: ClassifiedRequest, cause: unknown): ClaimResponse {
     this._settle(request, "not-run", 0);
     throw new Refusal({
       code: "control_unreachable",
       outcome: "not-run",
-      reason: `the request could not be claimed: ${String(cause)}`,
+      reason: `the claim for the request failed: ${String(cause)}`,
       retryAfterMs: RUNNING_RETRY_MS,
     });
   }
@@ -140,7 +144,7 @@
 
 function createDuplicateRefusal(existing: RequestClaim | undefined, request: ClassifiedRequest): Refusal {
   if (existing !== undefined && existing.fingerprint !== request.fingerprint) {
-    const reason = "the key was used for another request";
+    const reason = "the key has already been used for a different request";
     return new Refusal({ code: "key_reused", outcome: "not-run", reason });
   }
   const state = existing?.state ?? ClaimState.UNSPECIFIED;
--- a/src/entry/ClusterView.ts
+++ b/src/entry/ClusterView.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry has in force: configuration, replicas, addresses, as its last renewal
- * said. Everything changes at once, with one renewal.
+ * The view of one entry: configuration, replicas and addresses from the last renewal. Each renewal is applied
+ * as a whole.
  */
 import { applyConfigurationPatch, type Configuration, parseConfiguration } from "../configuration";
 import type { EntryAddress, RenewResponse, ServiceEndpoint } from "../gen/ploverstage/v1/control_pb";
@@ -27,32 +27,34 @@
   private _term = 0;
   private _needsText = false;
 
-  /** Gets the configuration in force. */
+  /** Gets the active configuration, or `undefined` before the first renewal. */
   get configuration(): ActiveConfiguration | undefined {
     return this._configuration;
   }
 
-  /** Gets the assignment index in force. */
+  /** Gets the assignment index of the last applied renewal. */
   get assignmentIndex(): number {
     return this._assignmentIndex;
   }
 
-  /** Gets this entry's part of every endpoint's limit. */
+  /** Gets this entry's share of the concurrency limit of each endpoint, 0 to 1. */
   get concurrencyShare(): number {
     return this._concurrencyShare;
   }
 
-  /** Gets addresses of the live entries. */
+  /** Gets the addresses of the live entries. */
   get entries(): readonly EntryAddress[] {
     return this._entries;
   }
 
-  /** Gets the term of the leader that was heard last. */
+  /** Gets the term of the leader whose renewal was applied last. */
   get term(): number {
     return this._term;
   }
 
-  /** Gets whether a patch did not fit, so that the whole configuration must be asked for. */
+  /**
+   * Gets whether the last configuration patch could not be applied, so the entry must request the whole text.
+   */
   get needsText(): boolean {
     return this._needsText;
   }
@@ -62,12 +64,12 @@
     return [...this._replicas.values()];
   }
 
-  /** Gets a replica. */
+  /** Gets a replica, or `undefined` if it is unknown or released. */
   getReplica(id: string): Replica | undefined {
     return this._replicas.get(id);
   }
 
-  /** Gets replicas of a model that may take new work, as far as control knows. */
+  /** Gets the replicas of a model that may take new requests according to the leader. */
   getServingReplicas(model: string): Replica[] {
     return this.getReplicas().filter(
       (replica) =>
@@ -75,24 +77,24 @@
     );
   }
 
-  /** Checks whether control misses an instance of a replica. */
+  /** Checks whether the leader reports an instance of the replica as absent. */
   isAbsentAtControl(replica: Replica): boolean {
     return replica.members.some((member) => this._absent.has(member.instanceId));
   }
 
-  /** Gets endpoints of a service that are not leaving. */
+  /** Gets the endpoints of a service, without those that are leaving. */
   getServiceEndpoints(service: string): ServiceEndpoint[] {
     return this._endpoints.filter((endpoint) => endpoint.service === service && !endpoint.leaving);
   }
 
-  /** Gets the instances of all services. */
+  /** Gets the ids of the instances of all services. */
   getServiceInstanceIds(): Set<string> {
     return new Set(this._endpoints.map((endpoint) => endpoint.instanceId));
   }
 
   /**
-   * Takes what a renewal said.
-   * @returns Whether it was taken; an answer overtaken by a newer one takes nothing back.
+   * Applies a renewal response.
+   * @returns Whether it was applied. A response that is older than the view is rejected and changes nothing.
    */
   apply(response: RenewResponse): boolean {
     if (response.term < this._term || response.assignmentIndex < this._assignmentIndex) return false;
@@ -107,7 +109,7 @@
     return true;
   }
 
-  /** Gives whether the newest configuration is in force now. */
+  /** Returns whether the active configuration is now the one of the response. */
   private _applyConfiguration(response: RenewResponse): boolean {
     if (response.configurationVersion === (this._configuration?.version ?? 0)) return true;
     const text = this._getText(response);
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -1,8 +1,8 @@
 /**
- * An entry process: takes requests from callers under a lease.
+ * An entry process: accepts requests from callers while it holds a lease.
  *
- * A planned stop leaves the address answers at once, serves on until the answers
- * already given out have run out, and cuts nothing in flight.
+ * A planned stop first removes the entry's address from the published addresses. The entry then serves until
+ * all published answers that contain the address have expired, and completes the requests in flight.
  */
 import { randomBytes } from "node:crypto";
 import { Effect, type Scope } from "effect";
@@ -24,7 +24,7 @@
 import { LeaseKeeper } from "./LeaseKeeper";
 import { ReplicaRouter } from "./ReplicaRouter";
 
-/** What an entry process is started with. */
+/** Options of an entry process. */
 export interface EntryProcessOptions {
   readonly settings: EntrySettings;
   readonly clusterSecret: string;
@@ -39,14 +39,14 @@
 const UPDATE_MS = 25;
 const REPORT_MS = 1_000;
 
-/** A started entry. */
+/** A running entry. */
 interface Entry {
   readonly server: EntryServer;
   readonly keeper: LeaseKeeper;
   readonly view: ClusterView;
 }
 
-/** Starts an entry process; closing its scope is a planned stop. */
+/** Starts an entry process. Closing the scope performs a planned stop. */
 export function startEntryProcess(options: EntryProcessOptions): Effect.Effect<Entry, unknown, Scope.Scope> {
   return Effect.gen(function* () {
     const client = yield* Effect.acquireRelease(
@@ -132,7 +132,10 @@
 
 type Parts = ReturnType<typeof createParts>;
 
-/** Probes, places and gives up in the background, for as long as the scope is open. */
+/**
+ * Runs the periodic work while the scope is open: probes replicas, places and refuses queued requests, aborts
+ * lost attempts.
+ */
 function runTimers(parts: Parts, metrics: Metrics) {
   const { router, admission, models, view, clock, keeper } = parts;
   const start = () => {
@@ -169,7 +172,7 @@
   server.announceStop();
   await keeper.announceStop();
   const timing = view.configuration?.declared.timing;
-  // Other entries may give this address out until their next renewal.
+  // Other entries may publish this address until their next renewal.
   const waitMs = (timing?.addressTtl ?? 0) + (timing?.lease ?? 0);
   const leftMs = waitMs - (clock.getMonotonicMs() - startedAt);
   await pause(Math.max(0, leftMs));
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: takes each request through the filters, in order. */
+/** The HTTP server for callers. Passes each request through the filters in order. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Clock } from "../clock";
 import type { RandomSource } from "../consensus";
@@ -26,7 +26,7 @@
 import type { ReplicaRouter } from "./ReplicaRouter";
 import type { ClassifiedRequest, IdentifiedRequest } from "./requests";
 
-/** What an entry server works with. */
+/** Options of an entry server. */
 export interface EntryServerOptions {
   /** host:port */
   readonly listen: string;
@@ -42,7 +42,7 @@
   readonly account: Account;
 }
 
-/** The part of an ending that the dispatch tells. */
+/** The part of a request record that the dispatch filter determines. */
 type Served = Omit<Ending, "request" | "refusal">;
 
 const MAX_HEADER_BYTES = 16_384;
@@ -53,10 +53,10 @@
 const LAPSED_TTL_MS = 1_000;
 const NOT_SERVED: Served = { servedBy: "", epoch: 0, firstTokenMs: undefined, tokens: 0, retries: 0 };
 
-/** Callers that connect without a pause hold a stop up for so long at most. */
+/** Maximum delay of a stop by callers that keep opening connections. */
 const MAX_ACCEPT_MS = 500;
 
-/** The server of one entry. */
+/** The HTTP server of one entry. */
 export class EntryServer {
   private readonly _options: EntryServerOptions;
   private readonly _server: Server;
@@ -65,9 +65,7 @@
   private _requests = 0;
   private _isStopping = false;
 
-  /**
-   * @param options - The parts of the entry.
-   */
+  /** @param options - The components of the entry. */
   constructor(options: EntryServerOptions) {
     this._options = options;
     this._server = createServer({
@@ -80,34 +78,33 @@
     this._server.on("request", (request, response) => void this._handle(request, response));
   }
 
-  /** Gets how many requests are being worked on, waiting ones included. */
+  /** Gets the number of requests in progress, including queued ones. */
   get requestCount(): number {
     return this._requests;
   }
 
-  /** Starts listening. */
   async start(): Promise<void> {
     await listen(this._server, this._options.listen);
   }
 
-  /** Serves on, but ends each connection with its answer. */
+  /** Closes each connection after its next answer. The server still accepts requests. */
   announceStop(): void {
     this._isStopping = true;
     this._connections.announceEnd();
   }
 
-  /** Stops listening; resolves once every answer is over and no caller uses its connection any more. */
+  /** Stops listening. Resolves once all answers are complete and no caller uses its connection any more. */
   async stop(): Promise<void> {
     await this._connections.end(MAX_ACCEPT_MS);
     this._server.close();
   }
 
-  /** Gives the reason why the entry is not ready, if it is not. */
+  /** Gets the reason why the entry is not ready, or `undefined` if it is ready. */
   getUnreadyReason(): string | undefined {
     const { lease, view, clock } = this._options;
-    if (this._isStopping) return "it is stopping";
-    if (view.configuration === undefined) return "no configuration is in force";
-    return lease.isHeld(clock.getMonotonicMs()) ? undefined : "its lease has lapsed";
+    if (this._isStopping) return "the entry is stopping";
+    if (view.configuration === undefined) return "the entry has no active configuration";
+    return lease.isHeld(clock.getMonotonicMs()) ? undefined : "the lease of the entry has expired";
   }
 
   private async _handle(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -121,7 +118,10 @@
     }
   }
 
-  /** Answers what needs no endpoint. */
+  /**
+   * Answers health, address and model queries, which need no endpoint. Returns whether the URL is one of
+   * them.
+   */
   private _answerQuestion(url: string, response: ServerResponse): boolean {
     if (answerHealth(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
@@ -130,7 +130,7 @@
     return true;
   }
 
-  /** Addresses come in random order, so that callers who take the first one spread. */
+  /** The order of the addresses is random, so callers that use the first one spread over all entries. */
   private _createAddresses() {
     const { view, clock, lease, random } = this._options;
     const addresses = view.entries.map((entry) => ({ ...pickAddress(entry), order: random.next() }));
@@ -172,7 +172,7 @@
   private _getActiveOrThrow(): ActiveConfiguration {
     const active = this._options.view.configuration;
     if (active !== undefined) return active;
-    const reason = "no configuration is in force at this entry";
+    const reason = "this entry has no active configuration";
     throw new Refusal({
       code: "control_unreachable",
       outcome: "not-run",
@@ -183,7 +183,7 @@
 
   private _throwIfLapsed(): void {
     if (this._options.lease.isHeld(this._options.clock.getMonotonicMs())) return;
-    const reason = "this entry's lease has lapsed; ask another address";
+    const reason = "the lease of this entry has expired; use another address";
     throw new Refusal({ code: "lease_lapsed", outcome: "not-run", reason, retryAfterMs: LAPSED_RETRY_MS });
   }
 
@@ -297,6 +297,6 @@
   return new Refusal({
     code: "total_time_exceeded",
     outcome: "unknown",
-    reason: "it took longer than allowed",
+    reason: "the request exceeded the maximum total time",
   });
 }
--- a/src/entry/LeaseKeeper.ts
+++ b/src/entry/LeaseKeeper.ts
@@ -1,4 +1,4 @@
-/** Renews an entry's lease, and takes over what must be in force under it. */
+/** Renews an entry's lease and applies the view that each renewal returns. */
 import { create } from "@bufbuild/protobuf";
 import type { BurnRecorder } from "../burn";
 import type { Clock } from "../clock";
@@ -9,10 +9,10 @@
 import type { LeaderClient } from "../rpc";
 import type { ClusterView } from "./ClusterView";
 
-/** What the entry tells with each renewal. */
+/** The load that an entry reports with each renewal. */
 export type EntryReport = Pick<RenewRequest, "inFlight" | "queued">;
 
-/** What a lease keeper works with. */
+/** Options of a lease keeper. */
 export interface LeaseKeeperOptions {
   readonly entryId: EntryId;
   readonly entryName: string;
@@ -24,22 +24,24 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly getReport: () => EntryReport;
-  /** Called after each renewal that changed the view. */
+  /** Called after each renewal that was applied to the view. */
   readonly onChange: () => void;
 }
 
 const DEFAULT_RENEW_MS = 500;
-/** One renewal is tried for so long before the next one is made with fresh knowledge. */
+/** Maximum time of one renewal. The next renewal then sends current data. */
 const RENEWAL_MS = 1_500;
-/** Pause after a renewal that failed: what is left of the lease must not be spent on waiting. */
+/**
+ * Pause after a failed renewal. It is short so that the remaining time of the lease is left for further
+ * attempts.
+ */
 const FAILED_RENEWAL_PAUSE_MS = 50;
 
-/** What a renewal came to. */
+/** Result of a renewal. */
 type RenewalOutcome = "changed" | "unchanged" | "failed";
 
-/** The lease of one entry. */
+/** Renews the lease of one entry. */
 export class LeaseKeeper {
-  /** The lease. */
   readonly lease = new EntryLease();
   private readonly _options: LeaseKeeperOptions;
   private _isStopping = false;
@@ -48,26 +50,24 @@
   private _wake: () => void = () => {};
   private _loop: Promise<void> | undefined;
 
-  /**
-   * @param options - Who renews, with whom, and what is told.
-   */
+  /** @param options - The entry's identity, its client and the source of its reports. */
   constructor(options: LeaseKeeperOptions) {
     this._options = options;
   }
 
-  /** Starts renewing. */
+  /** Starts the renewals. */
   start(): void {
     this._loop = this._run();
   }
 
-  /** Tells at once that the entry is stopping, so that callers are no longer sent to it. */
+  /** Reports at once that the entry is stopping, so that other entries no longer publish its address. */
   async announceStop(): Promise<void> {
     this._isStopping = true;
     this._wake();
     await this._renew();
   }
 
-  /** Ends renewing and gives the lease back, so that nobody waits for it to run out. */
+  /** Stops the renewals and releases the lease, so that no process has to wait until it expires. */
   async end(): Promise<void> {
     this._isEnded = true;
     this._wake();
@@ -79,7 +79,7 @@
   private async _run(): Promise<void> {
     while (!this._isEnded) {
       const outcome = await this._renew();
-      // A change is acknowledged at once, so that it is soon known to be in force.
+      // The entry acknowledges a change at once, so that the leader soon counts it as applied.
       if (outcome !== "changed" && !this._isEnded) await this._pause(this._getPauseMs(outcome));
     }
   }
@@ -108,7 +108,7 @@
         return leader.renew(this._createRequest(), { timeoutMs });
       }, RENEWAL_MS);
       const before = { configuration: view.configuration?.version, assignment: view.assignmentIndex };
-      // What could not be taken over gives no lease; a missing text is asked for at once.
+      // A response that could not be applied does not extend the lease. A missing text is requested at once.
       if (!view.apply(response)) return view.needsText ? "changed" : "unchanged";
       this._sentTerm = response.term;
       if (!this._isEnded) this.lease.renew(sentAt, response.leaseMs);
--- a/src/entry/MeanTokens.ts
+++ b/src/entry/MeanTokens.ts
@@ -1,18 +1,18 @@
-/** Tokens that answers of each class have had on the average. Pure. */
+/** Mean number of tokens per answer by request class. Pure. */
 
-/** Weight of the newest answer. */
+/** Weight of the newest answer in the moving mean. */
 const SMOOTHING = 0.05;
 
-/** Running means by request class. */
+/** Moving means by request class. */
 export class MeanTokens {
   private readonly _means = new Map<string, number>();
 
-  /** Gets the mean of a class, if any answer of it was seen. */
+  /** Gets the mean of a class, or `undefined` before its first answer. */
   getMean(className: string): number | undefined {
     return this._means.get(className);
   }
 
-  /** Notes a whole answer. */
+  /** Adds a complete answer. */
   addAnswer(className: string, tokens: number): void {
     const before = this._means.get(className) ?? tokens;
     this._means.set(className, before + SMOOTHING * (tokens - before));
--- a/src/entry/Refusal.ts
+++ b/src/entry/Refusal.ts
@@ -1,10 +1,10 @@
-/** Final answers to requests that did not come to a whole answer, each typed. */
+/** Typed final answers to requests that did not get a complete answer. */
 import { Data } from "effect";
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type Outcome = "done" | "not-run" | "unknown" | "failed";
 
-/** Every reason for which a request is refused or broken off. */
+/** Codes for all reasons why a request is refused or aborted. */
 export type RefusalCode =
   | "malformed_request"
   | "body_too_large"
@@ -35,7 +35,7 @@
   | "caller_left"
   | "internal_error";
 
-/** The HTTP status of each code. */
+/** HTTP status by code. */
 const STATUS: Readonly<Record<RefusalCode, number>> = {
   malformed_request: 400,
   body_too_large: 413,
@@ -67,12 +67,12 @@
   internal_error: 500,
 };
 
-/** A request that was given up on. */
+/** The final answer to a refused or aborted request. */
 export class Refusal extends Data.TaggedError("Refusal")<{
   readonly code: RefusalCode;
   readonly outcome: Outcome;
   readonly reason: string;
-  /** When to come back, milliseconds; none when coming back would not help. */
+  /** Time after which the caller may try again, milliseconds. `undefined` if trying again can't help. */
   readonly retryAfterMs?: number | undefined;
 }> {
   override get message(): string {
@@ -85,7 +85,7 @@
   }
 }
 
-/** Throws a refusal of malformed input when a condition holds. */
+/** Throws a refusal with the code malformed_request if the condition holds. */
 export function throwIfMalformed(isMalformed: boolean, reason: string): void {
   if (isMalformed) throw new Refusal({ code: "malformed_request", outcome: "not-run", reason });
 }
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -1,9 +1,9 @@
 /**
- * Where a model request may go now, as one entry sees it.
+ * Chooses replicas for the model requests of one entry.
  *
- * A replica takes work only while the agreed state lets it serve, control misses none
- * of its instances, and every one of them answered this entry in the replica's epoch
- * within the presence window.
+ * A replica takes requests only while it is serving in the replicated state, the leader reports none of its
+ * instances as absent, and each of its instances has answered this entry in the replica's epoch within the
+ * presence window.
  */
 import type { Clock } from "../clock";
 import type { RandomSource } from "../consensus";
@@ -26,27 +26,27 @@
 import type { ClusterView } from "./ClusterView";
 import { CHARACTERS_PER_TOKEN } from "./tokens";
 
-/** A replica that was chosen for a request, with the work noted there. */
+/** The replica chosen for a request, and the work recorded for it. */
 export interface Route {
   readonly replica: Replica;
-  /** Engine of the member that takes requests. */
+  /** Engine of the head, which receives the requests of the replica. */
   readonly engine: Engine;
   readonly work: Work;
 }
 
-/** What a choice is made for. */
+/** The properties of a request that determine the choice of a replica. */
 export interface RouteRequest {
   readonly model: string;
   readonly promptTokens: number;
   readonly cost: number;
   readonly prefixDigests: PrefixDigests;
-  /** Replicas that failed this request already. */
+  /** Replicas at which this request has already failed. */
   readonly excluded: ReadonlySet<string>;
 }
 
 const PREFIXES_PER_REPLICA = 4_096;
 
-/** The replicas as one entry may use them. */
+/** Chooses a replica for each model request. */
 export class ReplicaRouter {
   private readonly _view: ClusterView;
   private readonly _prober: PresenceProber;
@@ -57,8 +57,8 @@
   private readonly _random: RandomSource;
 
   /**
-   * @param view - What is in force.
-   * @param createEngine - Makes the interface of an engine.
+   * @param view - The entry's view.
+   * @param createEngine - Creates an engine client for an address.
    */
   constructor(
     view: ClusterView,
@@ -74,7 +74,7 @@
     this._prober = new PresenceProber(createEngine, clock);
   }
 
-  /** Takes the replicas of the view over: whom to ask, whom to forget. */
+  /** Applies the replicas of the view: probes their instances and forgets removed replicas. */
   updateReplicas(): void {
     const replicas = this._view.getReplicas();
     this._prober.setTargets(
@@ -87,7 +87,7 @@
     this._caches.retain(ids);
   }
 
-  /** Asks replicas what their prefix caches took in and gave up. */
+  /** Fetches the cache events of all replicas. */
   followCaches(timeoutMs: number): void {
     for (const replica of this._view.getReplicas()) {
       const engine = this.getHeadEngine(replica);
@@ -95,12 +95,12 @@
     }
   }
 
-  /** Asks all instances whether they are there. */
+  /** Probes all instances. */
   probe(timeoutMs: number): void {
     this._prober.probe(timeoutMs);
   }
 
-  /** Checks whether every instance of a replica answered in its epoch within the window. */
+  /** Checks whether each instance of a replica answered in the replica's epoch within the window. */
   isWhole(now: number, replica: Replica, windowMs: number): boolean {
     return replica.members.every((member) => {
       const { answeredAt, state } = this._prober.presence.getPresence(InstanceId(member.instanceId));
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Checks whether a replica may take new work at this very moment. */
+  /** Checks whether a replica may take new requests at `now`. */
   isOpen(now: number, replica: Replica): boolean {
     const current = this._view.getReplica(replica.id);
     const windowMs = this._view.configuration?.declared.timing.presenceWindow ?? 0;
@@ -120,7 +120,7 @@
     );
   }
 
-  /** Gets how many requests this entry may have in flight at a model. */
+  /** Gets how many requests this entry may have in flight for a model. */
   getSlots(now: number, model: string): number {
     return this._getOpenReplicas(now, model).reduce(
       (sum, replica) => sum + this._getLimit(this._pool.getFacts(now, replica.id)),
@@ -128,12 +128,14 @@
     );
   }
 
-  /** Checks whether any replica of a model is open, with or without room. */
+  /**
+   * Checks whether a model has a routable replica that is not excluded, whether or not it has free capacity.
+   */
   hasReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
     return this._getOpenReplicas(now, model).some((replica) => !excluded.has(replica.id));
   }
 
-  /** Chooses a replica and notes the work there. */
+  /** Chooses a replica and records the work for it. Returns `undefined` if no replica has free capacity. */
   startRoute(now: number, request: RouteRequest): Route | undefined {
     const open = this._getOpenReplicas(now, request.model).filter(
       (replica) => !request.excluded.has(replica.id),
@@ -147,12 +149,12 @@
     return { replica, engine, work: this._pool.startWork(now, replica.id, request.cost) };
   }
 
-  /** Gets the engine that takes a replica's requests. */
+  /** Gets the engine of a replica's head. */
   getHeadEngine(replica: Replica): Engine | undefined {
     return this._prober.getEngine(InstanceId(replica.members[0]!.instanceId));
   }
 
-  /** Gets work in flight by replica, for the next renewal. */
+  /** Gets the work in flight by replica, for the next renewal. */
   getInFlight(): { replicaId: string; epoch: number; requests: number; tokens: number }[] {
     return this._pool.getInFlight().map(({ id, requests, tokens }) => ({
       replicaId: id,
@@ -162,7 +164,7 @@
     }));
   }
 
-  /** Gets how many requests are in flight. */
+  /** Gets the number of requests in flight. */
   getRequestCount(): number {
     return this._pool.getRequestCount();
   }
--- a/src/entry/failures.ts
+++ b/src/entry/failures.ts
@@ -1,20 +1,20 @@
-/** Tells what a failed attempt at an endpoint means for the request. */
+/** Determines the consequences of a failed attempt for the request. */
 import { ForeignAnswer, LostAnswer, MalformedAnswer, RefusedOrder, UnreachableEndpoint } from "../errors";
 import { type Outcome, Refusal, type RefusalCode } from "./Refusal";
 
 /** A failed attempt. */
 export interface Failure {
-  /** What to tell the caller if it is not tried again. */
+  /** The answer to the caller if the request is not attempted again. */
   readonly refusal: Refusal;
-  /** Whether it is certain that the endpoint ran nothing of it. */
+  /** Whether it is certain that the endpoint ran no part of the request. */
   readonly wasNotRun: boolean;
-  /** Whether the endpoint is to blame. */
+  /** Whether the failure counts against the endpoint. */
   readonly isEndpointFault: boolean;
 }
 
 const RETRY_MS = 1_000;
 
-/** Classifies what an attempt threw. */
+/** Classifies an error that an attempt threw. */
 export function classifyFailure(cause: unknown): Failure {
   if (cause instanceof Refusal) {
     return { refusal: cause, wasNotRun: cause.outcome === "not-run", isEndpointFault: false };
@@ -34,32 +34,32 @@
 }
 
 /**
- * What earlier attempts of a request came to.
+ * The failed attempts of one request.
  *
- * A request whose earlier attempt may have run is never told to be not run, whatever
- * its last attempt came to.
+ * Once an attempt may have run, the request is never reported as not run, whatever the result of its last
+ * attempt.
  */
 export class AttemptHistory {
   private _mayHaveRun = false;
 
-  /** Notes a failed attempt. */
+  /** Adds a failed attempt. */
   addFailure(failure: Failure): void {
     if (!failure.wasNotRun) this._mayHaveRun = true;
   }
 
-  /** Gets the refusal to tell, with the outcome of the request as a whole. */
+  /** Gets a refusal with the outcome of the whole request. */
   createRefusal(refusal: Refusal): Refusal {
     if (!this._mayHaveRun || refusal.outcome !== "not-run") return refusal;
     const { code, reason, retryAfterMs } = refusal;
     return new Refusal({
       code,
       outcome: "unknown",
-      reason: `${reason}; an earlier attempt may have run`,
+      reason: `${reason}; an earlier attempt may have run the request`,
       retryAfterMs,
     });
   }
 
-  /** Runs a step between attempts; what it throws is told as of the whole request. */
+  /** Runs a step between attempts. A refusal that it throws gets the outcome of the whole request. */
   async guard<R>(step: () => Promise<R>): Promise<R> {
     try {
       return await step();
--- a/src/entry/filters/Account.ts
+++ b/src/entry/filters/Account.ts
@@ -1,16 +1,16 @@
-/** Last filter: logs, metrics and service-level counts of a request that is over. */
+/** Last filter: records a completed request in the log, the metrics and the service-level counts. */
 import type { BurnOutcome, BurnRecorder } from "../../burn";
 import type { Clock } from "../../clock";
 import type { Logger, Metrics } from "../../metrics";
 import type { Refusal } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
-/** How a request ended. */
+/** The result of a request. */
 export interface Ending {
   readonly request: ClassifiedRequest;
-  /** Why it was given up on; none for a whole answer. */
+  /** Why the request was refused or aborted. `undefined` after a complete answer. */
   readonly refusal: Refusal | undefined;
-  /** Replica or instance that answered, "" when none did. */
+  /** Id of the replica or instance that answered, "" if none did. */
   readonly servedBy: string;
   readonly epoch: number;
   readonly firstTokenMs: number | undefined;
@@ -20,16 +20,14 @@
 
 const PERCENT = 100;
 
-/** Accounts of one entry. */
+/** Records the requests of one entry. */
 export class Account {
   private readonly _clock: Clock;
   private readonly _burn: BurnRecorder;
   private readonly _logger: Logger;
   private readonly _metrics: Metrics;
 
-  /**
-   * @param burn - Where service-level counts go.
-   */
+  /** @param burn - Receives the service-level counts. */
   constructor(clock: Clock, burn: BurnRecorder, logger: Logger, metrics: Metrics) {
     this._clock = clock;
     this._burn = burn;
@@ -37,7 +35,7 @@
     this._metrics = metrics;
   }
 
-  /** Notes how a request ended. */
+  /** Records the result of a request. */
   addEnding(ending: Ending): void {
     const { request, refusal } = ending;
     const outcome = refusal?.outcome ?? "done";
@@ -63,7 +61,7 @@
     );
   }
 
-  /** Prompts and answers are never logged. */
+  /** Logs a request, without its prompt and its answer. */
   private _log(ending: Ending, outcome: string, totalMs: number): void {
     const { request, refusal } = ending;
     this._logger.info({
@@ -89,7 +87,7 @@
   return milliseconds === undefined ? undefined : Math.round(milliseconds * PERCENT) / PERCENT;
 }
 
-/** What the caller did wrong, or did not wait for, is no failure of the service level. */
+/** Errors of the caller and disconnects by the caller do not count against the service level. */
 function getBurnOutcome({ request, refusal, firstTokenMs }: Ending): BurnOutcome | undefined {
   if (refusal === undefined) return (firstTokenMs ?? 0) <= request.requestClass.firstToken ? "good" : "late";
   const isCallers =
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -1,8 +1,7 @@
 /**
- * Fourth filter: lets a request through once it can be placed, or gives it up at once.
+ * Fourth filter: admits a request once it can be placed, or refuses it at once.
  *
- * Placing is part of letting through, so that no two requests are let through on the
- * same free slot.
+ * Admission and placement are one step, so that two requests are never admitted to the same free slot.
  */
 import type { Clock } from "../../clock";
 import type { RandomSource } from "../../consensus";
@@ -10,15 +9,15 @@
 import { Refusal, type RefusalCode } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
-/** Where requests of one kind can be placed. */
+/** Places requests of one kind. */
 export interface Placer<R> {
-  /** Places a request now; gives `undefined` when there is no room. */
+  /** Places a request at `now`. Returns `undefined` if there is no free capacity. */
   tryPlace(now: number, request: ClassifiedRequest): R | undefined;
-  /** Gets how many requests this entry may have in flight at a target. */
+  /** Gets how many requests this entry may have in flight for a target. */
   getSlots(now: number, target: string): number;
-  /** Checks whether a target has any endpoint at all. */
+  /** Checks whether a target has any endpoint. */
   hasEndpoint(now: number, target: string): boolean;
-  /** Code of the refusal when it has none. */
+  /** Refusal code for a target without an endpoint. */
   readonly absenceCode: RefusalCode;
 }
 
@@ -29,7 +28,10 @@
   readonly refuse: (refusal: Refusal) => void;
 }
 
-/** Retry times are spread by this share, so that callers don't all return together. */
+/**
+ * Retry times are extended by a random share of up to this value, so that refused callers do not all return
+ * at the same time.
+ */
 const RETRY_SPREAD = 0.5;
 const CODES: Readonly<Record<Refused["reason"], RefusalCode>> = {
   queueFull: "queue_full",
@@ -37,7 +39,7 @@
   expired: "deadline_expired",
 };
 
-/** Admission at one entry. */
+/** Admits the requests of one entry. */
 export class Admission {
   private readonly _clock: Clock;
   private readonly _random: RandomSource;
@@ -45,25 +47,23 @@
   private readonly _waiters = new Map<Ticket, Waiter>();
   private readonly _waitingTargets = new Map<string, number>();
 
-  /**
-   * @param random - Spreads the times at which refused callers come back.
-   */
+  /** @param random - Adds jitter to the retry times of refused callers. */
   constructor(clock: Clock, random: RandomSource) {
     this._clock = clock;
     this._random = random;
   }
 
-  /** Gets how many requests wait. */
+  /** Gets the number of queued requests. */
   get queueLength(): number {
     return this._queue.length;
   }
 
-  /** Gets how many requests of an organisation wait. */
+  /** Gets the number of queued requests of an organisation. */
   getOrganisationLength(organisation: string): number {
     return this._queue.getOrganisationLength(organisation);
   }
 
-  /** Estimates how long a request of the lowest class would wait, milliseconds. */
+  /** Estimates the queueing time of a request of the lowest priority, milliseconds. */
   getQueueMs(target: string): number {
     const probe: Ticket = { ...PROBE, target };
     return this._queue.getWaitMs(probe);
@@ -71,8 +71,8 @@
 
   /**
    * Waits until a request is placed.
-   * @param maxLength - Requests that may wait.
-   * @param signal - Aborted when the caller leaves.
+   * @param maxLength - Maximum number of queued requests.
+   * @param signal - Aborted when the caller disconnects.
    * @throws Refusal - With the outcome not-run.
    */
   admit<R>(
@@ -97,7 +97,10 @@
     return this._wait(request, ticket, placer, signal);
   }
 
-  /** Places what can be placed now, and gives up what can't be answered in time any more. */
+  /**
+   * Places queued requests that have an endpoint with free capacity, and refuses those that can no longer
+   * meet their deadline.
+   */
   update(): void {
     if (this._queue.length === 0) return;
     const now = this._clock.getMonotonicMs();
@@ -107,12 +110,12 @@
     for (const target of [...this._waitingTargets.keys()]) this._placeWaiting(now, target);
   }
 
-  /** Notes an answered request, from which waiting times are estimated. */
+  /** Adds an answered request to the estimate of queueing times. */
   addCompletion(request: ClassifiedRequest, cost: number, serviceMs: number): void {
     this._queue.addCompletion(getTargetKey(request), cost, serviceMs);
   }
 
-  /** Makes a refusal whose time to come back is spread. */
+  /** Creates a refusal with jitter in its retry time. */
   createRefusal(refused: Refused): Refusal {
     return new Refusal({
       code: CODES[refused.reason],
@@ -122,7 +125,7 @@
     });
   }
 
-  /** Spreads a time to come back. */
+  /** Adds jitter to a retry time. */
   spread(milliseconds: number): number {
     return Math.ceil(milliseconds * (1 + RETRY_SPREAD * this._random.next()));
   }
@@ -151,7 +154,7 @@
     });
   }
 
-  /** The head of the line is taken out only to be placed; one that has no room goes back. */
+  /** Places the queued requests of a target in order. A request leaves the queue only once it is placed. */
   private _placeWaiting(now: number, target: string): void {
     while (this._waitingTargets.has(target)) {
       const ticket = this._queue.getNext(target);
@@ -182,7 +185,7 @@
     return new Refusal({
       code: placer.absenceCode,
       outcome: "not-run",
-      reason: `nothing serves "${request.target}" now`,
+      reason: `no endpoint currently serves "${request.target}"`,
       retryAfterMs: this.spread(ABSENCE_RETRY_MS),
     });
   }
@@ -190,9 +193,9 @@
 
 const ABSENCE_RETRY_MS = 2_000;
 const REASONS: Readonly<Record<Refused["reason"], string>> = {
-  queueFull: "too many requests wait already",
-  infeasible: "it could not be answered before its deadline",
-  expired: "it could not be answered before its deadline any more",
+  queueFull: "the queue of this entry is full",
+  infeasible: "the request can't be answered before its deadline",
+  expired: "the queued request can no longer be answered before its deadline",
 };
 const LOWEST_PRIORITY = 9;
 const PROBE: Ticket = {
@@ -205,7 +208,7 @@
   deadlineAt: 0,
 };
 
-/** Models and services may have the same name. */
+/** The key includes the kind because a model and a service may have the same name. */
 function getTargetKey(request: ClassifiedRequest): string {
   return `${request.call.kind}:${request.target}`;
 }
@@ -222,7 +225,7 @@
   };
 }
 
-/** A request that only waited was not run, whatever ended the waiting. */
+/** A request that was aborted in the queue has the outcome not-run, whatever the cause of the abort. */
 function createLeft(cause: unknown): Refusal {
   const code = cause instanceof Refusal ? cause.code : "caller_left";
   const reason = cause instanceof Refusal ? cause.reason : "the caller closed the connection";
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -1,9 +1,9 @@
 /**
  * Fifth filter, for model requests: runs a placed request and relays its answer.
  *
- * Tried again elsewhere only while the caller has seen nothing, and only if the
- * request is repeatable or provably did not run. A stream that was cut after its first
- * byte goes on at its offset where the engine still knows it, or ends visibly broken.
+ * A request is attempted again elsewhere only if the caller has received no part of the answer, and only if
+ * the request is repeatable or provably did not run. A stream that is cut after its first byte resumes at its
+ * offset if the engine still has the generation. Otherwise it ends with an error.
  */
 import { type Clock, pause } from "../../clock";
 import type { Frame, Generation, SendOptions } from "../../engine";
@@ -26,16 +26,16 @@
 /** A classified model request. */
 export type ModelRequest = ClassifiedRequest & { readonly call: ModelCall };
 
-/** How a model request went. */
+/** Result of a model request. */
 export interface ModelResult {
   readonly replicaId: string;
-  /** Milliseconds from acceptance to the first piece of the answer. */
+  /** Milliseconds from the receipt of the request to the first frame of the answer. */
   readonly firstTokenMs: number;
   readonly tokens: number;
   readonly retries: number;
 }
 
-/** What model dispatch works with. */
+/** Options of the model dispatch. */
 export interface ModelDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
@@ -45,7 +45,7 @@
   readonly lease: EntryLease;
 }
 
-/** One request on one replica. */
+/** One attempt of a request at one replica. */
 interface Attempt {
   readonly request: ModelRequest;
   readonly route: Route;
@@ -55,7 +55,7 @@
   tokens: number;
   firstTokenAt: number | undefined;
   lastFrameAt: number;
-  /** Set when the replica was lost under the attempt. */
+  /** Why the replica was lost during the attempt, "" while it is available. */
   lostReason: string;
 }
 
@@ -69,17 +69,15 @@
   private readonly _budget = new RetryBudget();
   private readonly _attempts = new Set<Attempt>();
 
-  /**
-   * @param options - Clock, view, router and the other parts of the entry.
-   */
+  /** @param options - Clock, view, router and the other components of the entry. */
   constructor(options: ModelDispatchOptions) {
     this._options = options;
   }
 
   /**
-   * Runs a request to its end.
-   * @param signal - Aborted when the caller leaves.
-   * @throws Refusal - When the answer is not whole.
+   * Runs a request to completion.
+   * @param signal - Aborted when the caller disconnects.
+   * @throws Refusal - If the answer is not complete.
    */
   async run(
     request: ModelRequest,
@@ -110,7 +108,7 @@
     return { ...result, retries };
   }
 
-  /** Aborts attempts whose replica was lost under them. */
+  /** Aborts the attempts whose replica was lost. */
   abortLost(now: number): void {
     for (const attempt of this._attempts) {
       const reason = this._getLossReason(now, attempt);
@@ -202,7 +200,10 @@
     }
   }
 
-  /** Relays frames until the last one; gives what broke the stream, if anything did. */
+  /**
+   * Relays frames up to the last one. Returns the error that ended the stream, or `undefined` at its regular
+   * end.
+   */
   private async _relay(
     attempt: Attempt,
     start: () => Promise<AsyncIterable<readonly Frame[]>>,
@@ -226,7 +227,7 @@
     await attempt.writer.write(frames, attempt.route.replica.id);
   }
 
-  /** Only a cut is resumed: a foreign answer or an error of the engine's would come again. */
+  /** Only a cut connection is resumed. A foreign answer or an error of the engine would recur. */
   private _mayResume(attempt: Attempt, cause: unknown, signal: AbortSignal): boolean {
     if (!(cause instanceof LostAnswer) || signal.aborted || attempt.tokens === 0) return false;
     return !attempt.controller.signal.aborted && this._isHeld(attempt.route.replica);
@@ -245,14 +246,17 @@
     };
   }
 
-  /** The last check before a byte goes out; an entry that was frozen finds its lease lapsed here. */
+  /**
+   * Checks the lease, the deadline and the replica before the first byte is sent. An entry that was paused
+   * detects here that its lease has expired.
+   */
   private _throwIfNotAllowed(request: ModelRequest, replica: Replica, isResumed: boolean): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "this entry's lease has lapsed");
+    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "the lease of this entry has expired");
     if (isResumed) return;
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "its deadline has passed");
+    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "the deadline of the request has passed");
     if (!this._options.router.isOpen(now, replica))
-      throw createNotRun("no_replica", `${replica.id} closed meanwhile`);
+      throw createNotRun("no_replica", `${replica.id} no longer takes new requests`);
   }
 
   private _finish(attempt: Attempt): Omit<ModelResult, "retries"> {
@@ -285,13 +289,13 @@
   private _getLossReason(now: number, attempt: Attempt): string | undefined {
     const { replica } = attempt.route;
     const current = this._options.view.getReplica(replica.id);
-    if (current === undefined || current.epoch !== replica.epoch) return "its replica was released";
+    if (current === undefined || current.epoch !== replica.epoch) return "the replica was released";
     const windowMs = this._options.view.configuration?.declared.timing.presenceWindow ?? 0;
     const isSilent = now - attempt.lastFrameAt > windowMs;
     if (isSilent && !this._options.router.isWhole(now, current, windowMs))
-      return "its replica lost an instance";
+      return "an instance of the replica was lost";
     const isLost = current.phase === ReplicaPhase.RETIRING && this._options.view.isAbsentAtControl(current);
-    return isSilent && isLost ? "its replica was retired" : undefined;
+    return isSilent && isLost ? "the replica was retired" : undefined;
   }
 }
 
@@ -317,7 +321,7 @@
 }
 
 function createEngineFailure(): Refusal {
-  return new Refusal({ code: "answer_lost", outcome: "failed", reason: "the engine gave the answer up" });
+  return new Refusal({ code: "answer_lost", outcome: "failed", reason: "the engine aborted the generation" });
 }
 
 const NOT_RUN_RETRY_MS = 500;
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -1,9 +1,8 @@
 /**
- * Fifth filter, for plain services: sends a call to one endpoint and relays the answer.
+ * Fifth filter, for services: sends a call to one endpoint and relays its answer.
  *
- * The same rules as for models: tried again only if repeatable or provably not run, and
- * never after the first byte of an answer. What an endpoint answers is the answer,
- * whatever its status.
+ * The rules are those of model requests: a call is attempted again only if it is repeatable or provably did
+ * not run, and never after the first byte of an answer. An endpoint's answer is relayed with any status.
  */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
@@ -26,14 +25,14 @@
 /** A classified service call. */
 export type ServiceRequest = ClassifiedRequest & { readonly call: ServiceCall };
 
-/** How a service call went. */
+/** Result of a service call. */
 export interface ServiceResult {
   readonly instanceId: string;
   readonly status: number;
   readonly retries: number;
 }
 
-/** What service dispatch works with. */
+/** Options of the service dispatch. */
 export interface ServiceDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
@@ -49,7 +48,7 @@
   readonly work: Work;
 }
 
-/** Headers of one connection, which are not passed on (RFC 9110, section 7.6.1). */
+/** Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1). */
 const HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -73,22 +72,20 @@
   private readonly _pool = new EndpointPool();
   private readonly _placement = new WeighedPlacement();
 
-  /**
-   * @param options - Clock, view, client and the other parts of the entry.
-   */
+  /** @param options - Clock, view, client and the other components of the entry. */
   constructor(options: ServiceDispatchOptions) {
     this._options = options;
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Removes endpoints that are no longer in the view. */
   updateEndpoints(): void {
     this._pool.retain(this._options.view.getServiceInstanceIds());
   }
 
   /**
-   * Runs a call to its end.
-   * @param signal - Aborted when the caller leaves.
-   * @throws Refusal - When there is no whole answer.
+   * Runs a call to completion.
+   * @param signal - Aborted when the caller disconnects.
+   * @throws Refusal - If the answer is not complete.
    */
   async run(
     request: ServiceRequest,
@@ -162,11 +159,11 @@
 
   private _throwIfNotAllowed(request: ServiceRequest, route: ServiceRoute): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "this entry's lease has lapsed");
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "its deadline has passed");
+    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "the lease of this entry has expired");
+    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "the deadline of the request has passed");
     const current = this._options.view.getServiceEndpoints(request.target);
     if (current.some((endpoint) => endpoint.instanceId === route.endpoint.instanceId)) return;
-    throw createNotRun("no_endpoint", `${route.endpoint.instanceId} left meanwhile`);
+    throw createNotRun("no_endpoint", `${route.endpoint.instanceId} is no longer available`);
   }
 
   private _createPlacer(active: ActiveConfiguration, excluded: ReadonlySet<string>): Placer<ServiceRoute> {
@@ -241,7 +238,10 @@
   return Object.fromEntries(Object.entries(headers).filter(([name]) => !dropped.has(name)));
 }
 
-/** Passes an answer on as it comes; one that breaks off is cut, never ended as if whole. */
+/**
+ * Forwards an answer as it arrives. If the answer is cut, its copy to the caller is cut too and never ends
+ * like a complete one.
+ */
 async function relayAnswer(
   answer: IncomingMessage,
   response: ServerResponse,
--- a/src/entry/filters/accept.ts
+++ b/src/entry/filters/accept.ts
@@ -1,8 +1,8 @@
 /**
- * First filter: reads a request whole, within limits, and checks its form.
+ * First filter: reads the whole request within the limits and checks its format.
  *
- * Model requests come in the published OpenAI-compatible form; unknown fields of it
- * are ignored, as that form's servers do.
+ * Model requests use the OpenAI-compatible format. Unknown fields are ignored, as OpenAI-compatible servers
+ * do.
  */
 import { createHash, randomBytes } from "node:crypto";
 import type { IncomingMessage } from "node:http";
@@ -11,7 +11,7 @@
 import { Refusal, throwIfMalformed } from "../Refusal";
 import type { AcceptedRequest, ModelCall, ServiceCall } from "../requests";
 
-/** Headers by which callers say what the published form has no field for. */
+/** Request headers for properties that the OpenAI-compatible format has no field for. */
 export const HEADER = {
   organisation: "ploverstage-organisation",
   purpose: "ploverstage-kind",
@@ -20,7 +20,7 @@
   key: "idempotency-key",
 } as const;
 
-/** Bounds on what is read. */
+/** Limits of a request. */
 export interface AcceptLimits {
   readonly bodyBytes: number;
   readonly maxTokens: number;
@@ -63,7 +63,7 @@
 const decodeCompletion = Schema.decodeUnknownResult(CompletionBody);
 
 /**
- * Accepts a request.
+ * Reads and parses a request.
  * @param now - Monotonic milliseconds.
  * @throws Refusal - With the outcome not-run.
  */
@@ -78,7 +78,7 @@
   const body = await readBody(incoming, limits.bodyBytes);
   const call = parseCall(incoming, url, body, limits);
   const key = getHeader(incoming, HEADER.key);
-  throwIfMalformed(key.length > MAX_KEY_LENGTH, `${HEADER.key} is longer than ${MAX_KEY_LENGTH} characters`);
+  throwIfMalformed(key.length > MAX_KEY_LENGTH, `${HEADER.key} exceeds the maximum of ${MAX_KEY_LENGTH} characters`);
   return {
     id,
     receivedAt: now,
@@ -92,7 +92,10 @@
   };
 }
 
-/** Random once a process, then counted: unique, and cheaper than randomness a request. */
+/**
+ * Request ids have a random prefix for each process and a counter. They are unique, and cheaper than random
+ * bytes for each request.
+ */
 const ID_PREFIX = randomBytes(9).toString("hex");
 let nextId = 0;
 
@@ -106,12 +109,12 @@
   if (SERVICE_PATH.test(url)) return;
   const isModelPath = path === CHAT_PATH || path === COMPLETION_PATH;
   if (!isModelPath)
-    throw new Refusal({ code: "not_found", outcome: "not-run", reason: `there is no ${path}` });
+    throw new Refusal({ code: "not_found", outcome: "not-run", reason: `the path ${path} does not exist` });
   if (method === "POST") return;
   throw new Refusal({
     code: "method_not_allowed",
     outcome: "not-run",
-    reason: `${path} takes POST, not ${method}`,
+    reason: `${path} only accepts POST, not ${method}`,
   });
 }
 
@@ -136,7 +139,7 @@
   return new Refusal({
     code: "body_too_large",
     outcome: "not-run",
-    reason: `a body has ${maxBytes} bytes at most`,
+    reason: `the body exceeds the maximum of ${maxBytes} bytes`,
   });
 }
 
@@ -165,7 +168,7 @@
   try {
     return JSON.parse(body.toString("utf8"));
   } catch {
-    throw new Refusal({ code: "malformed_request", outcome: "not-run", reason: "the body is no JSON" });
+    throw new Refusal({ code: "malformed_request", outcome: "not-run", reason: "the body is not valid JSON" });
   }
 }
 
@@ -192,10 +195,10 @@
 
 function parseSampling(body: SamplingBody, limits: AcceptLimits): Omit<ModelCall, "form" | "prompt"> {
   const maxTokens = body.max_completion_tokens ?? body.max_tokens ?? limits.maxTokens;
-  throwIfMalformed(maxTokens < 1 || maxTokens > limits.maxTokens, `max_tokens is 1 to ${limits.maxTokens}`);
-  throwIfMalformed((body.n ?? 1) !== 1, "n is 1: one answer a request");
+  throwIfMalformed(maxTokens < 1 || maxTokens > limits.maxTokens, `max_tokens must be 1 to ${limits.maxTokens}`);
+  throwIfMalformed((body.n ?? 1) !== 1, "n must be 1: a request gets exactly one answer");
   const stop = typeof body.stop === "string" ? [body.stop] : (body.stop ?? []);
-  throwIfMalformed(stop.length > MAX_STOPS, `stop has ${MAX_STOPS} entries at most`);
+  throwIfMalformed(stop.length > MAX_STOPS, `stop must have at most ${MAX_STOPS} entries`);
   const slash = body.model.indexOf("/");
   return {
     kind: "model",
@@ -224,7 +227,7 @@
   if (text === "") return undefined;
   const deadline = Number(text);
   const isValid = Number.isInteger(deadline) && deadline > 0 && deadline <= MAX_DEADLINE_MS;
-  throwIfMalformed(!isValid, `${HEADER.deadline} is 1 to ${MAX_DEADLINE_MS} milliseconds, not ${text}`);
+  throwIfMalformed(!isValid, `${HEADER.deadline} must be 1 to ${MAX_DEADLINE_MS} milliseconds, not ${text}`);
   return deadline;
 }
 
@@ -232,10 +235,10 @@
   const said = getHeader(incoming, HEADER.repeatable);
   throwIfMalformed(
     said !== "" && said !== "yes" && said !== "no",
-    `${HEADER.repeatable} is yes or no, not ${said}`,
+    `${HEADER.repeatable} must be yes or no, not ${said}`,
   );
   if (said !== "") return said === "yes";
-  // A generation changes nothing; of a service only reads are taken to be so.
+  // A generation has no side effects. For services, only read methods are assumed to have none.
   return call.kind === "model" || REPEATABLE_METHODS.has(call.method);
 }
 
--- a/src/entry/filters/classify.ts
+++ b/src/entry/filters/classify.ts
@@ -1,4 +1,4 @@
-/** Third filter: class, deadline and estimated cost. */
+/** Third filter: determines class, deadline and estimated cost. */
 import type { Facts, LoadFacts } from "../../policy";
 import { getPrefixDigests } from "../../routing";
 import type { ActiveConfiguration } from "../ClusterView";
@@ -6,26 +6,26 @@
 import type { ClassifiedRequest, IdentifiedRequest } from "../requests";
 import { estimateTokens, PROMPT_TOKEN_COST } from "../tokens";
 
-/** What a class depends on besides the request. */
+/** Inputs to the classification besides the request. */
 export interface ClassifyFacts {
-  /** Wall clock, for the hour. */
+  /** Wall clock time, for the hour of the day. */
   readonly wallMs: number;
   readonly load: LoadFacts;
-  /** Requests of the organisation that wait at this entry. */
+  /** Number of the organisation's requests that are queued at this entry. */
   readonly organisationQueued: number;
-  /** Tokens that answers of a class have had on the average, if known. */
+  /** Gets the mean number of tokens per answer of a class, or `undefined` before its first answer. */
   readonly getMeanTokens: (className: string) => number | undefined;
 }
 
 const MS_PER_HOUR = 3_600_000;
 const HOURS_PER_DAY = 24;
-/** Work of a service call against generated tokens. */
+/** Cost of a service call, in generated tokens. */
 const SERVICE_CALL_COST = 1;
 
 /**
  * Classifies a request.
  * @param now - Monotonic milliseconds.
- * @throws Refusal - shed_by_policy.
+ * @throws Refusal - With the code shed_by_policy.
  */
 export function classifyRequest(
   now: number,
@@ -37,7 +37,7 @@
   const policyFacts = createFacts(request, promptTokens, facts);
   const requestClass = active.policy.getClass(policyFacts);
   if (active.policy.isShed(requestClass.name, policyFacts)) {
-    const reason = `the policy sheds class "${requestClass.name}" now`;
+    const reason = `the policy currently sheds requests of class "${requestClass.name}"`;
     throw new Refusal({
       code: "shed_by_policy",
       outcome: "not-run",
@@ -80,7 +80,10 @@
   return answerTokens + promptTokens * PROMPT_TOKEN_COST;
 }
 
-/** The scope keeps organisations apart: none can learn of another's prompts from a cache. */
+/**
+ * Gets the prefix digests of the prompt. Their scope includes the organisation, so that an organisation can't
+ * infer the prompts of another one from the cache.
+ */
 function getDigests(request: IdentifiedRequest) {
   if (request.call.kind !== "model") return [];
   const { model, adapter, prompt } = request.call;
--- a/src/entry/filters/identify.ts
+++ b/src/entry/filters/identify.ts
@@ -1,18 +1,18 @@
-/** Second filter: finds the organisation and the target in the configuration in force. */
+/** Second filter: finds the organisation and the target in the active configuration. */
 import type { Configuration } from "../../configuration";
 import { Refusal, type RefusalCode } from "../Refusal";
 import type { AcceptedRequest, IdentifiedRequest, ModelCall, ServiceCall } from "../requests";
 import { HEADER } from "./accept";
 
 /**
- * Identifies a request.
- * @throws Refusal - unknown_organisation, unknown_model or unknown_service.
+ * Identifies the organisation and the target of a request.
+ * @throws Refusal - With the code unknown_organisation, unknown_model or unknown_service.
  */
 export function identifyRequest(request: AcceptedRequest, configuration: Configuration): IdentifiedRequest {
   const organisation = configuration.organisations.find((known) => known.name === request.organisationName);
   if (organisation === undefined) {
     const name = JSON.stringify(request.organisationName);
-    throw refuse("unknown_organisation", `${HEADER.organisation} ${name} is not declared`);
+    throw refuse("unknown_organisation", `the organisation ${name} in ${HEADER.organisation} is not declared`);
   }
   const { call } = request;
   if (call.kind === "model") return { ...request, organisation, target: identifyModel(call, configuration) };
@@ -22,18 +22,21 @@
 
 function identifyModel(call: ModelCall, configuration: Configuration): string {
   const model = configuration.models.find((known) => known.name === call.model);
-  if (model === undefined) throw refuse("unknown_model", `model "${call.model}" is not declared`);
+  if (model === undefined) throw refuse("unknown_model", `the model "${call.model}" is not declared`);
   if (call.adapter === "" || model.adapters.includes(call.adapter)) return model.name;
-  throw refuse("unknown_model", `model "${call.model}" has no adapter "${call.adapter}"`);
+  throw refuse("unknown_model", `the model "${call.model}" has no adapter "${call.adapter}"`);
 }
 
 function identifyService(call: ServiceCall, configuration: Configuration): string {
   const service = configuration.services.find((known) => known.name === call.service);
-  if (service === undefined) throw refuse("unknown_service", `service "${call.service}" is not declared`);
+  if (service === undefined) throw refuse("unknown_service", `the service "${call.service}" is not declared`);
   return service.name;
 }
 
-/** The declaration wins over the caller: what may not be repeated never is. */
+/**
+ * Checks whether the configuration declares the path as not repeatable. The configuration takes precedence
+ * over the caller's header.
+ */
 function isNotRepeatablePath(call: ServiceCall, configuration: Configuration): boolean {
   const service = configuration.services.find((known) => known.name === call.service);
   return service?.notRepeatablePaths.some((path) => call.path.startsWith(path)) ?? false;
--- a/src/entry/filters/index.ts
+++ b/src/entry/filters/index.ts
@@ -1,4 +1,4 @@
-/** The filters that a request passes, in order. */
+/** The filters for requests, in the order in which a request passes them. */
 
 export type { ClassifiedRequest } from "../requests";
 export { Account, type Ending } from "./Account";
--- a/src/entry/filters/runAttempts.ts
+++ b/src/entry/filters/runAttempts.ts
@@ -1,29 +1,29 @@
-/** Tries a request at one endpoint after another, until one answers or no more may be tried. */
+/** Attempts a request at one endpoint after another until one answers or no further attempt is allowed. */
 import { AttemptHistory, classifyFailure, type Failure } from "../failures";
 
-/** What differs between kinds of requests. */
+/** The steps that differ between kinds of requests. */
 export interface AttemptPlan<R, T> {
   /** Waits until the request is placed. */
   admit(): Promise<R>;
-  /** Runs the request where it was placed. */
+  /** Runs the request at the endpoint where it was placed. */
   attempt(route: R): Promise<T>;
-  /** Notes a failed attempt, so that the endpoint is not taken again. */
+  /** Records a failed attempt, so that the endpoint is not chosen again. */
   noteFailure(route: R, failure: Failure): void;
-  /** Checks whether the request may be tried again after a failure. */
+  /** Checks whether the request may be attempted again after a failure. */
   mayRetry(failure: Failure): boolean;
 }
 
-/** What the attempts came to. */
+/** Result of the successful attempt. */
 export interface AttemptsResult<T> {
   readonly result: T;
-  /** Attempts after the first one. */
+  /** Number of attempts after the first one. */
   readonly retries: number;
 }
 
 /**
- * Runs attempts.
- * @throws Refusal - With the outcome of the request as a whole: once an attempt may have
- * run, no later refusal is told as not run.
+ * Runs the attempts of one request.
+ * @throws Refusal - With the outcome of the whole request: once an attempt may have run, no later refusal
+ * reports the request as not run.
  */
 export async function runAttempts<R, T>(plan: AttemptPlan<R, T>): Promise<AttemptsResult<T>> {
   const history = new AttemptHistory();
--- a/src/entry/requests.ts
+++ b/src/entry/requests.ts
@@ -1,10 +1,10 @@
-/** A request on its way through the filters; each filter adds what it found out. */
+/** The stages of a request on its way through the filters. Each filter adds fields. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Organisation, RequestClass } from "../configuration";
 import type { RequestId } from "../ids";
 import type { PrefixDigests } from "../routing";
 
-/** A model request's body, in the published OpenAI-compatible form. */
+/** The parsed body of a model request in the OpenAI-compatible format. */
 export interface ModelCall {
   readonly kind: "model";
   readonly form: "chat" | "completion";
@@ -19,37 +19,37 @@
   readonly stop: readonly string[];
 }
 
-/** A call of a plain service. */
+/** A call to a service. */
 export interface ServiceCall {
   readonly kind: "service";
   readonly service: string;
   readonly method: string;
-  /** Path and query below the service's name, with the leading slash. */
+  /** Path and query below the service's name, with a leading slash. */
   readonly path: string;
   readonly headers: IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
-/** A request as accepted: well formed and within limits. Times are monotonic milliseconds. */
+/** A well-formed request within the size limits. Times are monotonic milliseconds. */
 export interface AcceptedRequest {
   readonly id: RequestId;
   readonly receivedAt: number;
   readonly call: ModelCall | ServiceCall;
   readonly organisationName: string;
-  /** What the caller says the request is for. */
+  /** The purpose that the caller declares. */
   readonly purpose: string;
   readonly deadlineMs: number | undefined;
   readonly isRepeatable: boolean;
-  /** The caller's key, "" without one. */
+  /** The caller's idempotency key, "" without one. */
   readonly key: string;
-  /** Digest of method, path and body, by which a reused key is told from a resend. */
+  /** Digest of method, path and body. It distinguishes a reused key from a repeated request. */
   readonly fingerprint: string;
 }
 
-/** A request of a known organisation to a known target. */
+/** A request of a declared organisation to a declared target. */
 export interface IdentifiedRequest extends AcceptedRequest {
   readonly organisation: Organisation;
-  /** Model or service. */
+  /** Name of the model or service. */
   readonly target: string;
 }
 
@@ -58,7 +58,7 @@
   readonly requestClass: RequestClass;
   readonly deadlineAt: number;
   readonly promptTokens: number;
-  /** Estimated work in tokens, prompt and answer. */
+  /** Estimated work for prompt and answer, in generated tokens. */
   readonly cost: number;
   readonly prefixDigests: PrefixDigests;
 }
--- a/src/entry/tokens.ts
+++ b/src/entry/tokens.ts
@@ -1,15 +1,15 @@
-/** Estimates of tokens, made without the models' own tokenizers. */
+/** Estimates token counts without the tokenizers of the models. */
 
-/** Characters a token holds on the average. */
+/** Mean number of characters per token. */
 export const CHARACTERS_PER_TOKEN = 4;
 
 /**
- * Work of a prompt token against that of a generated one: a prefill works on many
- * tokens at once.
+ * Cost of a prompt token relative to a generated token. It is lower because a prefill processes many tokens
+ * at once.
  */
 export const PROMPT_TOKEN_COST = 0.1;
 
-/** Estimates the tokens of a text. */
+/** Estimates the number of tokens of a text. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/test/burn/burn.test.ts
+++ b/test/burn/burn.test.ts
@@ -19,7 +19,7 @@
 }
 
 describe("createBurnReport", () => {
-  it("gives the bad share over what the objective allows, by window", () => {
+  it("computes the burn rate of each window as the bad share divided by the allowed share", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 80, 20);
     record(recorder, 20, 100, 0);
@@ -42,16 +42,16 @@
     expect(createBurnReport(NOW, recorder.takeChanged(NOW, true), objectives, []).rows[0]!.alert).toBe(alert);
   }
 
-  it("alerts fast while both the hour and the last minutes burn", () => doTest([0, 50], 20, 0.99, "fast"));
-  it("does not alert for what is over", () => doTest([50, 55], 20, 0.99, undefined));
-  it("alerts slowly for what smoulders", () => doTest([0, 10, 100, 200, 300], 8, 0.99, "slow"));
-  it("does not alert for a handful of requests", () => {
+  it("raises a fast alert while the rates of the last hour and the last five minutes are high", () => doTest([0, 50], 20, 0.99, "fast"));
+  it("raises no alert for a burn that has ended", () => doTest([50, 55], 20, 0.99, undefined));
+  it("raises a slow alert for a long burn at a lower rate", () => doTest([0, 10, 100, 200, 300], 8, 0.99, "slow"));
+  it("raises no alert for fewer than 20 requests", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 2, 3);
     expect(report(recorder).rows[0]!.alert).toBeUndefined();
   });
-  it("gives no rate for nothing", () => doTest([0], 0, 0.99, undefined));
-  it("takes a class that is no longer declared", () => {
+  it("raises no alert without bad requests", () => doTest([0], 0, 0.99, undefined));
+  it("uses the default objective for a class that is no longer declared", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 1, 1);
     expect(createBurnReport(NOW, recorder.takeChanged(NOW, true), [], []).rows[0]!.objective).toBe(0.95);
@@ -59,7 +59,7 @@
 });
 
 describe("BurnRecorder", () => {
-  it("gives windows again only when they changed, and all to a new leader", () => {
+  it("returns a window again only if it has changed, or for a new leader", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 1, 0);
     expect(recorder.takeChanged(NOW, false)).toHaveLength(1);
@@ -67,7 +67,7 @@
     expect(recorder.takeChanged(NOW, true)).toHaveLength(1);
   });
 
-  it("forgets what is older than is held", () => {
+  it("removes windows older than the retention", () => {
     const recorder = new BurnRecorder();
     record(recorder, HELD_MINUTES + 1, 1, 0);
     expect(recorder.takeChanged(NOW, true)).toHaveLength(0);
@@ -75,7 +75,7 @@
 });
 
 describe("BurnStore", () => {
-  it("counts a window that is sent twice once, and adds those of entries", () => {
+  it("counts a repeated window once and adds up the windows of different entries", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 3, 1);
     const windows = recorder.takeChanged(NOW, true);
@@ -89,7 +89,7 @@
     expect(row!.firstTokenP95Ms).toBe(100);
   });
 
-  it("forgets old windows", () => {
+  it("removes windows older than the retention", () => {
     const recorder = new BurnRecorder();
     record(recorder, 0, 1, 0);
     const store = new BurnStore();
@@ -100,7 +100,7 @@
 });
 
 describe("renderBurnHtml", () => {
-  it("stands alone, with a plot, and escapes what it is given", () => {
+  it("renders a self-contained page with a plot and escapes organisation names", () => {
     const recorder = new BurnRecorder();
     recorder.addRequest(NOW, "<script>", "draft", "late", 5_000);
     const loss = {
@@ -118,7 +118,7 @@
     expect(page).toContain("12.3");
   });
 
-  it("says that nothing was counted", () => {
+  it("reports that no requests were counted", () => {
     expect(renderBurnHtml(createBurnReport(NOW, [], [], []))).toContain("No requests were counted");
   });
 });
--- a/test/entry/ClusterView.test.ts
+++ b/test/entry/ClusterView.test.ts
@@ -27,7 +27,7 @@
 
 describe("ClusterView", () => {
   describe("apply", () => {
-    it("takes a configuration as a difference", () => {
+    it("applies a configuration that is sent as a patch", () => {
       const view = createView();
       expect(view.apply(createPatched(createConfigurationPatch(TEXT, NEXT)))).toBe(true);
       expect(view.configuration).toMatchObject({ version: 2, text: NEXT });
@@ -35,10 +35,10 @@
     });
 
     it.each([
-      ["is made from another text", createConfigurationPatch(createConfiguration({ replicas: 3 }), NEXT)],
-      ["gives another text", createConfigurationPatch(TEXT, createConfiguration({ replicas: 9 }))],
-      ["is no patch", "@@ nonsense"],
-    ])("keeps what it has, and asks for the text, when a patch %s", (_, patch) => {
+      ["was created from a different text", createConfigurationPatch(createConfiguration({ replicas: 3 }), NEXT)],
+      ["results in a different text", createConfigurationPatch(TEXT, createConfiguration({ replicas: 9 }))],
+      ["is malformed", "@@ nonsense"],
+    ])("keeps its configuration and requests the whole text if a patch %s", (_, patch) => {
       const view = createView();
       expect(view.apply(createPatched(patch))).toBe(false);
       expect(view.needsText).toBe(true);
@@ -48,7 +48,7 @@
       expect(view.configuration?.text).toBe(NEXT);
     });
 
-    it("takes nothing back when an answer was overtaken", () => {
+    it("ignores a response that is older than the view", () => {
       const view = createView();
       view.apply(createPatched(createConfigurationPatch(TEXT, NEXT)));
       expect(view.apply(create(RenewResponseSchema, { term: 1, configurationVersion: 1 }))).toBe(false);
@@ -56,7 +56,7 @@
       expect(view.configuration?.version).toBe(2);
     });
 
-    it("takes changes of replicas, and forgets released ones", () => {
+    it("applies changes of replicas and removes released ones", () => {
       const view = createView();
       const base = { term: 1, configurationVersion: 1 };
       const replicas = ["a", "b"].map((id) => ({ id, model: "m", phase: ReplicaPhase.SERVING }));
@@ -69,7 +69,7 @@
 });
 
 describe("applyConfigurationPatch", () => {
-  it("gives back any text out of any other", () => {
+  it("restores the new text from any old text and its patch", () => {
     const lines = fc.array(fc.constantFrom("", "a = 1", "b = 2", "[t]", "# é"), { maxLength: 12 });
     const text = lines.map((parts) => parts.join("\n"));
     const property = fc.property(text, text, (before, after) => {
--- a/test/entry/LeaseKeeper.test.ts
+++ b/test/entry/LeaseKeeper.test.ts
@@ -8,10 +8,10 @@
 import { EntryId } from "../../src/ids";
 import type { Logger } from "../../src/metrics";
 
-/** The pause between two renewals that went well, while no configuration says another. */
+/** Pause after a successful renewal while there is no configuration. */
 const DEFAULT_RENEW_MS = 500;
 
-describe("the keeper of an entry's lease", () => {
+describe("LeaseKeeper", () => {
   let answers: ("granted" | "failed")[];
   let calls: number;
   let keeper: LeaseKeeper;
@@ -50,7 +50,7 @@
     vi.useRealTimers();
   });
 
-  it("tries again soon after a failed renewal: the lease runs on meanwhile", async () => {
+  it("renews again soon after a failed renewal, because the lease is still running out", async () => {
     answers = ["granted", "failed", "failed"];
     keeper.start();
     await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_MS + 1);
@@ -59,7 +59,7 @@
     expect(calls).toBeGreaterThanOrEqual(4);
   });
 
-  it("waits its time after a renewal that went well", async () => {
+  it("waits for the default renewal interval after a successful renewal", async () => {
     answers = [];
     keeper.start();
     await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_MS - 1);
