--- a/src/burn/BurnRecorder.ts
+++ b/src/burn/BurnRecorder.ts
@@ -1,14 +1,14 @@
 /** The service-level windows of one entry: one window per minute, organisation and class. */
 import { create } from "@bufbuild/protobuf";
 import { type BurnWindow, BurnWindowSchema } from "../gen/ploverstage/v1/control_pb";
-import { HELD_MINUTES } from "./BurnStore";
+import { RETENTION_MINUTES } from "./BurnStore";
 import { addDuration, createHistogram, encodeHistogram, type Histogram } from "./Histogram";
 import { getMinute } from "./minutes";
 
 /** Outcome of one request for the service level. */
 export type BurnOutcome = "good" | "late" | "shed" | "failed";
 
-interface Window {
+interface RecordedWindow {
   readonly organisation: string;
   readonly requestClass: string;
   readonly minute: number;
@@ -20,7 +20,7 @@
 
 /** Counts requests in windows. */
 export class BurnRecorder {
-  private readonly _windows = new Map<string, Window>();
+  private readonly _windows = new Map<string, RecordedWindow>();
 
   /**
    * Counts one request.
@@ -45,27 +45,27 @@
    * retention.
    * @param includesAll - Takes all windows, for a new leader, which has none.
    */
-  takeChanged(wallMs: number, isAll: boolean): BurnWindow[] {
-    const oldest = getMinute(wallMs) - HELD_MINUTES;
+  takeChanged(wallMs: number, includesAll: boolean): BurnWindow[] {
+    const oldest = getMinute(wallMs) - RETENTION_MINUTES;
     const taken: BurnWindow[] = [];
     for (const [key, window] of this._windows) {
       if (window.minute < oldest) {
         this._windows.delete(key);
         continue;
       }
-      const count = getCount(window);
-      if (!isAll && count === window.sentCount) continue;
+      const count = getTotal(window);
+      if (!includesAll && count === window.sentCount) continue;
       window.sentCount = count;
       taken.push(encodeWindow(window));
     }
     return taken;
   }
 
-  private _getWindow(minute: number, organisation: string, requestClass: string): Window {
+  private _getWindow(minute: number, organisation: string, requestClass: string): RecordedWindow {
     const key = `${minute}/${organisation}/${requestClass}`;
-    const known = this._windows.get(key);
-    if (known !== undefined) return known;
-    const window: Window = {
+    const existing = this._windows.get(key);
+    if (existing !== undefined) return existing;
+    const window: RecordedWindow = {
       organisation,
       requestClass,
       minute,
@@ -78,12 +78,12 @@
   }
 }
 
-function getCount(window: Window): number {
+function getTotal(window: RecordedWindow): number {
   const { good, late, shed, failed } = window.counts;
   return good + late + shed + failed;
 }
 
-function encodeWindow(window: Window): BurnWindow {
+function encodeWindow(window: RecordedWindow): BurnWindow {
   return create(BurnWindowSchema, {
     organisation: window.organisation,
     requestClass: window.requestClass,
--- a/src/burn/BurnReport.ts
+++ b/src/burn/BurnReport.ts
@@ -67,7 +67,7 @@
 /** Lengths of the report's windows, minutes. */
 export const SPAN_MINUTES = [5, 30, 60, 360] as const;
 
-const RULES: readonly AlertRule[] = [
+const ALERT_RULES: readonly AlertRule[] = [
   { alert: "fast", longMinutes: 60, shortMinutes: 5, rate: 14.4 },
   { alert: "slow", longMinutes: 360, shortMinutes: 30, rate: 6 },
 ];
@@ -152,7 +152,7 @@
 function getAlert(spans: readonly BurnSpan[]): "fast" | "slow" | undefined {
   if ((spans.at(-1)?.total ?? 0) < MIN_ALERT_REQUESTS) return undefined;
   const getRate = (minutes: number) => spans.find((span) => span.minutes === minutes)?.burnRate ?? 0;
-  return RULES.find(
+  return ALERT_RULES.find(
     (rule) => getRate(rule.longMinutes) >= rule.rate && getRate(rule.shortMinutes) >= rule.rate,
   )?.alert;
 }
--- a/src/burn/BurnStore.ts
+++ b/src/burn/BurnStore.ts
@@ -12,7 +12,7 @@
 import { mergeHistograms } from "./Histogram";
 
 /** Retention of windows, minutes. */
-export const HELD_MINUTES = 6 * 60;
+export const RETENTION_MINUTES = 6 * 60;
 
 /** Service-level windows by entry. */
 export class BurnStore {
@@ -22,19 +22,19 @@
    * Sets windows of an entry. A window replaces an earlier one of the same minute, organisation and class.
    */
   setWindows(entryId: EntryId, windows: readonly BurnWindow[]): void {
-    let known = this._windows.get(entryId);
-    if (known === undefined) {
-      known = new Map();
-      this._windows.set(entryId, known);
+    let entryWindows = this._windows.get(entryId);
+    if (entryWindows === undefined) {
+      entryWindows = new Map();
+      this._windows.set(entryId, entryWindows);
     }
-    for (const window of windows) known.set(getKey(window), window);
+    for (const window of windows) entryWindows.set(getKey(window), window);
   }
 
   /** Removes windows older than the retention. */
   removeOld(nowMinute: number): void {
     for (const [entryId, windows] of this._windows) {
       for (const [key, window] of windows) {
-        if (window.minute < nowMinute - HELD_MINUTES) windows.delete(key);
+        if (window.minute < nowMinute - RETENTION_MINUTES) windows.delete(key);
       }
       if (windows.size === 0) this._windows.delete(entryId);
     }
--- a/src/burn/Histogram.ts
+++ b/src/burn/Histogram.ts
@@ -8,14 +8,14 @@
 
 export type { Histogram };
 
-const HIGHEST_MS = 3_600_000;
+const MAX_DURATION_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 2;
 
 /** Creates an empty histogram. */
 export function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS,
+    highestTrackableValue: MAX_DURATION_MS,
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
     bitBucketSize: 32,
   });
@@ -23,7 +23,7 @@
 
 /** Adds a duration, clamped to the range of the histogram. */
 export function addDuration(histogram: Histogram, milliseconds: number): void {
-  histogram.recordValue(Math.min(HIGHEST_MS, Math.max(0, Math.round(milliseconds))));
+  histogram.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, Math.round(milliseconds))));
 }
 
 /** Encodes a histogram in the compressed HdrHistogram format. */
--- a/src/burn/index.ts
+++ b/src/burn/index.ts
@@ -9,7 +9,7 @@
   type Objective,
   SPAN_MINUTES,
 } from "./BurnReport";
-export { BurnStore, HELD_MINUTES, mergeWindows } from "./BurnStore";
+export { BurnStore, mergeWindows, RETENTION_MINUTES } from "./BurnStore";
 export { addDuration, createHistogram, decodeHistogram, encodeHistogram, type Histogram } from "./Histogram";
 export { getMinute, MS_PER_MINUTE } from "./minutes";
 export { renderBurnHtml } from "./renderBurnHtml";
--- a/src/entry/AnswerWriter.ts
+++ b/src/entry/AnswerWriter.ts
@@ -44,7 +44,7 @@
   createdS: number,
 ): AnswerWriter {
   if (call.isStream) return new StreamWriter(response, requestId, call, createdS);
-  return new WholeWriter(response, requestId, call, createdS);
+  return new JsonWriter(response, requestId, call, createdS);
 }
 
 /** Writes the answer as server-sent events. */
@@ -52,7 +52,7 @@
   private readonly _response: ServerResponse;
   private readonly _requestId: string;
   private readonly _call: ModelCall;
-  private readonly _head: string;
+  private readonly _eventPrefix: string;
   private _hasStarted = false;
 
   constructor(response: ServerResponse, requestId: string, call: ModelCall, createdS: number) {
@@ -62,7 +62,7 @@
     const object = call.form === "chat" ? "chat.completion.chunk" : "text_completion";
     const id = JSON.stringify(requestId);
     const model = JSON.stringify(call.model);
-    this._head = `data: {"id":${id},"object":"${object}","created":${createdS},"model":${model},"choices":`;
+    this._eventPrefix = `data: {"id":${id},"object":"${object}","created":${createdS},"model":${model},"choices":`;
   }
 
   get hasStarted(): boolean {
@@ -73,12 +73,13 @@
     if (!this._hasStarted) this._start(replicaId);
     let events = "";
     for (const frame of frames) events += this._createEvent(frame);
-    const hasRoom = this._response.write(events);
-    if (!hasRoom && !this._response.destroyed) await waitForRoom(this._response);
+    const canTakeMore = this._response.write(events);
+    if (!canTakeMore && !this._response.destroyed) await waitForDrain(this._response);
   }
 
   finish(usage: Usage): void {
-    if (this._call.includesUsage) this._response.write(`${this._head}[],"usage":${toUsageJson(usage)}}\n\n`);
+    if (this._call.includesUsage)
+      this._response.write(`${this._eventPrefix}[],"usage":${toUsageJson(usage)}}\n\n`);
     this._response.end("data: [DONE]\n\n");
   }
 
@@ -88,7 +89,7 @@
     const reason = frame.finishReason === undefined ? "null" : JSON.stringify(frame.finishReason);
     const text = JSON.stringify(frame.text);
     const content = this._call.form === "chat" ? `"delta":{"content":${text}}` : `"text":${text}`;
-    return `${this._head}[{"index":0,${content},"finish_reason":${reason}}]}\n\n`;
+    return `${this._eventPrefix}[{"index":0,${content},"finish_reason":${reason}}]}\n\n`;
   }
 
   private _start(replicaId: string): void {
@@ -103,7 +104,7 @@
 }
 
 /** Writes the answer as one JSON body. The maximum number of tokens of a request bounds its size. */
-class WholeWriter implements AnswerWriter {
+class JsonWriter implements AnswerWriter {
   readonly hasStarted = false;
   private readonly _response: ServerResponse;
   private readonly _requestId: string;
@@ -195,12 +196,12 @@
 }
 
 /** Waits until the response has drained or its connection has closed. */
-export async function waitForRoom(response: ServerResponse): Promise<void> {
-  const closed = new AbortController();
-  const onClose = () => closed.abort();
+export async function waitForDrain(response: ServerResponse): Promise<void> {
+  const closeController = new AbortController();
+  const onClose = () => closeController.abort();
   response.once("close", onClose);
   try {
-    await once(response, "drain", { signal: closed.signal });
+    await once(response, "drain", { signal: closeController.signal });
   } catch {
     // The caller disconnected. The abort signal of the request ends the work.
   } finally {
--- a/src/entry/CacheFollower.ts
+++ b/src/entry/CacheFollower.ts
@@ -7,15 +7,15 @@
 import type { Engine } from "../engine";
 import type { PrefixTable } from "../routing";
 
-interface Followed {
+interface TrackedCache {
   sequence: number;
-  isAsked: boolean;
+  isFetching: boolean;
 }
 
 /** Tracks the prefix caches of all replicas that one entry routes to. */
-export class CacheFollower {
+export class CacheTracker {
   private readonly _prefixes: PrefixTable;
-  private readonly _followed = new Map<string, Followed>();
+  private readonly _tracked = new Map<string, TrackedCache>();
 
   /** @param prefixes - The table to update. */
   constructor(prefixes: PrefixTable) {
@@ -26,17 +26,17 @@
    * Fetches a replica's cache events since the last fetch. Does nothing while a fetch for the replica is
    * running.
    */
-  async follow(replicaId: string, engine: Engine, timeoutMs: number): Promise<void> {
-    const followed = this._getFollowed(replicaId);
-    if (followed.isAsked) return;
-    followed.isAsked = true;
+  async fetchEvents(replicaId: string, engine: Engine, timeoutMs: number): Promise<void> {
+    const tracked = this._getTracked(replicaId);
+    if (tracked.isFetching) return;
+    tracked.isFetching = true;
     // If the engine has no events or can't be reached, the entry keeps its own estimates.
-    const events = await engine.getCacheEvents(followed.sequence, timeoutMs).catch(() => []);
-    followed.isAsked = false;
+    const events = await engine.getCacheEvents(tracked.sequence, timeoutMs).catch(() => []);
+    tracked.isFetching = false;
     for (const event of events) {
-      if (event.sequence <= followed.sequence) continue;
-      if (event.sequence > followed.sequence + 1) this._prefixes.removeReplica(replicaId);
-      followed.sequence = event.sequence;
+      if (event.sequence <= tracked.sequence) continue;
+      if (event.sequence > tracked.sequence + 1) this._prefixes.removeReplica(replicaId);
+      tracked.sequence = event.sequence;
       if (event.kind === "stored") this._prefixes.addPrefixes(replicaId, [event.prefix]);
       else this._prefixes.removePrefix(replicaId, event.prefix);
     }
@@ -44,18 +44,18 @@
 
   /** Removes all replicas that are not in `ids`. */
   retain(ids: ReadonlySet<string>): void {
-    for (const id of this._followed.keys()) {
+    for (const id of this._tracked.keys()) {
       if (ids.has(id)) continue;
-      this._followed.delete(id);
+      this._tracked.delete(id);
       this._prefixes.removeReplica(id);
     }
   }
 
-  private _getFollowed(replicaId: string): Followed {
-    const known = this._followed.get(replicaId);
-    if (known !== undefined) return known;
-    const followed = { sequence: 0, isAsked: false };
-    this._followed.set(replicaId, followed);
-    return followed;
+  private _getTracked(replicaId: string): TrackedCache {
+    const existing = this._tracked.get(replicaId);
+    if (existing !== undefined) return existing;
+    const tracked = { sequence: 0, isFetching: false };
+    this._tracked.set(replicaId, tracked);
+    return tracked;
   }
 }
--- a/src/entry/Claims.ts
+++ b/src/entry/Claims.ts
@@ -14,11 +14,11 @@
 import { type Outcome, Refusal, type RefusalCode } from "./Refusal";
 import type { ClassifiedRequest } from "./requests";
 
-const CLAIM_MS = 3_000;
+const CLAIM_TIMEOUT_MS = 3_000;
 /**
  * Maximum time to report an outcome to the leader. After that, the outcome stays unknown to other entries.
  */
-const SETTLE_MS = 60_000;
+const COMPLETE_TIMEOUT_MS = 60_000;
 
 const STATE_BY_OUTCOME: Readonly<Record<Outcome, ClaimState>> = {
   done: ClaimState.DONE,
@@ -27,13 +27,13 @@
   "not-run": ClaimState.UNSPECIFIED,
 };
 
-interface Duplicate {
+interface DuplicateAnswer {
   readonly code: RefusalCode;
   readonly outcome: Outcome;
   readonly reason: string;
 }
 
-const DUPLICATES: Readonly<Record<ClaimState, Duplicate>> = {
+const DUPLICATE_ANSWERS: Readonly<Record<ClaimState, DuplicateAnswer>> = {
   [ClaimState.UNSPECIFIED]: {
     code: "claim_unknown",
     outcome: "unknown",
@@ -61,7 +61,7 @@
   },
 };
 
-const RUNNING_RETRY_MS = 2_000;
+const RETRY_AFTER_MS = 2_000;
 
 /** Makes and completes the claims of one entry. */
 export class Claims {
@@ -69,7 +69,7 @@
   private readonly _entryId: EntryId;
   private readonly _clock: Clock;
   private readonly _logger: Logger;
-  private readonly _held = new Set<RequestId>();
+  private readonly _claimed = new Set<RequestId>();
 
   /** @param entryId - The entry that owns the claims. */
   constructor(client: LeaderClient<typeof EntryService>, entryId: EntryId, clock: Clock, logger: Logger) {
@@ -84,13 +84,13 @@
    * @throws Refusal - If the key was claimed before or the control process can't be reached.
    */
   async claimOnce(request: ClassifiedRequest): Promise<void> {
-    if (request.isRepeatable || request.key === "" || this._held.has(request.id)) return;
+    if (request.isRepeatable || request.key === "" || this._claimed.has(request.id)) return;
     await this._claim(request);
-    this._held.add(request.id);
+    this._claimed.add(request.id);
   }
 
   private async _claim(request: ClassifiedRequest): Promise<void> {
-    const leftMs = request.deadlineAt - this._clock.getMonotonicMs();
+    const remainingMs = request.deadlineAt - this._clock.getMonotonicMs();
     const message = create(ClaimRequestSchema, {
       key: getClaimKey(request),
       requestId: request.id,
@@ -98,17 +98,20 @@
       fingerprint: request.fingerprint,
     });
     const response = await this._client
-      .call((leader, timeoutMs) => leader.claim(message, { timeoutMs }), Math.min(CLAIM_MS, leftMs))
-      .catch((cause: unknown) => this._giveUp(request, cause));
+      .call(
+        (leader, timeoutMs) => leader.claim(message, { timeoutMs }),
+        Math.min(CLAIM_TIMEOUT_MS, remainingMs),
+      )
+      .catch((cause: unknown) => this._abandon(request, cause));
     if (!response.granted) throw createDuplicateRefusal(response.existing, request);
   }
 
   /** Records the outcome of a request in the background. Does nothing if the request has no claim. */
-  settle(request: ClassifiedRequest, outcome: Outcome, status: number): void {
-    if (this._held.delete(request.id)) this._settle(request, outcome, status);
+  complete(request: ClassifiedRequest, outcome: Outcome, status: number): void {
+    if (this._claimed.delete(request.id)) this._complete(request, outcome, status);
   }
 
-  private _settle(request: ClassifiedRequest, outcome: Outcome, status: number): void {
+  private _complete(request: ClassifiedRequest, outcome: Outcome, status: number): void {
     const message = create(SettleRequestSchema, {
       key: getClaimKey(request),
       requestId: request.id,
@@ -116,7 +119,7 @@
       status,
     });
     this._client
-      .call((leader, timeoutMs) => leader.settle(message, { timeoutMs }), SETTLE_MS)
+      .call((leader, timeoutMs) => leader.settle(message, { timeoutMs }), COMPLETE_TIMEOUT_MS)
       .catch((cause: unknown) =>
         this._logger.warn({ event: "settle_failed", request: request.id, outcome, reason: String(cause) }),
       );
@@ -127,13 +130,13 @@
    * failed.
    * @throws Refusal - Always.
    */
-  private _giveUp(request: ClassifiedRequest, cause: unknown): ClaimResponse {
-    this._settle(request, "not-run", 0);
+  private _abandon(request: ClassifiedRequest, cause: unknown): ClaimResponse {
+    this._complete(request, "not-run", 0);
     throw new Refusal({
       code: "control_unreachable",
       outcome: "not-run",
       reason: `the claim for the request failed: ${String(cause)}`,
-      retryAfterMs: RUNNING_RETRY_MS,
+      retryAfterMs: RETRY_AFTER_MS,
     });
   }
 }
@@ -148,12 +151,12 @@
     return new Refusal({ code: "key_reused", outcome: "not-run", reason });
   }
   const state = existing?.state ?? ClaimState.UNSPECIFIED;
-  const duplicate = DUPLICATES[state];
+  const answer = DUPLICATE_ANSWERS[state];
   const status = existing?.status ? ` with status ${existing.status}` : "";
   return new Refusal({
-    code: duplicate.code,
-    outcome: duplicate.outcome,
-    reason: duplicate.reason + status,
-    retryAfterMs: state === ClaimState.RUNNING ? RUNNING_RETRY_MS : undefined,
+    code: answer.code,
+    outcome: answer.outcome,
+    reason: answer.reason + status,
+    retryAfterMs: state === ClaimState.RUNNING ? RETRY_AFTER_MS : undefined,
   });
 }
--- a/src/entry/ClusterView.ts
+++ b/src/entry/ClusterView.ts
@@ -21,7 +21,7 @@
   private _replicas = new Map<string, Replica>();
   private _assignmentIndex = 0;
   private _entries: readonly EntryAddress[] = [];
-  private _absent: ReadonlySet<string> = new Set();
+  private _absentInstances: ReadonlySet<string> = new Set();
   private _concurrencyShare = 0;
   private _endpoints: readonly ServiceEndpoint[] = [];
   private _term = 0;
@@ -73,13 +73,13 @@
   getServingReplicas(model: string): Replica[] {
     return this.getReplicas().filter(
       (replica) =>
-        replica.model === model && replica.phase === ReplicaPhase.SERVING && !this.isAbsentAtControl(replica),
+        replica.model === model && replica.phase === ReplicaPhase.SERVING && !this.hasAbsentInstance(replica),
     );
   }
 
   /** Checks whether the leader reports an instance of the replica as absent. */
-  isAbsentAtControl(replica: Replica): boolean {
-    return replica.members.some((member) => this._absent.has(member.instanceId));
+  hasAbsentInstance(replica: Replica): boolean {
+    return replica.members.some((member) => this._absentInstances.has(member.instanceId));
   }
 
   /** Gets the endpoints of a service, without those that are leaving. */
@@ -103,7 +103,7 @@
     this._term = response.term;
     this._applyReplicas(response);
     this._entries = response.entries;
-    this._absent = new Set(response.absentInstances);
+    this._absentInstances = new Set(response.absentInstances);
     this._concurrencyShare = response.concurrencyShare;
     this._endpoints = response.serviceEndpoints;
     return true;
@@ -112,7 +112,7 @@
   /** Returns whether the active configuration is now the one of the response. */
   private _applyConfiguration(response: RenewResponse): boolean {
     if (response.configurationVersion === (this._configuration?.version ?? 0)) return true;
-    const text = this._getText(response);
+    const text = this._getConfigurationText(response);
     this._needsText = text === undefined;
     if (text === undefined) return false;
     const declared = parseConfiguration(`version-${response.configurationVersion}`, text);
@@ -121,7 +121,7 @@
     return true;
   }
 
-  private _getText({
+  private _getConfigurationText({
     configurationText,
     configurationPatch,
     configurationDigest,
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -20,7 +20,7 @@
 import { Claims } from "./Claims";
 import { ClusterView } from "./ClusterView";
 import { EntryServer } from "./EntryServer";
-import { Account, Admission, ModelDispatch, ServiceDispatch } from "./filters";
+import { Admission, ModelDispatch, RequestRecorder, ServiceDispatch } from "./filters";
 import { LeaseKeeper } from "./LeaseKeeper";
 import { ReplicaRouter } from "./ReplicaRouter";
 
@@ -33,16 +33,16 @@
   readonly metrics: Metrics;
 }
 
-const CONNECT_MS = 1_000;
-const DEFAULT_IDLE_MS = 15_000;
-const DEFAULT_PROBE_MS = 400;
-const UPDATE_MS = 25;
-const REPORT_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 1_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+const DEFAULT_PROBE_INTERVAL_MS = 400;
+const UPDATE_INTERVAL_MS = 25;
+const METRICS_INTERVAL_MS = 1_000;
 
 /** A running entry. */
 interface Entry {
   readonly server: EntryServer;
-  readonly keeper: LeaseKeeper;
+  readonly leaseKeeper: LeaseKeeper;
   readonly view: ClusterView;
 }
 
@@ -51,25 +51,25 @@
   return Effect.gen(function* () {
     const client = yield* Effect.acquireRelease(
       Effect.sync(() => new HttpClient()),
-      (opened) => Effect.sync(() => opened.close()),
+      (openedClient) => Effect.sync(() => openedClient.close()),
     );
-    const parts = createParts(options, client);
-    yield* runTimers(parts, options.metrics);
+    const components = createComponents(options, client);
+    yield* runTimers(components, options.metrics);
     yield* Effect.acquireRelease(
-      Effect.sync(() => parts.keeper.start()),
-      () => Effect.promise(() => parts.keeper.end()),
+      Effect.sync(() => components.leaseKeeper.start()),
+      () => Effect.promise(() => components.leaseKeeper.end()),
     );
     yield* Effect.acquireRelease(
-      Effect.tryPromise({ try: () => parts.server.start(), catch: (cause) => cause }),
-      () => Effect.promise(() => stopGracefully(parts, options.logger)),
+      Effect.tryPromise({ try: () => components.server.start(), catch: (cause) => cause }),
+      () => Effect.promise(() => stopGracefully(components, options.logger)),
     );
-    yield* serveHealth(options, parts.server);
+    yield* serveHealth(options, components.server);
     options.logger.info({ event: "entry_started", listen: options.settings.entry.listen });
-    return parts;
+    return components;
   });
 }
 
-function createParts(
+function createComponents(
   { settings, clusterSecret, orderSecret, logger, metrics }: EntryProcessOptions,
   client: HttpClient,
 ) {
@@ -78,21 +78,21 @@
   const entryId = EntryId(`${settings.process.name}.${randomBytes(6).toString("hex")}`);
   const view = new ClusterView();
   const burn = new BurnRecorder();
-  const getIdleMs = () => view.configuration?.declared.limits.idle ?? DEFAULT_IDLE_MS;
+  const getIdleMs = () => view.configuration?.declared.limits.idle ?? DEFAULT_IDLE_TIMEOUT_MS;
   const createEngine = (address: string) =>
-    new HttpEngine({ client, address, orderSecret, connectMs: CONNECT_MS, getIdleMs });
+    new HttpEngine({ client, address, orderSecret, connectMs: CONNECT_TIMEOUT_MS, getIdleMs });
   const router = new ReplicaRouter(view, createEngine, clock, random);
   const admission = new Admission(clock, random);
   const transports = new TransportPool(clusterSecret);
   const leaderOptions = { addresses: settings.entry.controls, transports, clock };
-  const renewals = new LeaderClient(EntryService, leaderOptions);
+  const renewalClient = new LeaderClient(EntryService, leaderOptions);
   const claims = new Claims(new LeaderClient(EntryService, leaderOptions), entryId, clock, logger);
-  const keeper = new LeaseKeeper({
+  const leaseKeeper = new LeaseKeeper({
     entryId,
     entryName: settings.process.name,
     callerAddress: settings.entry.listen,
     failureDomain: settings.process.failureDomain,
-    client: renewals,
+    client: renewalClient,
     view,
     burn,
     clock,
@@ -105,14 +105,14 @@
     }),
     onChange: () => {
       router.updateReplicas();
-      services.updateEndpoints();
+      serviceDispatch.updateEndpoints();
       admission.update();
     },
   });
-  const { lease } = keeper;
-  const models = new ModelDispatch({ clock, view, router, admission, claims, lease });
-  const services = new ServiceDispatch({ clock, view, admission, claims, lease, client, random });
-  const account = new Account(clock, burn, logger, metrics);
+  const { lease } = leaseKeeper;
+  const modelDispatch = new ModelDispatch({ clock, view, router, admission, claims, lease });
+  const serviceDispatch = new ServiceDispatch({ clock, view, admission, claims, lease, client, random });
+  const requestRecorder = new RequestRecorder(clock, burn, logger, metrics);
   const { listen } = settings.entry;
   const server = new EntryServer({
     listen,
@@ -123,59 +123,62 @@
     router,
     admission,
     claims,
-    models,
-    services,
-    account,
+    modelDispatch,
+    serviceDispatch,
+    requestRecorder,
   });
-  return { clock, view, router, admission, models, keeper, server };
+  return { clock, view, router, admission, modelDispatch, leaseKeeper, server };
 }
 
-type Parts = ReturnType<typeof createParts>;
+type EntryComponents = ReturnType<typeof createComponents>;
 
 /**
  * Runs the periodic work while the scope is open: probes replicas, places and refuses queued requests, aborts
  * lost attempts.
  */
-function runTimers(parts: Parts, metrics: Metrics) {
-  const { router, admission, models, view, clock, keeper } = parts;
+function runTimers(components: EntryComponents, metrics: Metrics) {
+  const { router, admission, modelDispatch, view, clock, leaseKeeper } = components;
   const start = () => {
     let probeTimer: NodeJS.Timeout;
     const probe = () => {
       const timing = view.configuration?.declared.timing;
-      router.probe(timing?.presenceWindow ?? CONNECT_MS);
-      router.followCaches(timing?.presenceWindow ?? CONNECT_MS);
-      probeTimer = setTimeout(probe, timing?.probe ?? DEFAULT_PROBE_MS);
+      router.probe(timing?.presenceWindow ?? CONNECT_TIMEOUT_MS);
+      router.followCaches(timing?.presenceWindow ?? CONNECT_TIMEOUT_MS);
+      probeTimer = setTimeout(probe, timing?.probe ?? DEFAULT_PROBE_INTERVAL_MS);
     };
     probe();
-    const updates = setInterval(() => {
+    const updateTimer = setInterval(() => {
       admission.update();
-      models.abortLost(clock.getMonotonicMs());
-    }, UPDATE_MS);
-    const reports = setInterval(() => {
+      modelDispatch.abortLostAttempts(clock.getMonotonicMs());
+    }, UPDATE_INTERVAL_MS);
+    const metricsTimer = setInterval(() => {
       metrics.gauge("queue_length", admission.queueLength);
-      metrics.gauge("lease_left_ms", keeper.lease.getLeftMs(clock.getMonotonicMs()));
+      metrics.gauge("lease_left_ms", leaseKeeper.lease.getLeftMs(clock.getMonotonicMs()));
       metrics.gauge("configuration_version", view.configuration?.version ?? 0);
       metrics.gauge("assignment_index", view.assignmentIndex);
-    }, REPORT_MS);
+    }, METRICS_INTERVAL_MS);
     return () => {
       clearTimeout(probeTimer);
-      clearInterval(updates);
-      clearInterval(reports);
+      clearInterval(updateTimer);
+      clearInterval(metricsTimer);
     };
   };
   return Effect.acquireRelease(Effect.sync(start), (stop) => Effect.sync(stop));
 }
 
-async function stopGracefully({ server, keeper, view, clock }: Parts, logger: Logger): Promise<void> {
+async function stopGracefully(
+  { server, leaseKeeper, view, clock }: EntryComponents,
+  logger: Logger,
+): Promise<void> {
   const startedAt = clock.getMonotonicMs();
   logger.info({ event: "entry_stopping" });
   server.announceStop();
-  await keeper.announceStop();
+  await leaseKeeper.announceStop();
   const timing = view.configuration?.declared.timing;
   // Other entries may publish this address until their next renewal.
   const waitMs = (timing?.addressTtl ?? 0) + (timing?.lease ?? 0);
-  const leftMs = waitMs - (clock.getMonotonicMs() - startedAt);
-  await pause(Math.max(0, leftMs));
+  const remainingMs = waitMs - (clock.getMonotonicMs() - startedAt);
+  await pause(Math.max(0, remainingMs));
   await server.stop();
   logger.info({ event: "entry_stopped" });
 }
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -10,14 +10,14 @@
 import type { Claims } from "./Claims";
 import type { ActiveConfiguration, ClusterView } from "./ClusterView";
 import {
-  type Account,
   type Admission,
   acceptRequest,
   classifyRequest,
-  type Ending,
   identifyRequest,
   type ModelDispatch,
   type ModelRequest,
+  type RequestRecord,
+  type RequestRecorder,
   type ServiceDispatch,
   type ServiceRequest,
 } from "./filters";
@@ -37,24 +37,30 @@
   readonly router: ReplicaRouter;
   readonly admission: Admission;
   readonly claims: Claims;
-  readonly models: ModelDispatch;
-  readonly services: ServiceDispatch;
-  readonly account: Account;
+  readonly modelDispatch: ModelDispatch;
+  readonly serviceDispatch: ServiceDispatch;
+  readonly requestRecorder: RequestRecorder;
 }
 
 /** The part of a request record that the dispatch filter determines. */
-type Served = Omit<Ending, "request" | "refusal">;
+type DispatchResult = Omit<RequestRecord, "request" | "refusal">;
 
 const MAX_HEADER_BYTES = 16_384;
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 const KEEP_ALIVE_MS = 30_000;
-const LAPSED_RETRY_MS = 1_000;
-const LAPSED_TTL_MS = 1_000;
-const NOT_SERVED: Served = { servedBy: "", epoch: 0, firstTokenMs: undefined, tokens: 0, retries: 0 };
+const UNAVAILABLE_RETRY_MS = 1_000;
+const EXPIRED_LEASE_TTL_MS = 1_000;
+const NOT_DISPATCHED: DispatchResult = {
+  servedBy: "",
+  epoch: 0,
+  firstTokenMs: undefined,
+  tokens: 0,
+  retries: 0,
+};
 
 /** Maximum delay of a stop by callers that keep opening connections. */
-const MAX_ACCEPT_MS = 500;
+const MAX_STOP_DELAY_MS = 500;
 
 /** The HTTP server of one entry. */
 export class EntryServer {
@@ -62,7 +68,7 @@
   private readonly _server: Server;
   private readonly _connections: Connections;
   private readonly _meanTokens = new MeanTokens();
-  private _requests = 0;
+  private _requestCount = 0;
   private _isStopping = false;
 
   /** @param options - The components of the entry. */
@@ -80,7 +86,7 @@
 
   /** Gets the number of requests in progress, including queued ones. */
   get requestCount(): number {
-    return this._requests;
+    return this._requestCount;
   }
 
   async start(): Promise<void> {
@@ -95,7 +101,7 @@
 
   /** Stops listening. Resolves once all answers are complete and no caller uses its connection any more. */
   async stop(): Promise<void> {
-    await this._connections.end(MAX_ACCEPT_MS);
+    await this._connections.end(MAX_STOP_DELAY_MS);
     this._server.close();
   }
 
@@ -108,12 +114,12 @@
   }
 
   private async _handle(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (incoming.method === "GET" && this._answerQuestion(incoming.url ?? "", response)) return;
-    this._requests += 1;
+    if (incoming.method === "GET" && this._answerQuery(incoming.url ?? "", response)) return;
+    this._requestCount += 1;
     try {
       await this._run(incoming, response);
     } finally {
-      this._requests -= 1;
+      this._requestCount -= 1;
       this._options.admission.update();
     }
   }
@@ -122,7 +128,7 @@
    * Answers health, address and model queries, which need no endpoint. Returns whether the URL is one of
    * them.
    */
-  private _answerQuestion(url: string, response: ServerResponse): boolean {
+  private _answerQuery(url: string, response: ServerResponse): boolean {
     if (answerHealth(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
     else if (url === "/v1/models") sendJson(response, this._createModels());
@@ -133,11 +139,11 @@
   /** The order of the addresses is random, so callers that use the first one spread over all entries. */
   private _createAddresses() {
     const { view, clock, lease, random } = this._options;
-    const addresses = view.entries.map((entry) => ({ ...pickAddress(entry), order: random.next() }));
-    const ttlMs = view.configuration?.declared.timing.addressTtl ?? LAPSED_TTL_MS;
+    const addresses = view.entries.map((entry) => ({ ...toAddressJson(entry), order: random.next() }));
+    const ttlMs = view.configuration?.declared.timing.addressTtl ?? EXPIRED_LEASE_TTL_MS;
     return {
       addresses: addresses.sort((a, b) => a.order - b.order).map(({ order: _, ...address }) => address),
-      ttl_ms: lease.isHeld(clock.getMonotonicMs()) ? ttlMs : Math.min(ttlMs, LAPSED_TTL_MS),
+      ttl_ms: lease.isHeld(clock.getMonotonicMs()) ? ttlMs : Math.min(ttlMs, EXPIRED_LEASE_TTL_MS),
     };
   }
 
@@ -154,19 +160,19 @@
     const receivedAt = this._options.clock.getMonotonicMs();
     let request: ClassifiedRequest | undefined;
     let refusal: Refusal | undefined;
-    let served = NOT_SERVED;
+    let dispatchResult = NOT_DISPATCHED;
     try {
       const active = this._getActiveOrThrow();
       const accepted = await acceptRequest(receivedAt, incoming, active.declared.limits);
       const identified = identifyRequest(accepted, active.declared);
-      this._throwIfLapsed();
+      this._throwIfLeaseExpired();
       request = this._classify(identified, active);
-      served = await this._dispatch(request, active, response);
+      dispatchResult = await this._dispatch(request, active, response);
     } catch (cause) {
       refusal = toRefusal(cause);
-      this._refuse(response, refusal, request?.id ?? "");
+      this._writeRefusal(response, refusal, request?.id ?? "");
     }
-    if (request !== undefined) this._end({ request, refusal, ...served }, response);
+    if (request !== undefined) this._recordResult({ request, refusal, ...dispatchResult }, response);
   }
 
   private _getActiveOrThrow(): ActiveConfiguration {
@@ -177,14 +183,19 @@
       code: "control_unreachable",
       outcome: "not-run",
       reason,
-      retryAfterMs: LAPSED_RETRY_MS,
+      retryAfterMs: UNAVAILABLE_RETRY_MS,
     });
   }
 
-  private _throwIfLapsed(): void {
+  private _throwIfLeaseExpired(): void {
     if (this._options.lease.isHeld(this._options.clock.getMonotonicMs())) return;
     const reason = "the lease of this entry has expired; use another address";
-    throw new Refusal({ code: "lease_lapsed", outcome: "not-run", reason, retryAfterMs: LAPSED_RETRY_MS });
+    throw new Refusal({
+      code: "lease_lapsed",
+      outcome: "not-run",
+      reason,
+      retryAfterMs: UNAVAILABLE_RETRY_MS,
+    });
   }
 
   private _classify(request: IdentifiedRequest, active: ActiveConfiguration): ClassifiedRequest {
@@ -193,7 +204,7 @@
     return classifyRequest(now, request, active, {
       wallMs: clock.getWallMs(),
       load: this._getLoad(now, request, active),
-      organisationQueued: admission.getOrganisationLength(request.organisation.name),
+      organisationQueued: admission.getOrganisationQueueLength(request.organisation.name),
       getMeanTokens: (className) => this._meanTokens.getMean(className),
     });
   }
@@ -203,7 +214,7 @@
     const slots = router.getSlots(now, request.target);
     return {
       queued: admission.queueLength,
-      queue_ms: admission.getQueueMs(`${request.call.kind}:${request.target}`),
+      queue_ms: admission.getQueueingMs(`${request.call.kind}:${request.target}`),
       utilisation:
         slots === 0 ? 0 : router.getRequestCount() / Math.max(slots, active.declared.groups.length),
     };
@@ -213,11 +224,11 @@
     request: ClassifiedRequest,
     active: ActiveConfiguration,
     response: ServerResponse,
-  ): Promise<Served> {
+  ): Promise<DispatchResult> {
     const controller = new AbortController();
-    const timer = setTimeout(() => controller.abort(createTimeout()), active.declared.limits.total);
+    const timer = setTimeout(() => controller.abort(createTimeoutRefusal()), active.declared.limits.total);
     response.once("close", () => {
-      if (!response.writableFinished) controller.abort(createLeft());
+      if (!response.writableFinished) controller.abort(createCallerLeftRefusal());
     });
     try {
       if (request.call.kind === "model") {
@@ -234,10 +245,10 @@
     active: ActiveConfiguration,
     response: ServerResponse,
     signal: AbortSignal,
-  ): Promise<Served> {
+  ): Promise<DispatchResult> {
     const createdS = Math.floor(this._options.clock.getWallMs() / MS_PER_SECOND);
     const writer = createAnswerWriter(response, request.id, request.call, createdS);
-    const result = await this._options.models.run(request, active, writer, signal);
+    const result = await this._options.modelDispatch.run(request, active, writer, signal);
     this._meanTokens.addAnswer(request.requestClass.name, result.tokens);
     const epoch = this._options.view.getReplica(result.replicaId)?.epoch ?? 0;
     const { firstTokenMs, tokens, retries } = result;
@@ -249,33 +260,33 @@
     active: ActiveConfiguration,
     response: ServerResponse,
     signal: AbortSignal,
-  ): Promise<Served> {
-    const result = await this._options.services.run(request, active, response, signal);
+  ): Promise<DispatchResult> {
+    const result = await this._options.serviceDispatch.run(request, active, response, signal);
     const firstTokenMs = this._options.clock.getMonotonicMs() - request.receivedAt;
     return { servedBy: result.instanceId, epoch: 0, firstTokenMs, tokens: 0, retries: result.retries };
   }
 
-  private _refuse(response: ServerResponse, refusal: Refusal, requestId: string): void {
-    const isLapsed = refusal.code === "lease_lapsed";
-    const others = isLapsed ? this._options.view.entries.map((entry) => entry.address) : [];
+  private _writeRefusal(response: ServerResponse, refusal: Refusal, requestId: string): void {
+    const isLeaseExpired = refusal.code === "lease_lapsed";
+    const entryAddresses = isLeaseExpired ? this._options.view.entries.map((entry) => entry.address) : [];
     writeRefusal(
       response,
       requestId,
       refusal,
-      others.filter((address) => address !== this._options.listen),
+      entryAddresses.filter((address) => address !== this._options.listen),
     );
   }
 
-  private _end(ending: Ending, response: ServerResponse): void {
-    const outcome = ending.refusal?.outcome ?? "done";
-    this._options.claims.settle(ending.request, outcome, response.statusCode);
-    this._options.account.addEnding(ending);
+  private _recordResult(record: RequestRecord, response: ServerResponse): void {
+    const outcome = record.refusal?.outcome ?? "done";
+    this._options.claims.complete(record.request, outcome, response.statusCode);
+    this._options.requestRecorder.addRecord(record);
   }
 }
 
 const MS_PER_SECOND = 1_000;
 
-function pickAddress(entry: { address: string; failureDomain: string }) {
+function toAddressJson(entry: { address: string; failureDomain: string }) {
   return { address: entry.address, failure_domain: entry.failureDomain };
 }
 
@@ -289,11 +300,11 @@
   return new Refusal({ code: "internal_error", outcome: "unknown", reason: String(cause) });
 }
 
-function createLeft(): Refusal {
+function createCallerLeftRefusal(): Refusal {
   return new Refusal({ code: "caller_left", outcome: "unknown", reason: "the caller closed the connection" });
 }
 
-function createTimeout(): Refusal {
+function createTimeoutRefusal(): Refusal {
   return new Refusal({
     code: "total_time_exceeded",
     outcome: "unknown",
--- a/src/entry/LeaseKeeper.ts
+++ b/src/entry/LeaseKeeper.ts
@@ -28,9 +28,9 @@
   readonly onChange: () => void;
 }
 
-const DEFAULT_RENEW_MS = 500;
+const DEFAULT_RENEW_INTERVAL_MS = 500;
 /** Maximum time of one renewal. The next renewal then sends current data. */
-const RENEWAL_MS = 1_500;
+const RENEWAL_TIMEOUT_MS = 1_500;
 /**
  * Pause after a failed renewal. It is short so that the remaining time of the lease is left for further
  * attempts.
@@ -38,7 +38,7 @@
 const FAILED_RENEWAL_PAUSE_MS = 50;
 
 /** Result of a renewal. */
-type RenewalOutcome = "changed" | "unchanged" | "failed";
+type RenewalResult = "changed" | "unchanged" | "failed";
 
 /** Renews the lease of one entry. */
 export class LeaseKeeper {
@@ -46,8 +46,8 @@
   private readonly _options: LeaseKeeperOptions;
   private _isStopping = false;
   private _isEnded = false;
-  private _sentTerm = -1;
-  private _wake: () => void = () => {};
+  private _appliedTerm = -1;
+  private _endPause: () => void = () => {};
   private _loop: Promise<void> | undefined;
 
   /** @param options - The entry's identity, its client and the source of its reports. */
@@ -63,14 +63,14 @@
   /** Reports at once that the entry is stopping, so that other entries no longer publish its address. */
   async announceStop(): Promise<void> {
     this._isStopping = true;
-    this._wake();
+    this._endPause();
     await this._renew();
   }
 
   /** Stops the renewals and releases the lease, so that no process has to wait until it expires. */
   async end(): Promise<void> {
     this._isEnded = true;
-    this._wake();
+    this._endPause();
     await this._loop;
     this.lease.release();
     await this._renew();
@@ -78,43 +78,44 @@
 
   private async _run(): Promise<void> {
     while (!this._isEnded) {
-      const outcome = await this._renew();
+      const result = await this._renew();
       // The entry acknowledges a change at once, so that the leader soon counts it as applied.
-      if (outcome !== "changed" && !this._isEnded) await this._pause(this._getPauseMs(outcome));
+      if (result !== "changed" && !this._isEnded) await this._pause(this._getPauseMs(result));
     }
   }
 
-  private _getPauseMs(outcome: RenewalOutcome): number {
-    const renewMs = this._options.view.configuration?.declared.timing.renew ?? DEFAULT_RENEW_MS;
-    return outcome === "failed" ? Math.min(FAILED_RENEWAL_PAUSE_MS, renewMs) : renewMs;
+  private _getPauseMs(result: RenewalResult): number {
+    const renewMs = this._options.view.configuration?.declared.timing.renew ?? DEFAULT_RENEW_INTERVAL_MS;
+    return result === "failed" ? Math.min(FAILED_RENEWAL_PAUSE_MS, renewMs) : renewMs;
   }
 
   private _pause(pauseMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, pauseMs);
-      this._wake = () => {
+      this._endPause = () => {
         clearTimeout(timer);
         resolve();
       };
     });
   }
 
-  private async _renew(): Promise<RenewalOutcome> {
+  private async _renew(): Promise<RenewalResult> {
     const { client, clock, view, logger, onChange } = this._options;
     let sentAt = clock.getMonotonicMs();
     try {
       const response = await client.call((leader, timeoutMs) => {
         sentAt = clock.getMonotonicMs();
         return leader.renew(this._createRequest(), { timeoutMs });
-      }, RENEWAL_MS);
-      const before = { configuration: view.configuration?.version, assignment: view.assignmentIndex };
+      }, RENEWAL_TIMEOUT_MS);
+      const previous = { configuration: view.configuration?.version, assignment: view.assignmentIndex };
       // A response that could not be applied does not extend the lease. A missing text is requested at once.
       if (!view.apply(response)) return view.needsText ? "changed" : "unchanged";
-      this._sentTerm = response.term;
+      this._appliedTerm = response.term;
       if (!this._isEnded) this.lease.renew(sentAt, response.leaseMs);
       onChange();
       const hasChanged =
-        before.configuration !== view.configuration?.version || before.assignment !== view.assignmentIndex;
+        previous.configuration !== view.configuration?.version ||
+        previous.assignment !== view.assignmentIndex;
       return hasChanged ? "changed" : "unchanged";
     } catch (cause) {
       logger.warn({ event: "renewal_failed", reason: String(cause) });
@@ -124,7 +125,7 @@
 
   private _createRequest(): RenewRequest {
     const { view, burn, clock } = this._options;
-    const isNewLeader = view.term !== this._sentTerm;
+    const isNewLeader = view.term !== this._appliedTerm;
     return create(RenewRequestSchema, {
       entryId: this._options.entryId,
       entryName: this._options.entryName,
--- a/src/entry/MeanTokens.ts
+++ b/src/entry/MeanTokens.ts
@@ -1,7 +1,7 @@
 /** Mean number of tokens per answer by request class. Pure. */
 
 /** Weight of the newest answer in the moving mean. */
-const SMOOTHING = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 
 /** Moving means by request class. */
 export class MeanTokens {
@@ -14,7 +14,7 @@
 
   /** Adds a complete answer. */
   addAnswer(className: string, tokens: number): void {
-    const before = this._means.get(className) ?? tokens;
-    this._means.set(className, before + SMOOTHING * (tokens - before));
+    const mean = this._means.get(className) ?? tokens;
+    this._means.set(className, mean + SMOOTHING_FACTOR * (tokens - mean));
   }
 }
--- a/src/entry/Refusal.ts
+++ b/src/entry/Refusal.ts
@@ -36,7 +36,7 @@
   | "internal_error";
 
 /** HTTP status by code. */
-const STATUS: Readonly<Record<RefusalCode, number>> = {
+const STATUS_BY_CODE: Readonly<Record<RefusalCode, number>> = {
   malformed_request: 400,
   body_too_large: 413,
   unknown_organisation: 403,
@@ -81,7 +81,7 @@
 
   /** Gets the HTTP status. */
   get status(): number {
-    return STATUS[this.code];
+    return STATUS_BY_CODE[this.code];
   }
 }
 
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -22,7 +22,7 @@
   WeighedPlacement,
   type Work,
 } from "../routing";
-import { CacheFollower } from "./CacheFollower";
+import { CacheTracker } from "./CacheFollower";
 import type { ClusterView } from "./ClusterView";
 import { CHARACTERS_PER_TOKEN } from "./tokens";
 
@@ -44,15 +44,15 @@
   readonly excluded: ReadonlySet<string>;
 }
 
-const PREFIXES_PER_REPLICA = 4_096;
+const MAX_PREFIXES_PER_REPLICA = 4_096;
 
 /** Chooses a replica for each model request. */
 export class ReplicaRouter {
   private readonly _view: ClusterView;
   private readonly _prober: PresenceProber;
   private readonly _pool = new EndpointPool();
-  private readonly _prefixes = new PrefixTable(PREFIXES_PER_REPLICA);
-  private readonly _caches: CacheFollower;
+  private readonly _prefixes = new PrefixTable(MAX_PREFIXES_PER_REPLICA);
+  private readonly _caches: CacheTracker;
   private readonly _placement: Placement;
   private readonly _random: RandomSource;
 
@@ -70,7 +70,7 @@
     this._view = view;
     this._random = random;
     this._placement = placement;
-    this._caches = new CacheFollower(this._prefixes);
+    this._caches = new CacheTracker(this._prefixes);
     this._prober = new PresenceProber(createEngine, clock);
   }
 
@@ -91,7 +91,7 @@
   followCaches(timeoutMs: number): void {
     for (const replica of this._view.getReplicas()) {
       const engine = this.getHeadEngine(replica);
-      if (engine !== undefined) void this._caches.follow(replica.id, engine, timeoutMs);
+      if (engine !== undefined) void this._caches.fetchEvents(replica.id, engine, timeoutMs);
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Checks whether each instance of a replica answered in the replica's epoch within the window. */
-  isWhole(now: number, replica: Replica, windowMs: number): boolean {
+  isResponding(now: number, replica: Replica, windowMs: number): boolean {
     return replica.members.every((member) => {
       const { answeredAt, state } = this._prober.presence.getPresence(InstanceId(member.instanceId));
       return now - answeredAt <= windowMs && state?.epoch === replica.epoch && state.isReady;
@@ -109,20 +109,20 @@
   }
 
   /** Checks whether a replica may take new requests at `now`. */
-  isOpen(now: number, replica: Replica): boolean {
+  isRoutable(now: number, replica: Replica): boolean {
     const current = this._view.getReplica(replica.id);
     const windowMs = this._view.configuration?.declared.timing.presenceWindow ?? 0;
     return (
       current?.phase === ReplicaPhase.SERVING &&
       current.epoch === replica.epoch &&
-      !this._view.isAbsentAtControl(current) &&
-      this.isWhole(now, current, windowMs)
+      !this._view.hasAbsentInstance(current) &&
+      this.isResponding(now, current, windowMs)
     );
   }
 
   /** Gets how many requests this entry may have in flight for a model. */
   getSlots(now: number, model: string): number {
-    return this._getOpenReplicas(now, model).reduce(
+    return this._getRoutableReplicas(now, model).reduce(
       (sum, replica) => sum + this._getLimit(this._pool.getFacts(now, replica.id)),
       0,
     );
@@ -132,17 +132,17 @@
    * Checks whether a model has a routable replica that is not excluded, whether or not it has free capacity.
    */
   hasReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
-    return this._getOpenReplicas(now, model).some((replica) => !excluded.has(replica.id));
+    return this._getRoutableReplicas(now, model).some((replica) => !excluded.has(replica.id));
   }
 
   /** Chooses a replica and records the work for it. Returns `undefined` if no replica has free capacity. */
   startRoute(now: number, request: RouteRequest): Route | undefined {
-    const open = this._getOpenReplicas(now, request.model).filter(
+    const routable = this._getRoutableReplicas(now, request.model).filter(
       (replica) => !request.excluded.has(replica.id),
     );
-    const candidates = this._getCandidates(now, open, request.prefixDigests);
+    const candidates = this._getCandidates(now, routable, request.prefixDigests);
     const chosen = this._placement.choose(candidates, request.promptTokens, this._random);
-    const replica = open.find((candidate) => candidate.id === chosen?.replicaId);
+    const replica = routable.find((candidate) => candidate.id === chosen?.replicaId);
     const engine = replica === undefined ? undefined : this.getHeadEngine(replica);
     if (replica === undefined || engine === undefined) return undefined;
     this._prefixes.addPrefixes(replica.id, request.prefixDigests);
@@ -169,10 +169,10 @@
     return this._pool.getRequestCount();
   }
 
-  private _getOpenReplicas(now: number, model: string): Replica[] {
+  private _getRoutableReplicas(now: number, model: string): Replica[] {
     return this._view
       .getServingReplicas(model)
-      .filter((replica) => this.isOpen(now, replica) && this._pool.isAvailable(now, replica.id));
+      .filter((replica) => this.isRoutable(now, replica) && this._pool.isAvailable(now, replica.id));
   }
 
   private _getLimit(facts: EndpointFacts): number {
@@ -181,7 +181,7 @@
   }
 
   private _getCandidates(now: number, replicas: readonly Replica[], digests: PrefixDigests): Candidate[] {
-    this._noteReports(now, replicas);
+    this._recordReports(now, replicas);
     const facts = replicas.map((replica) => this._pool.getFacts(now, replica.id));
     const firstTokens = facts.map((fact) => fact.firstTokenMs);
     return replicas.map((replica, i) => {
@@ -199,7 +199,7 @@
     });
   }
 
-  private _noteReports(now: number, replicas: readonly Replica[]): void {
+  private _recordReports(now: number, replicas: readonly Replica[]): void {
     for (const replica of replicas) {
       const head = InstanceId(replica.members[0]!.instanceId);
       this._pool.addReport(now, replica.id, this._prober.presence.getPresence(head).answeredAt);
--- a/src/entry/failures.ts
+++ b/src/entry/failures.ts
@@ -12,7 +12,7 @@
   readonly isEndpointFault: boolean;
 }
 
-const RETRY_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 
 /** Classifies an error that an attempt threw. */
 export function classifyFailure(cause: unknown): Failure {
@@ -29,7 +29,7 @@
 }
 
 function createFailure(code: RefusalCode, outcome: Outcome, reason: string): Failure {
-  const refusal = new Refusal({ code, outcome, reason, retryAfterMs: RETRY_MS });
+  const refusal = new Refusal({ code, outcome, reason, retryAfterMs: RETRY_AFTER_MS });
   return { refusal, wasNotRun: outcome === "not-run", isEndpointFault: true };
 }
 
@@ -60,7 +60,7 @@
   }
 
   /** Runs a step between attempts. A refusal that it throws gets the outcome of the whole request. */
-  async guard<R>(step: () => Promise<R>): Promise<R> {
+  async runStep<R>(step: () => Promise<R>): Promise<R> {
     try {
       return await step();
     } catch (cause) {
--- a/src/entry/filters/Account.ts
+++ b/src/entry/filters/Account.ts
@@ -6,7 +6,7 @@
 import type { ClassifiedRequest } from "../requests";
 
 /** The result of a request. */
-export interface Ending {
+export interface RequestRecord {
   readonly request: ClassifiedRequest;
   /** Why the request was refused or aborted. `undefined` after a complete answer. */
   readonly refusal: Refusal | undefined;
@@ -21,7 +21,7 @@
 const PERCENT = 100;
 
 /** Records the requests of one entry. */
-export class Account {
+export class RequestRecorder {
   private readonly _clock: Clock;
   private readonly _burn: BurnRecorder;
   private readonly _logger: Logger;
@@ -36,22 +36,22 @@
   }
 
   /** Records the result of a request. */
-  addEnding(ending: Ending): void {
-    const { request, refusal } = ending;
+  addRecord(record: RequestRecord): void {
+    const { request, refusal } = record;
     const outcome = refusal?.outcome ?? "done";
     const totalMs = this._clock.getMonotonicMs() - request.receivedAt;
-    this._log(ending, outcome, totalMs);
+    this._log(record, outcome, totalMs);
     const tags = { organisation: request.organisation.name, class: request.requestClass.name };
     this._metrics.increment("requests", 1, { ...tags, outcome });
     this._metrics.timing("request_ms", totalMs, tags);
-    if (ending.firstTokenMs !== undefined) this._metrics.timing("first_token_ms", ending.firstTokenMs, tags);
-    if (ending.tokens > 0) this._metrics.increment("tokens", ending.tokens, tags);
-    if (ending.retries > 0) this._metrics.increment("retries", ending.retries, tags);
-    const burnOutcome = getBurnOutcome(ending);
+    if (record.firstTokenMs !== undefined) this._metrics.timing("first_token_ms", record.firstTokenMs, tags);
+    if (record.tokens > 0) this._metrics.increment("tokens", record.tokens, tags);
+    if (record.retries > 0) this._metrics.increment("retries", record.retries, tags);
+    const burnOutcome = getBurnOutcome(record);
     if (burnOutcome === undefined) return;
     if (burnOutcome === "shed") this._metrics.increment("shed", 1, { ...tags, code: refusal?.code ?? "" });
     const { organisation, requestClass } = request;
-    const { firstTokenMs } = ending;
+    const { firstTokenMs } = record;
     this._burn.addRequest(
       this._clock.getWallMs(),
       organisation.name,
@@ -62,8 +62,8 @@
   }
 
   /** Logs a request, without its prompt and its answer. */
-  private _log(ending: Ending, outcome: string, totalMs: number): void {
-    const { request, refusal } = ending;
+  private _log(record: RequestRecord, outcome: string, totalMs: number): void {
+    const { request, refusal } = record;
     this._logger.info({
       event: "request",
       request: request.id,
@@ -73,12 +73,12 @@
       outcome,
       code: refusal?.code,
       reason: refusal?.reason,
-      served_by: ending.servedBy,
-      epoch: ending.epoch,
-      first_token_ms: round(ending.firstTokenMs),
+      served_by: record.servedBy,
+      epoch: record.epoch,
+      first_token_ms: round(record.firstTokenMs),
       total_ms: round(totalMs),
-      tokens: ending.tokens,
-      retries: ending.retries,
+      tokens: record.tokens,
+      retries: record.retries,
     });
   }
 }
@@ -88,12 +88,12 @@
 }
 
 /** Errors of the caller and disconnects by the caller do not count against the service level. */
-function getBurnOutcome({ request, refusal, firstTokenMs }: Ending): BurnOutcome | undefined {
+function getBurnOutcome({ request, refusal, firstTokenMs }: RequestRecord): BurnOutcome | undefined {
   if (refusal === undefined) return (firstTokenMs ?? 0) <= request.requestClass.firstToken ? "good" : "late";
-  const isCallers =
-    refusal.code === "caller_left" || (refusal.status < 500 && refusal.status !== SHED_STATUS);
-  if (isCallers) return undefined;
+  const isCallerError =
+    refusal.code === "caller_left" || (refusal.status < 500 && refusal.status !== TOO_MANY_REQUESTS_STATUS);
+  if (isCallerError) return undefined;
   return refusal.outcome === "not-run" ? "shed" : "failed";
 }
 
-const SHED_STATUS = 429;
+const TOO_MANY_REQUESTS_STATUS = 429;
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -21,10 +21,10 @@
   readonly absenceCode: RefusalCode;
 }
 
-interface Waiter {
+interface QueuedRequest {
   readonly ticket: Ticket;
   readonly request: ClassifiedRequest;
-  readonly tryStart: (now: number) => boolean;
+  readonly tryPlace: (now: number) => boolean;
   readonly refuse: (refusal: Refusal) => void;
 }
 
@@ -32,8 +32,8 @@
  * Retry times are extended by a random share of up to this value, so that refused callers do not all return
  * at the same time.
  */
-const RETRY_SPREAD = 0.5;
-const CODES: Readonly<Record<Refused["reason"], RefusalCode>> = {
+const RETRY_JITTER = 0.5;
+const CODE_BY_REASON: Readonly<Record<Refused["reason"], RefusalCode>> = {
   queueFull: "queue_full",
   infeasible: "deadline_infeasible",
   expired: "deadline_expired",
@@ -44,8 +44,8 @@
   private readonly _clock: Clock;
   private readonly _random: RandomSource;
   private readonly _queue = new AdmissionQueue();
-  private readonly _waiters = new Map<Ticket, Waiter>();
-  private readonly _waitingTargets = new Map<string, number>();
+  private readonly _queuedRequests = new Map<Ticket, QueuedRequest>();
+  private readonly _queuedCounts = new Map<string, number>();
 
   /** @param random - Adds jitter to the retry times of refused callers. */
   constructor(clock: Clock, random: RandomSource) {
@@ -59,14 +59,14 @@
   }
 
   /** Gets the number of queued requests of an organisation. */
-  getOrganisationLength(organisation: string): number {
+  getOrganisationQueueLength(organisation: string): number {
     return this._queue.getOrganisationLength(organisation);
   }
 
   /** Estimates the queueing time of a request of the lowest priority, milliseconds. */
-  getQueueMs(target: string): number {
-    const probe: Ticket = { ...PROBE, target };
-    return this._queue.getWaitMs(probe);
+  getQueueingMs(target: string): number {
+    const ticket: Ticket = { ...LOWEST_PRIORITY_TICKET, target };
+    return this._queue.getWaitMs(ticket);
   }
 
   /**
@@ -87,14 +87,15 @@
     this._queue.setSlots(target, placer.getSlots(now, request.target));
     const infeasible = this._queue.getInfeasibility(now, ticket);
     if (infeasible !== undefined) return Promise.reject(this.createRefusal(infeasible));
-    if (!this._waitingTargets.has(target)) {
+    if (!this._queuedCounts.has(target)) {
       const placed = placer.tryPlace(now, request);
       if (placed !== undefined) return Promise.resolve(placed);
     }
-    if (!placer.hasEndpoint(now, request.target)) return Promise.reject(this._createAbsence(request, placer));
+    if (!placer.hasEndpoint(now, request.target))
+      return Promise.reject(this._createUnavailableRefusal(request, placer));
     const refused = this._queue.add(ticket, maxLength);
     if (refused !== undefined) return Promise.reject(this.createRefusal(refused));
-    return this._wait(request, ticket, placer, signal);
+    return this._enqueue(request, ticket, placer, signal);
   }
 
   /**
@@ -105,9 +106,9 @@
     if (this._queue.length === 0) return;
     const now = this._clock.getMonotonicMs();
     for (const { ticket, refused } of this._queue.takeExpired(now)) {
-      this._takeWaiter(ticket)?.refuse(this.createRefusal(refused));
+      this._removeQueued(ticket)?.refuse(this.createRefusal(refused));
     }
-    for (const target of [...this._waitingTargets.keys()]) this._placeWaiting(now, target);
+    for (const target of [...this._queuedCounts.keys()]) this._placeQueued(now, target);
   }
 
   /** Adds an answered request to the estimate of queueing times. */
@@ -118,87 +119,87 @@
   /** Creates a refusal with jitter in its retry time. */
   createRefusal(refused: Refused): Refusal {
     return new Refusal({
-      code: CODES[refused.reason],
+      code: CODE_BY_REASON[refused.reason],
       outcome: "not-run",
-      reason: REASONS[refused.reason],
-      retryAfterMs: this.spread(refused.retryAfterMs),
+      reason: TEXT_BY_REASON[refused.reason],
+      retryAfterMs: this.addJitter(refused.retryAfterMs),
     });
   }
 
   /** Adds jitter to a retry time. */
-  spread(milliseconds: number): number {
-    return Math.ceil(milliseconds * (1 + RETRY_SPREAD * this._random.next()));
+  addJitter(milliseconds: number): number {
+    return Math.ceil(milliseconds * (1 + RETRY_JITTER * this._random.next()));
   }
 
-  private _wait<R>(
+  private _enqueue<R>(
     request: ClassifiedRequest,
     ticket: Ticket,
     placer: Placer<R>,
     signal: AbortSignal,
   ): Promise<R> {
     return new Promise((resolve, reject) => {
-      const leave = () => {
+      const onAbort = () => {
         this._queue.remove(ticket);
-        this._takeWaiter(ticket)?.refuse(createLeft(signal.reason));
+        this._removeQueued(ticket)?.refuse(createAbortedRefusal(signal.reason));
       };
-      const tryStart = (now: number) => {
+      const tryPlace = (now: number) => {
         const placed = placer.tryPlace(now, request);
         if (placed === undefined) return false;
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", onAbort);
         resolve(placed);
         return true;
       };
-      this._addWaiter({ ticket, request, tryStart, refuse: reject });
-      signal.addEventListener("abort", leave, { once: true });
-      if (signal.aborted) leave();
+      this._addQueued({ ticket, request, tryPlace, refuse: reject });
+      signal.addEventListener("abort", onAbort, { once: true });
+      if (signal.aborted) onAbort();
     });
   }
 
   /** Places the queued requests of a target in order. A request leaves the queue only once it is placed. */
-  private _placeWaiting(now: number, target: string): void {
-    while (this._waitingTargets.has(target)) {
+  private _placeQueued(now: number, target: string): void {
+    while (this._queuedCounts.has(target)) {
       const ticket = this._queue.getNext(target);
-      const waiter = ticket === undefined ? undefined : this._waiters.get(ticket);
-      if (ticket === undefined || waiter === undefined || !waiter.tryStart(now)) return;
+      const queued = ticket === undefined ? undefined : this._queuedRequests.get(ticket);
+      if (ticket === undefined || queued === undefined || !queued.tryPlace(now)) return;
       this._queue.takeNext(target);
-      this._takeWaiter(ticket);
+      this._removeQueued(ticket);
     }
   }
 
-  private _addWaiter(waiter: Waiter): void {
-    const { target } = waiter.ticket;
-    this._waiters.set(waiter.ticket, waiter);
-    this._waitingTargets.set(target, (this._waitingTargets.get(target) ?? 0) + 1);
+  private _addQueued(queued: QueuedRequest): void {
+    const { target } = queued.ticket;
+    this._queuedRequests.set(queued.ticket, queued);
+    this._queuedCounts.set(target, (this._queuedCounts.get(target) ?? 0) + 1);
   }
 
-  private _takeWaiter(ticket: Ticket): Waiter | undefined {
-    const waiter = this._waiters.get(ticket);
-    if (waiter === undefined) return undefined;
-    this._waiters.delete(ticket);
-    const left = this._waitingTargets.get(ticket.target)! - 1;
-    if (left === 0) this._waitingTargets.delete(ticket.target);
-    else this._waitingTargets.set(ticket.target, left);
-    return waiter;
+  private _removeQueued(ticket: Ticket): QueuedRequest | undefined {
+    const queued = this._queuedRequests.get(ticket);
+    if (queued === undefined) return undefined;
+    this._queuedRequests.delete(ticket);
+    const remaining = this._queuedCounts.get(ticket.target)! - 1;
+    if (remaining === 0) this._queuedCounts.delete(ticket.target);
+    else this._queuedCounts.set(ticket.target, remaining);
+    return queued;
   }
 
-  private _createAbsence<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
+  private _createUnavailableRefusal<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
     return new Refusal({
       code: placer.absenceCode,
       outcome: "not-run",
       reason: `no endpoint currently serves "${request.target}"`,
-      retryAfterMs: this.spread(ABSENCE_RETRY_MS),
+      retryAfterMs: this.addJitter(UNAVAILABLE_RETRY_MS),
     });
   }
 }
 
-const ABSENCE_RETRY_MS = 2_000;
-const REASONS: Readonly<Record<Refused["reason"], string>> = {
+const UNAVAILABLE_RETRY_MS = 2_000;
+const TEXT_BY_REASON: Readonly<Record<Refused["reason"], string>> = {
   queueFull: "the queue of this entry is full",
   infeasible: "the request can't be answered before its deadline",
   expired: "the queued request can no longer be answered before its deadline",
 };
 const LOWEST_PRIORITY = 9;
-const PROBE: Ticket = {
+const LOWEST_PRIORITY_TICKET: Ticket = {
   id: "",
   target: "",
   organisation: "",
@@ -226,7 +227,7 @@
 }
 
 /** A request that was aborted in the queue has the outcome not-run, whatever the cause of the abort. */
-function createLeft(cause: unknown): Refusal {
+function createAbortedRefusal(cause: unknown): Refusal {
   const code = cause instanceof Refusal ? cause.code : "caller_left";
   const reason = cause instanceof Refusal ? cause.reason : "the caller closed the connection";
   return new Refusal({ code, outcome: "not-run", reason });
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -56,17 +56,17 @@
   firstTokenAt: number | undefined;
   lastFrameAt: number;
   /** Why the replica was lost during the attempt, "" while it is available. */
-  lostReason: string;
+  lossReason: string;
 }
 
-const RESUME_ATTEMPTS = 5;
+const MAX_RESUME_ATTEMPTS = 5;
 const RESUME_PAUSE_MS = 200;
-const CANCEL_MS = 1_000;
+const CANCEL_TIMEOUT_MS = 1_000;
 
 /** Runs model requests. */
 export class ModelDispatch {
   private readonly _options: ModelDispatchOptions;
-  private readonly _budget = new RetryBudget();
+  private readonly _retryBudget = new RetryBudget();
   private readonly _attempts = new Set<Attempt>();
 
   /** @param options - Clock, view, router and the other components of the entry. */
@@ -86,7 +86,7 @@
     signal: AbortSignal,
   ): Promise<ModelResult> {
     const { limits } = active.declared;
-    this._budget.addRequest(limits.retryRatio);
+    this._retryBudget.addRequest(limits.retryRatio);
     const excluded = new Set<string>();
     const placer = this._createPlacer(excluded);
     const { result, retries } = await runAttempts<Route, Omit<ModelResult, "retries">>({
@@ -95,7 +95,7 @@
         await this._options.claims.claimOnce(request);
         return this._attempt(request, route, writer, signal);
       },
-      noteFailure: (route, failure) => {
+      recordFailure: (route, failure) => {
         this._endWork(route.work, failure, signal);
         excluded.add(route.replica.id);
       },
@@ -109,11 +109,11 @@
   }
 
   /** Aborts the attempts whose replica was lost. */
-  abortLost(now: number): void {
+  abortLostAttempts(now: number): void {
     for (const attempt of this._attempts) {
       const reason = this._getLossReason(now, attempt);
       if (reason === undefined) continue;
-      attempt.lostReason = reason;
+      attempt.lossReason = reason;
       attempt.controller.abort();
     }
   }
@@ -136,8 +136,8 @@
   }
 
   private _endWork(work: Work, failure: Failure, signal: AbortSignal): void {
-    const isBlamed = failure.isEndpointFault && !signal.aborted;
-    work.end(this._options.clock.getMonotonicMs(), isBlamed ? "failed" : "cancelled");
+    const hasEndpointFailed = failure.isEndpointFault && !signal.aborted;
+    work.end(this._options.clock.getMonotonicMs(), hasEndpointFailed ? "failed" : "cancelled");
   }
 
   private _mayRetry(
@@ -149,7 +149,7 @@
     if (signal.aborted || writer.hasStarted || !failure.isEndpointFault) return false;
     if (!failure.wasNotRun && !request.isRepeatable) return false;
     if (this._options.clock.getMonotonicMs() >= request.deadlineAt) return false;
-    return this._budget.takeRetry();
+    return this._retryBudget.takeRetry();
   }
 
   private async _attempt(
@@ -159,19 +159,19 @@
     signal: AbortSignal,
   ): Promise<Omit<ModelResult, "retries">> {
     const attempt = this._createAttempt(request, route, writer);
-    const onLeave = () => attempt.controller.abort();
-    signal.addEventListener("abort", onLeave, { once: true });
-    if (signal.aborted) onLeave();
+    const onAbort = () => attempt.controller.abort();
+    signal.addEventListener("abort", onAbort, { once: true });
+    if (signal.aborted) onAbort();
     this._attempts.add(attempt);
     try {
       await this._relayWithResume(attempt, signal);
       return this._finish(attempt);
     } catch (cause) {
       this._cancel(attempt);
-      throw this._explain(attempt, cause, signal);
+      throw this._getFailureCause(attempt, cause, signal);
     } finally {
       this._attempts.delete(attempt);
-      signal.removeEventListener("abort", onLeave);
+      signal.removeEventListener("abort", onAbort);
     }
   }
 
@@ -184,7 +184,7 @@
       tokens: 0,
       firstTokenAt: undefined,
       lastFrameAt: this._options.clock.getMonotonicMs(),
-      lostReason: "",
+      lossReason: "",
     };
   }
 
@@ -194,7 +194,7 @@
     const { engine } = attempt.route;
     let cause = await this._relay(attempt, () => engine.generate(generation, options));
     for (let i = 0; cause !== undefined; i++) {
-      if (!this._mayResume(attempt, cause, signal) || i >= RESUME_ATTEMPTS) throw cause;
+      if (!this._mayResume(attempt, cause, signal) || i >= MAX_RESUME_ATTEMPTS) throw cause;
       await pause(RESUME_PAUSE_MS * i);
       cause = await this._relay(attempt, () => engine.resume(generation, attempt.tokens, options));
     }
@@ -209,31 +209,31 @@
     start: () => Promise<AsyncIterable<readonly Frame[]>>,
   ): Promise<unknown> {
     try {
-      for await (const frames of await start()) await this._takeFrames(attempt, frames);
+      for await (const frames of await start()) await this._relayFrames(attempt, frames);
       return undefined;
     } catch (cause) {
       return cause;
     }
   }
 
-  private async _takeFrames(attempt: Attempt, frames: readonly Frame[]): Promise<void> {
+  private async _relayFrames(attempt: Attempt, frames: readonly Frame[]): Promise<void> {
     const now = this._options.clock.getMonotonicMs();
     const tokens = frames.reduce((sum, frame) => sum + frame.tokens, 0);
     attempt.firstTokenAt ??= now;
     attempt.lastFrameAt = now;
     attempt.tokens += tokens;
     attempt.route.work.addProgress(now, tokens);
-    if (frames.at(-1)?.finishReason === "error") throw createEngineFailure();
+    if (frames.at(-1)?.finishReason === "error") throw createEngineRefusal();
     await attempt.writer.write(frames, attempt.route.replica.id);
   }
 
   /** Only a cut connection is resumed. A foreign answer or an error of the engine would recur. */
   private _mayResume(attempt: Attempt, cause: unknown, signal: AbortSignal): boolean {
     if (!(cause instanceof LostAnswer) || signal.aborted || attempt.tokens === 0) return false;
-    return !attempt.controller.signal.aborted && this._isHeld(attempt.route.replica);
+    return !attempt.controller.signal.aborted && this._isCurrent(attempt.route.replica);
   }
 
-  private _isHeld(replica: Replica): boolean {
+  private _isCurrent(replica: Replica): boolean {
     return this._options.view.getReplica(replica.id)?.epoch === replica.epoch;
   }
 
@@ -252,11 +252,13 @@
    */
   private _throwIfNotAllowed(request: ModelRequest, replica: Replica, isResumed: boolean): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "the lease of this entry has expired");
+    if (!this._options.lease.isHeld(now))
+      throw createNotRunRefusal("lease_lapsed", "the lease of this entry has expired");
     if (isResumed) return;
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "the deadline of the request has passed");
-    if (!this._options.router.isOpen(now, replica))
-      throw createNotRun("no_replica", `${replica.id} no longer takes new requests`);
+    if (now >= request.deadlineAt)
+      throw createNotRunRefusal("deadline_expired", "the deadline of the request has passed");
+    if (!this._options.router.isRoutable(now, replica))
+      throw createNotRunRefusal("no_replica", `${replica.id} no longer takes new requests`);
   }
 
   private _finish(attempt: Attempt): Omit<ModelResult, "retries"> {
@@ -276,14 +278,14 @@
   private _cancel(attempt: Attempt): void {
     const { engine, replica } = attempt.route;
     attempt.controller.abort();
-    engine.cancel(attempt.request.id, replica.epoch, CANCEL_MS).catch(() => {});
+    engine.cancel(attempt.request.id, replica.epoch, CANCEL_TIMEOUT_MS).catch(() => {});
   }
 
-  private _explain(attempt: Attempt, cause: unknown, signal: AbortSignal): unknown {
+  private _getFailureCause(attempt: Attempt, cause: unknown, signal: AbortSignal): unknown {
     if (signal.aborted)
       return new Refusal({ code: "caller_left", outcome: "unknown", reason: String(signal.reason) });
-    if (attempt.lostReason === "") return cause;
-    return new LostAnswer({ address: attempt.route.engine.address, reason: attempt.lostReason });
+    if (attempt.lossReason === "") return cause;
+    return new LostAnswer({ address: attempt.route.engine.address, reason: attempt.lossReason });
   }
 
   private _getLossReason(now: number, attempt: Attempt): string | undefined {
@@ -291,11 +293,12 @@
     const current = this._options.view.getReplica(replica.id);
     if (current === undefined || current.epoch !== replica.epoch) return "the replica was released";
     const windowMs = this._options.view.configuration?.declared.timing.presenceWindow ?? 0;
-    const isSilent = now - attempt.lastFrameAt > windowMs;
-    if (isSilent && !this._options.router.isWhole(now, current, windowMs))
+    const isStalled = now - attempt.lastFrameAt > windowMs;
+    if (isStalled && !this._options.router.isResponding(now, current, windowMs))
       return "an instance of the replica was lost";
-    const isLost = current.phase === ReplicaPhase.RETIRING && this._options.view.isAbsentAtControl(current);
-    return isSilent && isLost ? "the replica was retired" : undefined;
+    const isAbsentAndRetiring =
+      current.phase === ReplicaPhase.RETIRING && this._options.view.hasAbsentInstance(current);
+    return isStalled && isAbsentAndRetiring ? "the replica was retired" : undefined;
   }
 }
 
@@ -316,11 +319,14 @@
   };
 }
 
-function createNotRun(code: "lease_lapsed" | "deadline_expired" | "no_replica", reason: string): Refusal {
+function createNotRunRefusal(
+  code: "lease_lapsed" | "deadline_expired" | "no_replica",
+  reason: string,
+): Refusal {
   return new Refusal({ code, outcome: "not-run", reason, retryAfterMs: NOT_RUN_RETRY_MS });
 }
 
-function createEngineFailure(): Refusal {
+function createEngineRefusal(): Refusal {
   return new Refusal({ code: "answer_lost", outcome: "failed", reason: "the engine aborted the generation" });
 }
 
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -49,7 +49,7 @@
 }
 
 /** Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1). */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -68,7 +68,7 @@
 /** Runs service calls. */
 export class ServiceDispatch {
   private readonly _options: ServiceDispatchOptions;
-  private readonly _budget = new RetryBudget();
+  private readonly _retryBudget = new RetryBudget();
   private readonly _pool = new EndpointPool();
   private readonly _placement = new WeighedPlacement();
 
@@ -94,7 +94,7 @@
     signal: AbortSignal,
   ): Promise<ServiceResult> {
     const { limits } = active.declared;
-    this._budget.addRequest(limits.retryRatio);
+    this._retryBudget.addRequest(limits.retryRatio);
     const excluded = new Set<string>();
     const placer = this._createPlacer(active, excluded);
     const { result, retries } = await runAttempts<ServiceRoute, Omit<ServiceResult, "retries">>({
@@ -108,7 +108,7 @@
         );
         return { instanceId: route.endpoint.instanceId, status };
       },
-      noteFailure: (route, failure) => {
+      recordFailure: (route, failure) => {
         const end = failure.isEndpointFault ? "failed" : "cancelled";
         route.work.end(this._options.clock.getMonotonicMs(), end);
         excluded.add(route.endpoint.instanceId);
@@ -121,7 +121,7 @@
   private _mayRetry(request: ServiceRequest, failure: Failure, response: ServerResponse): boolean {
     const mayRepeat = failure.wasNotRun || request.isRepeatable;
     if (!mayRepeat || !failure.isEndpointFault || response.headersSent) return false;
-    return this._budget.takeRetry();
+    return this._retryBudget.takeRetry();
   }
 
   private async _attempt(
@@ -159,11 +159,13 @@
 
   private _throwIfNotAllowed(request: ServiceRequest, route: ServiceRoute): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "the lease of this entry has expired");
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "the deadline of the request has passed");
+    if (!this._options.lease.isHeld(now))
+      throw createNotRunRefusal("lease_lapsed", "the lease of this entry has expired");
+    if (now >= request.deadlineAt)
+      throw createNotRunRefusal("deadline_expired", "the deadline of the request has passed");
     const current = this._options.view.getServiceEndpoints(request.target);
     if (current.some((endpoint) => endpoint.instanceId === route.endpoint.instanceId)) return;
-    throw createNotRun("no_endpoint", `${route.endpoint.instanceId} is no longer available`);
+    throw createNotRunRefusal("no_endpoint", `${route.endpoint.instanceId} is no longer available`);
   }
 
   private _createPlacer(active: ActiveConfiguration, excluded: ReadonlySet<string>): Placer<ServiceRoute> {
@@ -171,10 +173,10 @@
       absenceCode: "no_endpoint",
       tryPlace: (now, request) => this._tryPlace(now, request, active, excluded),
       getSlots: (now, target) => {
-        const endpoints = this._getOpenEndpoints(now, target, excluded);
+        const endpoints = this._getAvailableEndpoints(now, target, excluded);
         return endpoints.reduce((sum, endpoint) => sum + this._getLimit(now, endpoint, active), 0);
       },
-      hasEndpoint: (now, target) => this._getOpenEndpoints(now, target, excluded).length > 0,
+      hasEndpoint: (now, target) => this._getAvailableEndpoints(now, target, excluded).length > 0,
     };
   }
 
@@ -184,7 +186,7 @@
     active: ActiveConfiguration,
     excluded: ReadonlySet<string>,
   ): ServiceRoute | undefined {
-    const endpoints = this._getOpenEndpoints(now, request.target, excluded);
+    const endpoints = this._getAvailableEndpoints(now, request.target, excluded);
     const candidates = endpoints.map((endpoint) => this._createCandidate(now, endpoint, active));
     const chosen = this._placement.choose(candidates, 0, this._options.random);
     const endpoint = endpoints.find((candidate) => candidate.instanceId === chosen?.replicaId);
@@ -192,7 +194,11 @@
     return { endpoint, work: this._pool.startWork(now, endpoint.instanceId, request.cost) };
   }
 
-  private _getOpenEndpoints(now: number, service: string, excluded: ReadonlySet<string>): ServiceEndpoint[] {
+  private _getAvailableEndpoints(
+    now: number,
+    service: string,
+    excluded: ReadonlySet<string>,
+  ): ServiceEndpoint[] {
     return this._options.view
       .getServiceEndpoints(service)
       .filter(
@@ -221,21 +227,24 @@
   }
 }
 
-function createNotRun(code: "lease_lapsed" | "deadline_expired" | "no_endpoint", reason: string): Refusal {
+function createNotRunRefusal(
+  code: "lease_lapsed" | "deadline_expired" | "no_endpoint",
+  reason: string,
+): Refusal {
   return new Refusal({ code, outcome: "not-run", reason, retryAfterMs: NOT_RUN_RETRY_MS });
 }
 
 function createRequestHeaders(request: ServiceRequest): IncomingHttpHeaders {
-  const headers = dropHopHeaders(request.call.headers);
+  const headers = removeHopByHopHeaders(request.call.headers);
   headers[ANSWER_HEADER.requestId] = request.id;
   if (request.call.body.length > 0) headers["content-length"] = String(request.call.body.length);
   return headers;
 }
 
-function dropHopHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
-  const named = (headers.connection ?? "").split(",").map((name) => name.trim().toLowerCase());
-  const dropped = new Set([...HOP_HEADERS, ...named]);
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !dropped.has(name)));
+function removeHopByHopHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
+  const listed = (headers.connection ?? "").split(",").map((name) => name.trim().toLowerCase());
+  const removed = new Set([...HOP_BY_HOP_HEADERS, ...listed]);
+  return Object.fromEntries(Object.entries(headers).filter(([name]) => !removed.has(name)));
 }
 
 /**
@@ -248,7 +257,7 @@
   request: ServiceRequest,
   endpoint: ServiceEndpoint,
 ): Promise<void> {
-  const headers = dropHopHeaders(answer.headers);
+  const headers = removeHopByHopHeaders(answer.headers);
   const length = answer.headers["content-length"];
   if (length !== undefined) headers["content-length"] = length;
   response.writeHead(answer.statusCode ?? 502, {
--- a/src/entry/filters/accept.ts
+++ b/src/entry/filters/accept.ts
@@ -12,7 +12,7 @@
 import type { AcceptedRequest, ModelCall, ServiceCall } from "../requests";
 
 /** Request headers for properties that the OpenAI-compatible format has no field for. */
-export const HEADER = {
+export const REQUEST_HEADER = {
   organisation: "ploverstage-organisation",
   purpose: "ploverstage-kind",
   deadline: "ploverstage-deadline-ms",
@@ -31,15 +31,15 @@
 const SERVICE_PATH = /^\/v1\/services\/([a-z0-9][a-z0-9.-]{0,62})(\/[^#]*)?$/;
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(["GET", "HEAD", "OPTIONS"]);
 const MAX_KEY_LENGTH = 200;
-const MAX_STOPS = 16;
+const MAX_STOP_SEQUENCES = 16;
 const MAX_DEADLINE_MS = 86_400_000;
 
-const Content = Schema.Union([
+const MessageContent = Schema.Union([
   Schema.String,
   Schema.Null,
   Schema.Array(Schema.Struct({ type: Schema.Literal("text"), text: Schema.String })),
 ]);
-const Sampling = {
+const COMMON_FIELDS = {
   model: Schema.String,
   max_tokens: Schema.optionalKey(Schema.NullOr(Schema.Int)),
   max_completion_tokens: Schema.optionalKey(Schema.NullOr(Schema.Int)),
@@ -52,12 +52,12 @@
   n: Schema.optionalKey(Schema.NullOr(Schema.Int)),
 };
 const ChatBody = Schema.Struct({
-  ...Sampling,
-  messages: Schema.Array(Schema.Struct({ role: Schema.String, content: Content })).check(
+  ...COMMON_FIELDS,
+  messages: Schema.Array(Schema.Struct({ role: Schema.String, content: MessageContent })).check(
     Schema.isMinLength(1),
   ),
 });
-const CompletionBody = Schema.Struct({ ...Sampling, prompt: Schema.String });
+const CompletionBody = Schema.Struct({ ...COMMON_FIELDS, prompt: Schema.String });
 
 const decodeChat = Schema.decodeUnknownResult(ChatBody);
 const decodeCompletion = Schema.decodeUnknownResult(CompletionBody);
@@ -74,17 +74,20 @@
 ): Promise<AcceptedRequest> {
   const id = createRequestId();
   const url = incoming.url ?? "/";
-  throwIfUnroutable(incoming.method ?? "", url);
+  throwIfNotRoutable(incoming.method ?? "", url);
   const body = await readBody(incoming, limits.bodyBytes);
   const call = parseCall(incoming, url, body, limits);
-  const key = getHeader(incoming, HEADER.key);
-  throwIfMalformed(key.length > MAX_KEY_LENGTH, `${HEADER.key} exceeds the maximum of ${MAX_KEY_LENGTH} characters`);
+  const key = getHeader(incoming, REQUEST_HEADER.key);
+  throwIfMalformed(
+    key.length > MAX_KEY_LENGTH,
+    `${REQUEST_HEADER.key} exceeds the maximum of ${MAX_KEY_LENGTH} characters`,
+  );
   return {
     id,
     receivedAt: now,
     call,
-    organisationName: getHeader(incoming, HEADER.organisation),
-    purpose: getHeader(incoming, HEADER.purpose),
+    organisationName: getHeader(incoming, REQUEST_HEADER.organisation),
+    purpose: getHeader(incoming, REQUEST_HEADER.purpose),
     deadlineMs: getDeadline(incoming),
     isRepeatable: isRepeatable(incoming, call),
     key,
@@ -104,7 +107,7 @@
   return RequestId(`${ID_PREFIX}-${nextId.toString(36)}`);
 }
 
-function throwIfUnroutable(method: string, url: string): void {
+function throwIfNotRoutable(method: string, url: string): void {
   const path = getPath(url);
   if (SERVICE_PATH.test(url)) return;
   const isModelPath = path === CHAT_PATH || path === COMPLETION_PATH;
@@ -119,23 +122,23 @@
 }
 
 function getPath(url: string): string {
-  const at = url.indexOf("?");
-  return at < 0 ? url : url.slice(0, at);
+  const queryIndex = url.indexOf("?");
+  return queryIndex < 0 ? url : url.slice(0, queryIndex);
 }
 
 async function readBody(incoming: IncomingMessage, maxBytes: number): Promise<Buffer> {
-  if (Number(incoming.headers["content-length"] ?? 0) > maxBytes) throw createTooLarge(maxBytes);
+  if (Number(incoming.headers["content-length"] ?? 0) > maxBytes) throw createTooLargeRefusal(maxBytes);
   const chunks: Buffer[] = [];
   let length = 0;
   for await (const chunk of incoming as AsyncIterable<Buffer>) {
     length += chunk.length;
-    if (length > maxBytes) throw createTooLarge(maxBytes);
+    if (length > maxBytes) throw createTooLargeRefusal(maxBytes);
     chunks.push(chunk);
   }
   return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
 
-function createTooLarge(maxBytes: number): Refusal {
+function createTooLargeRefusal(maxBytes: number): Refusal {
   return new Refusal({
     code: "body_too_large",
     outcome: "not-run",
@@ -168,37 +171,44 @@
   try {
     return JSON.parse(body.toString("utf8"));
   } catch {
-    throw new Refusal({ code: "malformed_request", outcome: "not-run", reason: "the body is not valid JSON" });
+    throw new Refusal({
+      code: "malformed_request",
+      outcome: "not-run",
+      reason: "the body is not valid JSON",
+    });
   }
 }
 
 function parseChat(json: unknown, limits: AcceptLimits): ModelCall {
   const decoded = decodeChat(json);
-  if (Result.isFailure(decoded)) throw createMalformed(decoded.failure);
-  const { messages, ...sampling } = decoded.success;
+  if (Result.isFailure(decoded)) throw createMalformedRefusal(decoded.failure);
+  const { messages, ...commonFields } = decoded.success;
   const prompt = messages.map((message) => `${message.role}: ${getText(message.content)}\n`).join("");
-  return { ...parseSampling(sampling, limits), form: "chat", prompt };
+  return { ...parseCommonFields(commonFields, limits), form: "chat", prompt };
 }
 
 function parseCompletion(json: unknown, limits: AcceptLimits): ModelCall {
   const decoded = decodeCompletion(json);
-  if (Result.isFailure(decoded)) throw createMalformed(decoded.failure);
-  const { prompt, ...sampling } = decoded.success;
-  return { ...parseSampling(sampling, limits), form: "completion", prompt };
+  if (Result.isFailure(decoded)) throw createMalformedRefusal(decoded.failure);
+  const { prompt, ...commonFields } = decoded.success;
+  return { ...parseCommonFields(commonFields, limits), form: "completion", prompt };
 }
 
-function createMalformed(cause: unknown): Refusal {
+function createMalformedRefusal(cause: unknown): Refusal {
   return new Refusal({ code: "malformed_request", outcome: "not-run", reason: String(cause) });
 }
 
-type SamplingBody = Omit<typeof CompletionBody.Type, "prompt">;
+type CommonFields = Omit<typeof CompletionBody.Type, "prompt">;
 
-function parseSampling(body: SamplingBody, limits: AcceptLimits): Omit<ModelCall, "form" | "prompt"> {
+function parseCommonFields(body: CommonFields, limits: AcceptLimits): Omit<ModelCall, "form" | "prompt"> {
   const maxTokens = body.max_completion_tokens ?? body.max_tokens ?? limits.maxTokens;
-  throwIfMalformed(maxTokens < 1 || maxTokens > limits.maxTokens, `max_tokens must be 1 to ${limits.maxTokens}`);
+  throwIfMalformed(
+    maxTokens < 1 || maxTokens > limits.maxTokens,
+    `max_tokens must be 1 to ${limits.maxTokens}`,
+  );
   throwIfMalformed((body.n ?? 1) !== 1, "n must be 1: a request gets exactly one answer");
   const stop = typeof body.stop === "string" ? [body.stop] : (body.stop ?? []);
-  throwIfMalformed(stop.length > MAX_STOPS, `stop must have at most ${MAX_STOPS} entries`);
+  throwIfMalformed(stop.length > MAX_STOP_SEQUENCES, `stop must have at most ${MAX_STOP_SEQUENCES} entries`);
   const slash = body.model.indexOf("/");
   return {
     kind: "model",
@@ -212,7 +222,7 @@
   };
 }
 
-function getText(content: typeof Content.Type): string {
+function getText(content: typeof MessageContent.Type): string {
   if (typeof content === "string") return content;
   return (content ?? []).map((part) => part.text).join("");
 }
@@ -223,21 +233,24 @@
 }
 
 function getDeadline(incoming: IncomingMessage): number | undefined {
-  const text = getHeader(incoming, HEADER.deadline);
+  const text = getHeader(incoming, REQUEST_HEADER.deadline);
   if (text === "") return undefined;
   const deadline = Number(text);
   const isValid = Number.isInteger(deadline) && deadline > 0 && deadline <= MAX_DEADLINE_MS;
-  throwIfMalformed(!isValid, `${HEADER.deadline} must be 1 to ${MAX_DEADLINE_MS} milliseconds, not ${text}`);
+  throwIfMalformed(
+    !isValid,
+    `${REQUEST_HEADER.deadline} must be 1 to ${MAX_DEADLINE_MS} milliseconds, not ${text}`,
+  );
   return deadline;
 }
 
 function isRepeatable(incoming: IncomingMessage, call: ModelCall | ServiceCall): boolean {
-  const said = getHeader(incoming, HEADER.repeatable);
+  const value = getHeader(incoming, REQUEST_HEADER.repeatable);
   throwIfMalformed(
-    said !== "" && said !== "yes" && said !== "no",
-    `${HEADER.repeatable} must be yes or no, not ${said}`,
+    value !== "" && value !== "yes" && value !== "no",
+    `${REQUEST_HEADER.repeatable} must be yes or no, not ${value}`,
   );
-  if (said !== "") return said === "yes";
+  if (value !== "") return value === "yes";
   // A generation has no side effects. For services, only read methods are assumed to have none.
   return call.kind === "model" || REPEATABLE_METHODS.has(call.method);
 }
--- a/src/entry/filters/classify.ts
+++ b/src/entry/filters/classify.ts
@@ -7,7 +7,7 @@
 import { estimateTokens, PROMPT_TOKEN_COST } from "../tokens";
 
 /** Inputs to the classification besides the request. */
-export interface ClassifyFacts {
+export interface ClassificationContext {
   /** Wall clock time, for the hour of the day. */
   readonly wallMs: number;
   readonly load: LoadFacts;
@@ -31,10 +31,10 @@
   now: number,
   request: IdentifiedRequest,
   active: ActiveConfiguration,
-  facts: ClassifyFacts,
+  context: ClassificationContext,
 ): ClassifiedRequest {
   const promptTokens = request.call.kind === "model" ? estimateTokens(request.call.prompt) : 0;
-  const policyFacts = createFacts(request, promptTokens, facts);
+  const policyFacts = createPolicyFacts(request, promptTokens, context);
   const requestClass = active.policy.getClass(policyFacts);
   if (active.policy.isShed(requestClass.name, policyFacts)) {
     const reason = `the policy currently sheds requests of class "${requestClass.name}"`;
@@ -42,7 +42,7 @@
       code: "shed_by_policy",
       outcome: "not-run",
       reason,
-      retryAfterMs: facts.load.queue_ms,
+      retryAfterMs: context.load.queue_ms,
     });
   }
   const deadlineMs = Math.min(request.deadlineMs ?? requestClass.deadline, active.declared.limits.total);
@@ -51,12 +51,16 @@
     requestClass,
     deadlineAt: now + deadlineMs,
     promptTokens,
-    cost: getCost(request, promptTokens, facts.getMeanTokens(requestClass.name)),
-    prefixDigests: getDigests(request),
+    cost: estimateCost(request, promptTokens, context.getMeanTokens(requestClass.name)),
+    prefixDigests: getPromptDigests(request),
   };
 }
 
-function createFacts(request: IdentifiedRequest, promptTokens: number, facts: ClassifyFacts): Facts {
+function createPolicyFacts(
+  request: IdentifiedRequest,
+  promptTokens: number,
+  context: ClassificationContext,
+): Facts {
   const { call, organisation } = request;
   return {
     request: {
@@ -68,13 +72,17 @@
       deadline_ms: request.deadlineMs ?? 0,
       not_repeatable: !request.isRepeatable,
     },
-    organisation: { name: organisation.name, share: organisation.share, queued: facts.organisationQueued },
-    load: facts.load,
-    hour: (facts.wallMs / MS_PER_HOUR) % HOURS_PER_DAY,
+    organisation: { name: organisation.name, share: organisation.share, queued: context.organisationQueued },
+    load: context.load,
+    hour: (context.wallMs / MS_PER_HOUR) % HOURS_PER_DAY,
   };
 }
 
-function getCost(request: IdentifiedRequest, promptTokens: number, meanTokens: number | undefined): number {
+function estimateCost(
+  request: IdentifiedRequest,
+  promptTokens: number,
+  meanTokens: number | undefined,
+): number {
   if (request.call.kind === "service") return SERVICE_CALL_COST;
   const answerTokens = Math.min(request.call.maxTokens, meanTokens ?? request.call.maxTokens);
   return answerTokens + promptTokens * PROMPT_TOKEN_COST;
@@ -84,7 +92,7 @@
  * Gets the prefix digests of the prompt. Their scope includes the organisation, so that an organisation can't
  * infer the prompts of another one from the cache.
  */
-function getDigests(request: IdentifiedRequest) {
+function getPromptDigests(request: IdentifiedRequest) {
   if (request.call.kind !== "model") return [];
   const { model, adapter, prompt } = request.call;
   return getPrefixDigests(`${request.organisation.name}\0${model}\0${adapter}`, prompt);
--- a/src/entry/filters/index.ts
+++ b/src/entry/filters/index.ts
@@ -1,10 +1,10 @@
 /** The filters for requests, in the order in which a request passes them. */
 
 export type { ClassifiedRequest } from "../requests";
-export { Account, type Ending } from "./Account";
+export { type RequestRecord, RequestRecorder } from "./Account";
 export { Admission, type Placer } from "./Admission";
-export { type AcceptLimits, acceptRequest, HEADER } from "./accept";
-export { type ClassifyFacts, classifyRequest } from "./classify";
+export { type AcceptLimits, acceptRequest, REQUEST_HEADER } from "./accept";
+export { type ClassificationContext, classifyRequest } from "./classify";
 export { identifyRequest } from "./identify";
 export { ModelDispatch, type ModelRequest, type ModelResult } from "./ModelDispatch";
 export { ServiceDispatch, type ServiceRequest, type ServiceResult } from "./ServiceDispatch";
--- a/src/entry/filters/runAttempts.ts
+++ b/src/entry/filters/runAttempts.ts
@@ -2,13 +2,13 @@
 import { AttemptHistory, classifyFailure, type Failure } from "../failures";
 
 /** The steps that differ between kinds of requests. */
-export interface AttemptPlan<R, T> {
+export interface AttemptSteps<R, T> {
   /** Waits until the request is placed. */
   admit(): Promise<R>;
   /** Runs the request at the endpoint where it was placed. */
   attempt(route: R): Promise<T>;
   /** Records a failed attempt, so that the endpoint is not chosen again. */
-  noteFailure(route: R, failure: Failure): void;
+  recordFailure(route: R, failure: Failure): void;
   /** Checks whether the request may be attempted again after a failure. */
   mayRetry(failure: Failure): boolean;
 }
@@ -25,17 +25,17 @@
  * @throws Refusal - With the outcome of the whole request: once an attempt may have run, no later refusal
  * reports the request as not run.
  */
-export async function runAttempts<R, T>(plan: AttemptPlan<R, T>): Promise<AttemptsResult<T>> {
+export async function runAttempts<R, T>(steps: AttemptSteps<R, T>): Promise<AttemptsResult<T>> {
   const history = new AttemptHistory();
   for (let retries = 0; ; retries++) {
-    const route = await history.guard(() => plan.admit());
+    const route = await history.runStep(() => steps.admit());
     try {
-      return { result: await plan.attempt(route), retries };
+      return { result: await steps.attempt(route), retries };
     } catch (cause) {
       const failure = classifyFailure(cause);
       history.addFailure(failure);
-      plan.noteFailure(route, failure);
-      if (!plan.mayRetry(failure)) throw history.createRefusal(failure.refusal);
+      steps.recordFailure(route, failure);
+      if (!steps.mayRetry(failure)) throw history.createRefusal(failure.refusal);
     }
   }
 }
--- a/test/entry/ClusterView.test.ts
+++ b/test/entry/ClusterView.test.ts
@@ -11,16 +11,18 @@
 import { ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { createConfiguration } from "../support/configuration";
 
-const TEXT = createConfiguration();
-const NEXT = createConfiguration({ replicas: 7 });
+const INITIAL_TEXT = createConfiguration();
+const NEXT_TEXT = createConfiguration({ replicas: 7 });
 
 function createView(): ClusterView {
   const view = new ClusterView();
-  view.apply(create(RenewResponseSchema, { term: 1, configurationVersion: 1, configurationText: TEXT }));
+  view.apply(
+    create(RenewResponseSchema, { term: 1, configurationVersion: 1, configurationText: INITIAL_TEXT }),
+  );
   return view;
 }
 
-function createPatched(patch: string, digest = getConfigurationDigest(NEXT)) {
+function createPatchResponse(patch: string, digest = getConfigurationDigest(NEXT_TEXT)) {
   const fields = { configurationPatch: patch, configurationDigest: digest };
   return create(RenewResponseSchema, { term: 1, configurationVersion: 2, ...fields });
 }
@@ -29,28 +31,36 @@
   describe("apply", () => {
     it("applies a configuration that is sent as a patch", () => {
       const view = createView();
-      expect(view.apply(createPatched(createConfigurationPatch(TEXT, NEXT)))).toBe(true);
-      expect(view.configuration).toMatchObject({ version: 2, text: NEXT });
+      expect(view.apply(createPatchResponse(createConfigurationPatch(INITIAL_TEXT, NEXT_TEXT)))).toBe(true);
+      expect(view.configuration).toMatchObject({ version: 2, text: NEXT_TEXT });
       expect(view.configuration?.declared.groups[0]?.replicas).toBe(7);
     });
 
     it.each([
-      ["was created from a different text", createConfigurationPatch(createConfiguration({ replicas: 3 }), NEXT)],
-      ["results in a different text", createConfigurationPatch(TEXT, createConfiguration({ replicas: 9 }))],
+      [
+        "was created from a different text",
+        createConfigurationPatch(createConfiguration({ replicas: 3 }), NEXT_TEXT),
+      ],
+      [
+        "results in a different text",
+        createConfigurationPatch(INITIAL_TEXT, createConfiguration({ replicas: 9 })),
+      ],
       ["is malformed", "@@ nonsense"],
     ])("keeps its configuration and requests the whole text if a patch %s", (_, patch) => {
       const view = createView();
-      expect(view.apply(createPatched(patch))).toBe(false);
+      expect(view.apply(createPatchResponse(patch))).toBe(false);
       expect(view.needsText).toBe(true);
       expect(view.configuration?.version).toBe(1);
-      view.apply(create(RenewResponseSchema, { term: 1, configurationVersion: 2, configurationText: NEXT }));
+      view.apply(
+        create(RenewResponseSchema, { term: 1, configurationVersion: 2, configurationText: NEXT_TEXT }),
+      );
       expect(view.needsText).toBe(false);
-      expect(view.configuration?.text).toBe(NEXT);
+      expect(view.configuration?.text).toBe(NEXT_TEXT);
     });
 
     it("ignores a response that is older than the view", () => {
       const view = createView();
-      view.apply(createPatched(createConfigurationPatch(TEXT, NEXT)));
+      view.apply(createPatchResponse(createConfigurationPatch(INITIAL_TEXT, NEXT_TEXT)));
       expect(view.apply(create(RenewResponseSchema, { term: 1, configurationVersion: 1 }))).toBe(false);
       expect(view.apply(create(RenewResponseSchema, { term: 0, configurationVersion: 2 }))).toBe(false);
       expect(view.configuration?.version).toBe(2);
--- a/test/entry/LeaseKeeper.test.ts
+++ b/test/entry/LeaseKeeper.test.ts
@@ -9,7 +9,7 @@
 import type { Logger } from "../../src/metrics";
 
 /** Pause after a successful renewal while there is no configuration. */
-const DEFAULT_RENEW_MS = 500;
+const DEFAULT_RENEW_INTERVAL_MS = 500;
 
 describe("LeaseKeeper", () => {
   let answers: ("granted" | "failed")[];
@@ -53,7 +53,7 @@
   it("renews again soon after a failed renewal, because the lease is still running out", async () => {
     answers = ["granted", "failed", "failed"];
     keeper.start();
-    await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_MS + 1);
+    await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_INTERVAL_MS + 1);
     expect(calls).toBe(2);
     await vi.advanceTimersByTimeAsync(100);
     expect(calls).toBeGreaterThanOrEqual(4);
@@ -62,7 +62,7 @@
   it("waits for the default renewal interval after a successful renewal", async () => {
     answers = [];
     keeper.start();
-    await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_MS - 1);
+    await vi.advanceTimersByTimeAsync(DEFAULT_RENEW_INTERVAL_MS - 1);
     expect(calls).toBe(1);
     await vi.advanceTimersByTimeAsync(2);
     expect(calls).toBe(2);
