--- a/src/burn/BurnReport.ts
+++ b/src/burn/BurnReport.ts
@@ -3,8 +3,8 @@
  *
  * A burn rate is the share of bad requests divided by the share that the objective allows. At a rate of 1,
  * the error budget of a period is used up exactly at the end of the period. An alert requires a high rate in
- * two windows, as is usual for multi-window burn rate alerts: the long window shows that the burn is
- * significant, the short one that it is still going on. Pure: the current time is an argument.
+ * two windows at the same time, as is usual for multi-window burn rate alerts: the long window shows that the
+ * burn is significant, the short one that it is still going on. Pure: the current time is an argument.
  */
 import type { BurnWindow, LossStatus } from "../gen/ploverstage/v1/control_pb";
 import { createHistogram, decodeHistogram } from "./Histogram";
--- a/src/entry/AnswerWriter.ts
+++ b/src/entry/AnswerWriter.ts
@@ -2,7 +2,7 @@
  * Writes answers to callers in the OpenAI-compatible format.
  *
  * A stream is forwarded frame by frame and never buffered as a whole, so backpressure from a slow caller
- * slows the engine down. A stream that ends early closes with an error event and without its end marker.
+ * slows the engine down. An aborted stream ends with an error event instead of its end marker.
  */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
--- a/src/entry/CacheFollower.ts
+++ b/src/entry/CacheFollower.ts
@@ -1,5 +1,6 @@
 /**
- * Updates the prefix table from the cache events of replicas.
+ * Updates the prefix table from the cache events of replicas, so that it approximates the contents of their
+ * caches.
  *
  * Events arrive late and may have gaps. After a gap, all prefixes recorded for the replica are removed: a
  * missing prefix costs one prefill, but never an answer.
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -133,8 +133,8 @@
 type EntryComponents = ReturnType<typeof createComponents>;
 
 /**
- * Runs the periodic work while the scope is open: probes replicas, places and refuses queued requests, aborts
- * lost attempts.
+ * Runs the periodic work while the scope is open: probes replicas, places or refuses queued requests, aborts
+ * lost attempts and reports metrics.
  */
 function runTimers(components: EntryComponents, metrics: Metrics) {
   const { router, admission, modelDispatch, view, clock, leaseKeeper } = components;
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -59,7 +59,7 @@
   retries: 0,
 };
 
-/** Maximum delay of a stop by callers that keep opening connections. */
+/** Maximum time for which callers that keep opening connections can delay a stop, milliseconds. */
 const MAX_STOP_DELAY_MS = 500;
 
 /** The HTTP server of one entry. */
--- a/src/entry/LeaseKeeper.ts
+++ b/src/entry/LeaseKeeper.ts
@@ -29,7 +29,7 @@
 }
 
 const DEFAULT_RENEW_INTERVAL_MS = 500;
-/** Maximum time of one renewal. The next renewal then sends current data. */
+/** Maximum time for one renewal, milliseconds. After that, the next renewal starts with current data. */
 const RENEWAL_TIMEOUT_MS = 1_500;
 /**
  * Pause after a failed renewal. It is short so that the remaining time of the lease is left for further
@@ -60,7 +60,7 @@
     this._loop = this._run();
   }
 
-  /** Reports at once that the entry is stopping, so that other entries no longer publish its address. */
+  /** Reports at once that the entry is stopping, so that callers are no longer directed to it. */
   async announceStop(): Promise<void> {
     this._isStopping = true;
     this._endPause();
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -74,7 +74,10 @@
     this._prober = new PresenceProber(createEngine, clock);
   }
 
-  /** Applies the replicas of the view: probes their instances and forgets removed replicas. */
+  /**
+   * Applies the replicas of the view: updates the instances to probe and removes replicas that no longer
+   * exist.
+   */
   updateReplicas(): void {
     const replicas = this._view.getReplicas();
     this._prober.setTargets(
--- a/src/entry/filters/Account.ts
+++ b/src/entry/filters/Account.ts
@@ -61,7 +61,7 @@
     );
   }
 
-  /** Logs a request, without its prompt and its answer. */
+  /** Logs a request. Prompts and answers are never logged. */
   private _log(record: RequestRecord, outcome: string, totalMs: number): void {
     const { request, refusal } = record;
     this._logger.info({
@@ -87,7 +87,10 @@
   return milliseconds === undefined ? undefined : Math.round(milliseconds * PERCENT) / PERCENT;
 }
 
-/** Errors of the caller and disconnects by the caller do not count against the service level. */
+/**
+ * Gets the outcome for the service level, or `undefined` for an error or a disconnect of the caller, which
+ * does not count against the service level.
+ */
 function getBurnOutcome({ request, refusal, firstTokenMs }: RequestRecord): BurnOutcome | undefined {
   if (refusal === undefined) return (firstTokenMs ?? 0) <= request.requestClass.firstToken ? "good" : "late";
   const isCallerError =
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -111,7 +111,7 @@
     for (const target of [...this._queuedCounts.keys()]) this._placeQueued(now, target);
   }
 
-  /** Adds an answered request to the estimate of queueing times. */
+  /** Adds an answered request to the statistics from which queueing times are estimated. */
   addCompletion(request: ClassifiedRequest, cost: number, serviceMs: number): void {
     this._queue.addCompletion(getTargetKey(request), cost, serviceMs);
   }
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -247,8 +247,8 @@
   }
 
   /**
-   * Checks the lease, the deadline and the replica before the first byte is sent. An entry that was paused
-   * detects here that its lease has expired.
+   * Performs the last checks before the first byte is sent: the lease, the deadline and the replica. An entry
+   * that was paused detects here that its lease has expired.
    */
   private _throwIfNotAllowed(request: ModelRequest, replica: Replica, isResumed: boolean): void {
     const now = this._options.clock.getMonotonicMs();
--- a/test/burn/burn.test.ts
+++ b/test/burn/burn.test.ts
@@ -47,7 +47,7 @@
   it("raises no alert for a burn that has ended", () => doTest([50, 55], 20, 0.99, undefined));
   it("raises a slow alert for a long burn at a lower rate", () =>
     doTest([0, 10, 100, 200, 300], 8, 0.99, "slow"));
-  it("raises no alert for fewer than 20 requests", () => {
+  it("raises no alert for a class with only five requests", () => {
     const recorder = new BurnRecorder();
     recordRequests(recorder, 0, 2, 3);
     expect(createReport(recorder).rows[0]!.alert).toBeUndefined();
--- a/test/entry/ClusterView.test.ts
+++ b/test/entry/ClusterView.test.ts
@@ -79,7 +79,7 @@
 });
 
 describe("applyConfigurationPatch", () => {
-  it("restores the new text from any old text and its patch", () => {
+  it("produces the new text from the old text and the patch, for any two texts", () => {
     const lines = fc.array(fc.constantFrom("", "a = 1", "b = 2", "[t]", "# é"), { maxLength: 12 });
     const text = lines.map((parts) => parts.join("\n"));
     const property = fc.property(text, text, (before, after) => {
