--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -153,7 +153,7 @@
     }, UPDATE_INTERVAL_MS);
     const metricsTimer = setInterval(() => {
       metrics.gauge("queue_length", admission.queueLength);
-      metrics.gauge("lease_left_ms", leaseKeeper.lease.getLeftMs(clock.getMonotonicMs()));
+      metrics.gauge("lease_left_ms", leaseKeeper.lease.getRemainingMs(clock.getMonotonicMs()));
       metrics.gauge("configuration_version", view.configuration?.version ?? 0);
       metrics.gauge("assignment_index", view.assignmentIndex);
     }, METRICS_INTERVAL_MS);
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -5,7 +5,7 @@
 import { Connections, listen } from "../http";
 import type { EntryLease } from "../leases";
 import type { LoadFacts } from "../policy";
-import { answerHealth } from "../process";
+import { handleHealthRequest } from "../process";
 import { createAnswerWriter, writeRefusal } from "./AnswerWriter";
 import type { Claims } from "./Claims";
 import type { ActiveConfiguration, ClusterView } from "./ClusterView";
@@ -96,12 +96,12 @@
   /** Closes each connection after its next answer. The server still accepts requests. */
   announceStop(): void {
     this._isStopping = true;
-    this._connections.announceEnd();
+    this._connections.announceClose();
   }
 
   /** Stops listening. Resolves once all answers are complete and no caller uses its connection any more. */
   async stop(): Promise<void> {
-    await this._connections.end(MAX_STOP_DELAY_MS);
+    await this._connections.drain(MAX_STOP_DELAY_MS);
     this._server.close();
   }
 
@@ -129,7 +129,7 @@
    * them.
    */
   private _answerQuery(url: string, response: ServerResponse): boolean {
-    if (answerHealth(url, response, () => this.getUnreadyReason())) return true;
+    if (handleHealthRequest(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
     else if (url === "/v1/models") sendJson(response, this._createModels());
     else return false;
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -16,10 +16,10 @@
   type EndpointFacts,
   EndpointPool,
   getSlowness,
+  LeastWorkPlacement,
   type Placement,
   type PrefixDigests,
   PrefixTable,
-  WeighedPlacement,
   type Work,
 } from "../routing";
 import { CacheTracker } from "./CacheFollower";
@@ -65,7 +65,7 @@
     createEngine: EngineFactory,
     clock: Clock,
     random: RandomSource,
-    placement: Placement = new WeighedPlacement(),
+    placement: Placement = new LeastWorkPlacement(),
   ) {
     this._view = view;
     this._random = random;
@@ -196,7 +196,7 @@
         ownTokens: own.tokens,
         reportedTokens: this._getHeadState(replica)?.load.pendingTokens ?? 0,
         ownTokensAtReport: own.tokensAtReport,
-        heldTokens: this._prefixes.getHeldCharacters(replica.id, digests) / CHARACTERS_PER_TOKEN,
+        heldTokens: this._prefixes.getCachedCharacters(replica.id, digests) / CHARACTERS_PER_TOKEN,
         slowness: getSlowness(own.firstTokenMs, firstTokens),
       };
     });
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from "../../clock";
 import type { RandomSource } from "../../consensus";
-import { AdmissionQueue, type Refused, type Ticket } from "../../routing";
+import { AdmissionQueue, type AdmissionRefusal, type Ticket } from "../../routing";
 import { Refusal, type RefusalCode } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
@@ -33,7 +33,7 @@
  * at the same time.
  */
 const RETRY_JITTER = 0.5;
-const CODE_BY_REASON: Readonly<Record<Refused["reason"], RefusalCode>> = {
+const CODE_BY_REASON: Readonly<Record<AdmissionRefusal["reason"], RefusalCode>> = {
   queueFull: "queue_full",
   infeasible: "deadline_infeasible",
   expired: "deadline_expired",
@@ -117,7 +117,7 @@
   }
 
   /** Creates a refusal with jitter in its retry time. */
-  createRefusal(refused: Refused): Refusal {
+  createRefusal(refused: AdmissionRefusal): Refusal {
     return new Refusal({
       code: CODE_BY_REASON[refused.reason],
       outcome: "not-run",
@@ -193,7 +193,7 @@
 }
 
 const UNAVAILABLE_RETRY_MS = 2_000;
-const TEXT_BY_REASON: Readonly<Record<Refused["reason"], string>> = {
+const TEXT_BY_REASON: Readonly<Record<AdmissionRefusal["reason"], string>> = {
   queueFull: "the queue of this entry is full",
   infeasible: "the request can't be answered before its deadline",
   expired: "the queued request can no longer be answered before its deadline",
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -12,7 +12,7 @@
 import type { ServiceEndpoint } from "../../gen/ploverstage/v1/control_pb";
 import type { HttpClient } from "../../http";
 import type { EntryLease } from "../../leases";
-import { type Candidate, EndpointPool, RetryBudget, WeighedPlacement, type Work } from "../../routing";
+import { type Candidate, EndpointPool, LeastWorkPlacement, RetryBudget, type Work } from "../../routing";
 import { ANSWER_HEADER } from "../AnswerWriter";
 import type { Claims } from "../Claims";
 import type { ActiveConfiguration, ClusterView } from "../ClusterView";
@@ -70,7 +70,7 @@
   private readonly _options: ServiceDispatchOptions;
   private readonly _retryBudget = new RetryBudget();
   private readonly _pool = new EndpointPool();
-  private readonly _placement = new WeighedPlacement();
+  private readonly _placement = new LeastWorkPlacement();
 
   /** @param options - Clock, view, client and the other components of the entry. */
   constructor(options: ServiceDispatchOptions) {
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -1,7 +1,7 @@
 /** The part of a control process with registered instances that exists only while the process leads. */
 
 import { create } from "@bufbuild/protobuf";
-import type { Clock, LoopLag } from "../clock";
+import type { Clock, EventLoopLag } from "../clock";
 import { type ConsensusDriver, getVoters } from "../consensus";
 import type { RouteTable } from "../declaration";
 import {
@@ -45,7 +45,7 @@
   readonly metrics: Metrics;
   readonly meter: WorkMeter;
   /** Measures the event loop lag of this process. */
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -143,7 +143,7 @@
     // from a deposed leader.
     this._fence += 1;
     const fence = this._fence;
-    await this._turns.enter();
+    await this._turns.waitForTurn();
     const outcome = await orders.send(receiver, order, fence);
     this._busy.delete(key);
     this._completedCount += 1;
