--- a/src/entry/AnswerWriter.ts
+++ b/src/entry/AnswerWriter.ts
@@ -1,8 +1,8 @@
 /**
- * Writes answers to callers in the published OpenAI-compatible form.
+ * Writes answers to callers in the OpenAI-compatible format.
  *
- * A stream is written as it comes, never held whole; a caller that reads slowly slows
- * the engine down. An answer that breaks off says so and lacks its end marker.
+ * A stream is forwarded frame by frame and never buffered as a whole, so backpressure from a slow caller
+ * slows the engine down. An aborted stream ends with an error event instead of its end marker.
  */
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
@@ -10,7 +10,7 @@
 import type { Refusal } from "./Refusal";
 import type { ModelCall } from "./requests";
 
-/** Headers of answers. */
+/** Response headers that the entry sets. */
 export const ANSWER_HEADER = {
   requestId: "ploverstage-request-id",
   outcome: "ploverstage-outcome",
@@ -24,19 +24,19 @@
   readonly completionTokens: number;
 }
 
-/** Writes one model answer. */
+/** Writes the answer to one model request. */
 export interface AnswerWriter {
-  /** Whether the caller has seen anything of the answer. */
+  /** Whether any part of the answer has been sent to the caller. */
   readonly hasStarted: boolean;
-  /** Takes pieces; resolves once the caller can take more. */
+  /** Writes frames. Resolves once the response can take more data. */
   write(frames: readonly Frame[], replicaId: string): Promise<void>;
-  /** Ends a whole answer. */
+  /** Completes the answer. */
   finish(usage: Usage): void;
-  /** Forgets what was taken, when nothing of it was shown. */
+  /** Discards buffered frames before another attempt. Has no effect on a stream. */
   reset(): void;
 }
 
-/** Makes the writer that a call asks for. */
+/** Creates the stream or JSON writer that the call asks for. */
 export function createAnswerWriter(
   response: ServerResponse,
   requestId: string,
@@ -44,15 +44,15 @@
   createdS: number,
 ): AnswerWriter {
   if (call.isStream) return new StreamWriter(response, requestId, call, createdS);
-  return new WholeWriter(response, requestId, call, createdS);
+  return new JsonWriter(response, requestId, call, createdS);
 }
 
-/** Writes server-sent events. */
+/** Writes the answer as server-sent events. */
 class StreamWriter implements AnswerWriter {
   private readonly _response: ServerResponse;
   private readonly _requestId: string;
   private readonly _call: ModelCall;
-  private readonly _head: string;
+  private readonly _eventPrefix: string;
   private _hasStarted = false;
 
   constructor(response: ServerResponse, requestId: string, call: ModelCall, createdS: number) {
@@ -62,7 +62,7 @@
     const object = call.form === "chat" ? "chat.completion.chunk" : "text_completion";
     const id = JSON.stringify(requestId);
     const model = JSON.stringify(call.model);
-    this._head = `data: {"id":${id},"object":"${object}","created":${createdS},"model":${model},"choices":`;
+    this._eventPrefix = `data: {"id":${id},"object":"${object}","created":${createdS},"model":${model},"choices":`;
   }
 
   get hasStarted(): boolean {
@@ -73,12 +73,13 @@
     if (!this._hasStarted) this._start(replicaId);
     let events = "";
     for (const frame of frames) events += this._createEvent(frame);
-    const hasRoom = this._response.write(events);
-    if (!hasRoom && !this._response.destroyed) await waitForRoom(this._response);
+    const canTakeMore = this._response.write(events);
+    if (!canTakeMore && !this._response.destroyed) await waitForDrain(this._response);
   }
 
   finish(usage: Usage): void {
-    if (this._call.includesUsage) this._response.write(`${this._head}[],"usage":${toUsageJson(usage)}}\n\n`);
+    if (this._call.includesUsage)
+      this._response.write(`${this._eventPrefix}[],"usage":${toUsageJson(usage)}}\n\n`);
     this._response.end("data: [DONE]\n\n");
   }
 
@@ -88,7 +89,7 @@
     const reason = frame.finishReason === undefined ? "null" : JSON.stringify(frame.finishReason);
     const text = JSON.stringify(frame.text);
     const content = this._call.form === "chat" ? `"delta":{"content":${text}}` : `"text":${text}`;
-    return `${this._head}[{"index":0,${content},"finish_reason":${reason}}]}\n\n`;
+    return `${this._eventPrefix}[{"index":0,${content},"finish_reason":${reason}}]}\n\n`;
   }
 
   private _start(replicaId: string): void {
@@ -102,8 +103,8 @@
   }
 }
 
-/** Writes one JSON body; its size is bounded by the tokens that may be asked for. */
-class WholeWriter implements AnswerWriter {
+/** Writes the answer as one JSON body. The maximum number of tokens of a request bounds its size. */
+class JsonWriter implements AnswerWriter {
   readonly hasStarted = false;
   private readonly _response: ServerResponse;
   private readonly _requestId: string;
@@ -153,10 +154,11 @@
 }
 
 /**
- * Answers a request that was given up on, at once.
+ * Writes a refusal without delay.
  *
- * After the first byte of a stream only its body can tell: an error event, and no end
- * marker; the connection is closed so that it can't be taken for whole.
+ * Once a stream has started, its status and headers can't change. The refusal is then written as an error
+ * event without the end marker, and the connection is closed so that the caller can't take the answer for
+ * complete.
  */
 export function writeRefusal(
   response: ServerResponse,
@@ -193,15 +195,15 @@
   response.end(body);
 }
 
-/** Waits until a response takes more, or is gone. */
-export async function waitForRoom(response: ServerResponse): Promise<void> {
-  const closed = new AbortController();
-  const onClose = () => closed.abort();
+/** Waits until the response has drained or its connection has closed. */
+export async function waitForDrain(response: ServerResponse): Promise<void> {
+  const closeController = new AbortController();
+  const onClose = () => closeController.abort();
   response.once("close", onClose);
   try {
-    await once(response, "drain", { signal: closed.signal });
+    await once(response, "drain", { signal: closeController.signal });
   } catch {
-    // The caller left: the request's own signal ends the work.
+    // The caller disconnected. The abort signal of the request ends the work.
   } finally {
     response.off("close", onClose);
   }
--- a/src/entry/Claims.ts
+++ b/src/entry/Claims.ts
@@ -1,4 +1,4 @@
-/** Claims of non-repeatable requests in the agreed state. */
+/** Claims of non-repeatable requests in the replicated state. */
 import { create } from "@bufbuild/protobuf";
 import type { Clock } from "../clock";
 import type { ClaimResponse, EntryService } from "../gen/ploverstage/v1/control_pb";
@@ -14,9 +14,11 @@
 import { type Outcome, Refusal, type RefusalCode } from "./Refusal";
 import type { ClassifiedRequest } from "./requests";
 
-const CLAIM_MS = 3_000;
-/** An outcome is reported for so long before it is left unknown to others. */
-const SETTLE_MS = 60_000;
+const CLAIM_TIMEOUT_MS = 3_000;
+/**
+ * Maximum time to report an outcome to the leader. After that, the outcome stays unknown to other entries.
+ */
+const COMPLETE_TIMEOUT_MS = 60_000;
 
 const STATE_BY_OUTCOME: Readonly<Record<Outcome, ClaimState>> = {
   done: ClaimState.DONE,
@@ -25,53 +27,51 @@
   "not-run": ClaimState.UNSPECIFIED,
 };
 
-interface Duplicate {
+interface DuplicateAnswer {
   readonly code: RefusalCode;
   readonly outcome: Outcome;
   readonly reason: string;
 }
 
-const DUPLICATES: Readonly<Record<ClaimState, Duplicate>> = {
+const DUPLICATE_ANSWERS: Readonly<Record<ClaimState, DuplicateAnswer>> = {
   [ClaimState.UNSPECIFIED]: {
     code: "claim_unknown",
     outcome: "unknown",
-    reason: "the first request's state is lost",
+    reason: "the state of the first request with this key was lost",
   },
   [ClaimState.RUNNING]: {
     code: "claim_running",
     outcome: "unknown",
-    reason: "the first request with this key runs",
+    reason: "the first request with this key is still running",
   },
   [ClaimState.DONE]: {
     code: "claim_done",
     outcome: "done",
-    reason: "the first request with this key was answered",
+    reason: "the first request with this key has been answered",
   },
   [ClaimState.FAILED]: {
     code: "claim_failed",
     outcome: "failed",
-    reason: "the first request with this key failed",
+    reason: "the first request with this key has failed",
   },
   [ClaimState.UNKNOWN]: {
     code: "claim_unknown",
     outcome: "unknown",
-    reason: "whether the first request with this key ran is unknown",
+    reason: "it is unknown whether the first request with this key ran",
   },
 };
 
-const RUNNING_RETRY_MS = 2_000;
+const RETRY_AFTER_MS = 2_000;
 
-/** The claims of one entry. */
+/** Makes and completes the claims of one entry. */
 export class Claims {
   private readonly _client: LeaderClient<typeof EntryService>;
   private readonly _entryId: EntryId;
   private readonly _clock: Clock;
   private readonly _logger: Logger;
-  private readonly _held = new Set<RequestId>();
+  private readonly _claimed = new Set<RequestId>();
 
-  /**
-   * @param entryId - Whose claims they are.
-   */
+  /** @param entryId - The entry that owns the claims. */
   constructor(client: LeaderClient<typeof EntryService>, entryId: EntryId, clock: Clock, logger: Logger) {
     this._client = client;
     this._entryId = entryId;
@@ -80,17 +80,17 @@
   }
 
   /**
-   * Claims the right to run a request, unless it needs no claim or holds one.
-   * @throws Refusal - When its key was claimed before, or control can't be reached.
+   * Claims the right to run a request. Does nothing if the request needs no claim or already has one.
+   * @throws Refusal - If the key was claimed before or the control process can't be reached.
    */
   async claimOnce(request: ClassifiedRequest): Promise<void> {
-    if (request.isRepeatable || request.key === "" || this._held.has(request.id)) return;
+    if (request.isRepeatable || request.key === "" || this._claimed.has(request.id)) return;
     await this._claim(request);
-    this._held.add(request.id);
+    this._claimed.add(request.id);
   }
 
   private async _claim(request: ClassifiedRequest): Promise<void> {
-    const leftMs = request.deadlineAt - this._clock.getMonotonicMs();
+    const remainingMs = request.deadlineAt - this._clock.getMonotonicMs();
     const message = create(ClaimRequestSchema, {
       key: getClaimKey(request),
       requestId: request.id,
@@ -98,17 +98,20 @@
       fingerprint: request.fingerprint,
     });
     const response = await this._client
-      .call((leader, timeoutMs) => leader.claim(message, { timeoutMs }), Math.min(CLAIM_MS, leftMs))
-      .catch((cause: unknown) => this._giveUp(request, cause));
+      .call(
+        (leader, timeoutMs) => leader.claim(message, { timeoutMs }),
+        Math.min(CLAIM_TIMEOUT_MS, remainingMs),
+      )
+      .catch((cause: unknown) => this._abandon(request, cause));
     if (!response.granted) throw createDuplicateRefusal(response.existing, request);
   }
 
-  /** Records what became of a request, in the background, if it holds a claim. */
-  settle(request: ClassifiedRequest, outcome: Outcome, status: number): void {
-    if (this._held.delete(request.id)) this._settle(request, outcome, status);
+  /** Records the outcome of a request in the background. Does nothing if the request has no claim. */
+  complete(request: ClassifiedRequest, outcome: Outcome, status: number): void {
+    if (this._claimed.delete(request.id)) this._complete(request, outcome, status);
   }
 
-  private _settle(request: ClassifiedRequest, outcome: Outcome, status: number): void {
+  private _complete(request: ClassifiedRequest, outcome: Outcome, status: number): void {
     const message = create(SettleRequestSchema, {
       key: getClaimKey(request),
       requestId: request.id,
@@ -116,20 +119,24 @@
       status,
     });
     this._client
-      .call((leader, timeoutMs) => leader.settle(message, { timeoutMs }), SETTLE_MS)
+      .call((leader, timeoutMs) => leader.settle(message, { timeoutMs }), COMPLETE_TIMEOUT_MS)
       .catch((cause: unknown) =>
         this._logger.warn({ event: "settle_failed", request: request.id, outcome, reason: String(cause) }),
       );
   }
 
-  /** The claim may have been made all the same, so it is given back. */
-  private _giveUp(request: ClassifiedRequest, cause: unknown): ClaimResponse {
-    this._settle(request, "not-run", 0);
+  /**
+   * Releases a claim after a failed call, because the leader may have committed the claim before the call
+   * failed.
+   * @throws Refusal - Always.
+   */
+  private _abandon(request: ClassifiedRequest, cause: unknown): ClaimResponse {
+    this._complete(request, "not-run", 0);
     throw new Refusal({
       code: "control_unreachable",
       outcome: "not-run",
-      reason: `the request could not be claimed: ${String(cause)}`,
-      retryAfterMs: RUNNING_RETRY_MS,
+      reason: `the claim for the request failed: ${String(cause)}`,
+      retryAfterMs: RETRY_AFTER_MS,
     });
   }
 }
@@ -140,16 +147,16 @@
 
 function createDuplicateRefusal(existing: RequestClaim | undefined, request: ClassifiedRequest): Refusal {
   if (existing !== undefined && existing.fingerprint !== request.fingerprint) {
-    const reason = "the key was used for another request";
+    const reason = "the key has already been used for a different request";
     return new Refusal({ code: "key_reused", outcome: "not-run", reason });
   }
   const state = existing?.state ?? ClaimState.UNSPECIFIED;
-  const duplicate = DUPLICATES[state];
+  const answer = DUPLICATE_ANSWERS[state];
   const status = existing?.status ? ` with status ${existing.status}` : "";
   return new Refusal({
-    code: duplicate.code,
-    outcome: duplicate.outcome,
-    reason: duplicate.reason + status,
-    retryAfterMs: state === ClaimState.RUNNING ? RUNNING_RETRY_MS : undefined,
+    code: answer.code,
+    outcome: answer.outcome,
+    reason: answer.reason + status,
+    retryAfterMs: state === ClaimState.RUNNING ? RETRY_AFTER_MS : undefined,
   });
 }
--- a/src/entry/ClusterView.ts
+++ b/src/entry/ClusterView.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry has in force: configuration, replicas, addresses, as its last renewal
- * said. Everything changes at once, with one renewal.
+ * The view of one entry: configuration, replicas and addresses from the last renewal. Each renewal is applied
+ * as a whole.
  */
 import { applyConfigurationPatch, type Configuration, parseConfiguration } from "../configuration";
 import type { EntryAddress, RenewResponse, ServiceEndpoint } from "../gen/ploverstage/v1/control_pb";
@@ -21,38 +21,40 @@
   private _replicas = new Map<string, Replica>();
   private _assignmentIndex = 0;
   private _entries: readonly EntryAddress[] = [];
-  private _absent: ReadonlySet<string> = new Set();
+  private _absentInstances: ReadonlySet<string> = new Set();
   private _concurrencyShare = 0;
   private _endpoints: readonly ServiceEndpoint[] = [];
   private _term = 0;
   private _needsText = false;
 
-  /** Gets the configuration in force. */
+  /** Gets the active configuration, or `undefined` before the first renewal. */
   get configuration(): ActiveConfiguration | undefined {
     return this._configuration;
   }
 
-  /** Gets the assignment index in force. */
+  /** Gets the assignment index of the last applied renewal. */
   get assignmentIndex(): number {
     return this._assignmentIndex;
   }
 
-  /** Gets this entry's part of every endpoint's limit. */
+  /** Gets this entry's share of the concurrency limit of each endpoint, 0 to 1. */
   get concurrencyShare(): number {
     return this._concurrencyShare;
   }
 
-  /** Gets addresses of the live entries. */
+  /** Gets the addresses of the live entries. */
   get entries(): readonly EntryAddress[] {
     return this._entries;
   }
 
-  /** Gets the term of the leader that was heard last. */
+  /** Gets the term of the leader whose renewal was applied last. */
   get term(): number {
     return this._term;
   }
 
-  /** Gets whether a patch did not fit, so that the whole configuration must be asked for. */
+  /**
+   * Gets whether the last configuration patch could not be applied, so the entry must request the whole text.
+   */
   get needsText(): boolean {
     return this._needsText;
   }
@@ -62,37 +64,37 @@
     return [...this._replicas.values()];
   }
 
-  /** Gets a replica. */
+  /** Gets a replica, or `undefined` if it is unknown or released. */
   getReplica(id: string): Replica | undefined {
     return this._replicas.get(id);
   }
 
-  /** Gets replicas of a model that may take new work, as far as control knows. */
+  /** Gets the replicas of a model that may take new requests according to the leader. */
   getServingReplicas(model: string): Replica[] {
     return this.getReplicas().filter(
       (replica) =>
-        replica.model === model && replica.phase === ReplicaPhase.SERVING && !this.isAbsentAtControl(replica),
+        replica.model === model && replica.phase === ReplicaPhase.SERVING && !this.hasAbsentInstance(replica),
     );
   }
 
-  /** Checks whether control misses an instance of a replica. */
-  isAbsentAtControl(replica: Replica): boolean {
-    return replica.members.some((member) => this._absent.has(member.instanceId));
+  /** Checks whether the leader reports an instance of the replica as absent. */
+  hasAbsentInstance(replica: Replica): boolean {
+    return replica.members.some((member) => this._absentInstances.has(member.instanceId));
   }
 
-  /** Gets endpoints of a service that are not leaving. */
+  /** Gets the endpoints of a service, without those that are leaving. */
   getServiceEndpoints(service: string): ServiceEndpoint[] {
     return this._endpoints.filter((endpoint) => endpoint.service === service && !endpoint.leaving);
   }
 
-  /** Gets the instances of all services. */
+  /** Gets the ids of the instances of all services. */
   getServiceInstanceIds(): Set<string> {
     return new Set(this._endpoints.map((endpoint) => endpoint.instanceId));
   }
 
   /**
-   * Takes what a renewal said.
-   * @returns Whether it was taken; an answer overtaken by a newer one takes nothing back.
+   * Applies a renewal response.
+   * @returns Whether it was applied. A response that is older than the view is rejected and changes nothing.
    */
   apply(response: RenewResponse): boolean {
     if (response.term < this._term || response.assignmentIndex < this._assignmentIndex) return false;
@@ -101,16 +103,16 @@
     this._term = response.term;
     this._applyReplicas(response);
     this._entries = response.entries;
-    this._absent = new Set(response.absentInstances);
+    this._absentInstances = new Set(response.absentInstances);
     this._concurrencyShare = response.concurrencyShare;
     this._endpoints = response.serviceEndpoints;
     return true;
   }
 
-  /** Gives whether the newest configuration is in force now. */
+  /** Returns whether the active configuration is now the one of the response. */
   private _applyConfiguration(response: RenewResponse): boolean {
     if (response.configurationVersion === (this._configuration?.version ?? 0)) return true;
-    const text = this._getText(response);
+    const text = this._getConfigurationText(response);
     this._needsText = text === undefined;
     if (text === undefined) return false;
     const declared = parseConfiguration(`version-${response.configurationVersion}`, text);
@@ -119,7 +121,7 @@
     return true;
   }
 
-  private _getText({
+  private _getConfigurationText({
     configurationText,
     configurationPatch,
     configurationDigest,
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -1,9 +1,9 @@
 /**
- * Where a model request may go now, as one entry sees it.
+ * Chooses replicas for the model requests of one entry.
  *
- * A replica takes work only while the agreed state lets it serve, control misses none
- * of its instances, and every one of them answered this entry in the replica's epoch
- * within the presence window.
+ * A replica takes requests only while it is serving in the replicated state, the leader reports none of its
+ * instances as absent, and each of its instances has answered this entry in the replica's epoch within the
+ * presence window.
  */
 import type { Clock } from "../clock";
 import type { RandomSource } from "../consensus";
@@ -22,43 +22,43 @@
   PrefixTable,
   type Work,
 } from "../routing";
-import { CacheFollower } from "./CacheFollower";
+import { CacheTracker } from "./CacheFollower";
 import type { ClusterView } from "./ClusterView";
 import { CHARACTERS_PER_TOKEN } from "./tokens";
 
-/** A replica that was chosen for a request, with the work noted there. */
+/** The replica chosen for a request, and the work recorded for it. */
 export interface Route {
   readonly replica: Replica;
-  /** Engine of the member that takes requests. */
+  /** Engine of the head, which receives the requests of the replica. */
   readonly engine: Engine;
   readonly work: Work;
 }
 
-/** What a choice is made for. */
+/** The properties of a request that determine the choice of a replica. */
 export interface RouteRequest {
   readonly model: string;
   readonly promptTokens: number;
   readonly cost: number;
   readonly prefixDigests: PrefixDigests;
-  /** Replicas that failed this request already. */
+  /** Replicas at which this request has already failed. */
   readonly excluded: ReadonlySet<string>;
 }
 
-const PREFIXES_PER_REPLICA = 4_096;
+const MAX_PREFIXES_PER_REPLICA = 4_096;
 
-/** The replicas as one entry may use them. */
+/** Chooses a replica for each model request. */
 export class ReplicaRouter {
   private readonly _view: ClusterView;
   private readonly _prober: PresenceProber;
   private readonly _pool = new EndpointPool();
-  private readonly _prefixes = new PrefixTable(PREFIXES_PER_REPLICA);
-  private readonly _caches: CacheFollower;
+  private readonly _prefixes = new PrefixTable(MAX_PREFIXES_PER_REPLICA);
+  private readonly _caches: CacheTracker;
   private readonly _placement: Placement;
   private readonly _random: RandomSource;
 
   /**
-   * @param view - What is in force.
-   * @param createEngine - Makes the interface of an engine.
+   * @param view - The entry's view.
+   * @param createEngine - Creates an engine client for an address.
    */
   constructor(
     view: ClusterView,
@@ -70,11 +70,14 @@
     this._view = view;
     this._random = random;
     this._placement = placement;
-    this._caches = new CacheFollower(this._prefixes);
+    this._caches = new CacheTracker(this._prefixes);
     this._prober = new PresenceProber(createEngine, clock);
   }
 
-  /** Takes the replicas of the view over: whom to ask, whom to forget. */
+  /**
+   * Applies the replicas of the view: updates the instances to probe and removes replicas that no longer
+   * exist.
+   */
   updateReplicas(): void {
     const replicas = this._view.getReplicas();
     this._prober.setTargets(
@@ -87,72 +90,74 @@
     this._caches.retain(ids);
   }
 
-  /** Asks replicas what their prefix caches took in and gave up. */
+  /** Fetches the cache events of all replicas. */
   followCaches(timeoutMs: number): void {
     for (const replica of this._view.getReplicas()) {
       const engine = this.getHeadEngine(replica);
-      if (engine !== undefined) void this._caches.follow(replica.id, engine, timeoutMs);
+      if (engine !== undefined) void this._caches.fetchEvents(replica.id, engine, timeoutMs);
     }
   }
 
-  /** Asks all instances whether they are there. */
+  /** Probes all instances. */
   probe(timeoutMs: number): void {
     this._prober.probe(timeoutMs);
   }
 
-  /** Checks whether every instance of a replica answered in its epoch within the window. */
-  isWhole(now: number, replica: Replica, windowMs: number): boolean {
+  /** Checks whether each instance of a replica answered in the replica's epoch within the window. */
+  isResponding(now: number, replica: Replica, windowMs: number): boolean {
     return replica.members.every((member) => {
       const { answeredAt, state } = this._prober.presence.getPresence(InstanceId(member.instanceId));
       return now - answeredAt <= windowMs && state?.epoch === replica.epoch && state.isReady;
     });
   }
 
-  /** Checks whether a replica may take new work at this very moment. */
-  isOpen(now: number, replica: Replica): boolean {
+  /** Checks whether a replica may take new requests at `now`. */
+  isRoutable(now: number, replica: Replica): boolean {
     const current = this._view.getReplica(replica.id);
     const windowMs = this._view.configuration?.declared.timing.presenceWindow ?? 0;
     return (
       current?.phase === ReplicaPhase.SERVING &&
       current.epoch === replica.epoch &&
-      !this._view.isAbsentAtControl(current) &&
-      this.isWhole(now, current, windowMs)
+      !this._view.hasAbsentInstance(current) &&
+      this.isResponding(now, current, windowMs)
     );
   }
 
-  /** Gets how many requests this entry may have in flight at a model. */
+  /** Gets how many requests this entry may have in flight for a model. */
   getSlots(now: number, model: string): number {
-    return this._getOpenReplicas(now, model).reduce(
+    return this._getRoutableReplicas(now, model).reduce(
       (sum, replica) => sum + this._getLimit(this._pool.getFacts(now, replica.id)),
       0,
     );
   }
 
-  /** Checks whether any replica of a model is open, with or without room. */
+  /**
+   * Checks whether a model has a routable replica that is not excluded, whether or not it has free capacity.
+   */
   hasReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
-    return this._getOpenReplicas(now, model).some((replica) => !excluded.has(replica.id));
+    return this._getRoutableReplicas(now, model).some((replica) => !excluded.has(replica.id));
   }
 
-  /** Chooses a replica and notes the work there. */
+  /** Chooses a replica and records the work for it. Returns `undefined` if no replica has free capacity. */
   startRoute(now: number, request: RouteRequest): Route | undefined {
-    const open = this._getOpenReplicas(now, request.model).filter(
+    const routable = this._getRoutableReplicas(now, request.model).filter(
       (replica) => !request.excluded.has(replica.id),
     );
-    const candidates = this._getCandidates(now, open, request.prefixDigests);
+    const candidates = this._getCandidates(now, routable, request.prefixDigests);
     const chosen = this._placement.choose(candidates, request.promptTokens, this._random);
-    const replica = open.find((candidate) => candidate.id === chosen?.replicaId);
+    const replica = routable.find((candidate) => candidate.id === chosen?.replicaId);
     const engine = replica === undefined ? undefined : this.getHeadEngine(replica);
     if (replica === undefined || engine === undefined) return undefined;
     this._prefixes.addPrefixes(replica.id, request.prefixDigests);
     return { replica, engine, work: this._pool.startWork(now, replica.id, request.cost) };
   }
 
-  /** Gets the engine that takes a replica's requests. */
+  /** Gets the engine of a replica's head. */
   getHeadEngine(replica: Replica): Engine | undefined {
     return this._prober.getEngine(InstanceId(replica.members[0]!.instanceId));
   }
 
-  /** Gets work in flight by replica, for the next renewal. */
+  /** Gets the work in flight by replica, for the next renewal. */
   getInFlight(): { replicaId: string; epoch: number; requests: number; tokens: number }[] {
     return this._pool.getInFlight().map(({ id, requests, tokens }) => ({
       replicaId: id,
@@ -162,15 +167,15 @@
     }));
   }
 
-  /** Gets how many requests are in flight. */
+  /** Gets the number of requests in flight. */
   getRequestCount(): number {
     return this._pool.getRequestCount();
   }
 
-  private _getOpenReplicas(now: number, model: string): Replica[] {
+  private _getRoutableReplicas(now: number, model: string): Replica[] {
     return this._view
       .getServingReplicas(model)
-      .filter((replica) => this.isOpen(now, replica) && this._pool.isAvailable(now, replica.id));
+      .filter((replica) => this.isRoutable(now, replica) && this._pool.isAvailable(now, replica.id));
   }
 
   private _getLimit(facts: EndpointFacts): number {
@@ -179,7 +184,7 @@
   }
 
   private _getCandidates(now: number, replicas: readonly Replica[], digests: PrefixDigests): Candidate[] {
-    this._noteReports(now, replicas);
+    this._recordReports(now, replicas);
     const facts = replicas.map((replica) => this._pool.getFacts(now, replica.id));
     const firstTokens = facts.map((fact) => fact.firstTokenMs);
     return replicas.map((replica, i) => {
@@ -197,7 +202,7 @@
     });
   }
 
-  private _noteReports(now: number, replicas: readonly Replica[]): void {
+  private _recordReports(now: number, replicas: readonly Replica[]): void {
     for (const replica of replicas) {
       const head = InstanceId(replica.members[0]!.instanceId);
       this._pool.addReport(now, replica.id, this._prober.presence.getPresence(head).answeredAt);
--- a/src/entry/filters/Account.ts
+++ b/src/entry/filters/Account.ts
@@ -1,16 +1,16 @@
-/** Last filter: logs, metrics and service-level counts of a request that is over. */
+/** Last filter: records a completed request in the log, the metrics and the service-level counts. */
 import type { BurnOutcome, BurnRecorder } from "../../burn";
 import type { Clock } from "../../clock";
 import type { Logger, Metrics } from "../../metrics";
 import type { Refusal } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
-/** How a request ended. */
-export interface Ending {
+/** The result of a request. */
+export interface RequestRecord {
   readonly request: ClassifiedRequest;
-  /** Why it was given up on; none for a whole answer. */
+  /** Why the request was refused or aborted. `undefined` after a complete answer. */
   readonly refusal: Refusal | undefined;
-  /** Replica or instance that answered, "" when none did. */
+  /** Id of the replica or instance that answered, "" if none did. */
   readonly servedBy: string;
   readonly epoch: number;
   readonly firstTokenMs: number | undefined;
@@ -20,16 +20,14 @@
 
 const PERCENT = 100;
 
-/** Accounts of one entry. */
-export class Account {
+/** Records the requests of one entry. */
+export class RequestRecorder {
   private readonly _clock: Clock;
   private readonly _burn: BurnRecorder;
   private readonly _logger: Logger;
   private readonly _metrics: Metrics;
 
-  /**
-   * @param burn - Where service-level counts go.
-   */
+  /** @param burn - Receives the service-level counts. */
   constructor(clock: Clock, burn: BurnRecorder, logger: Logger, metrics: Metrics) {
     this._clock = clock;
     this._burn = burn;
@@ -37,23 +35,23 @@
     this._metrics = metrics;
   }
 
-  /** Notes how a request ended. */
-  addEnding(ending: Ending): void {
-    const { request, refusal } = ending;
+  /** Records the result of a request. */
+  addRecord(record: RequestRecord): void {
+    const { request, refusal } = record;
     const outcome = refusal?.outcome ?? "done";
     const totalMs = this._clock.getMonotonicMs() - request.receivedAt;
-    this._log(ending, outcome, totalMs);
+    this._log(record, outcome, totalMs);
     const tags = { organisation: request.organisation.name, class: request.requestClass.name };
     this._metrics.increment("requests", 1, { ...tags, outcome });
     this._metrics.timing("request_ms", totalMs, tags);
-    if (ending.firstTokenMs !== undefined) this._metrics.timing("first_token_ms", ending.firstTokenMs, tags);
-    if (ending.tokens > 0) this._metrics.increment("tokens", ending.tokens, tags);
-    if (ending.retries > 0) this._metrics.increment("retries", ending.retries, tags);
-    const burnOutcome = getBurnOutcome(ending);
+    if (record.firstTokenMs !== undefined) this._metrics.timing("first_token_ms", record.firstTokenMs, tags);
+    if (record.tokens > 0) this._metrics.increment("tokens", record.tokens, tags);
+    if (record.retries > 0) this._metrics.increment("retries", record.retries, tags);
+    const burnOutcome = getBurnOutcome(record);
     if (burnOutcome === undefined) return;
     if (burnOutcome === "shed") this._metrics.increment("shed", 1, { ...tags, code: refusal?.code ?? "" });
     const { organisation, requestClass } = request;
-    const { firstTokenMs } = ending;
+    const { firstTokenMs } = record;
     this._burn.addRequest(
       this._clock.getWallMs(),
       organisation.name,
@@ -63,9 +61,9 @@
     );
   }
 
-  /** Prompts and answers are never logged. */
-  private _log(ending: Ending, outcome: string, totalMs: number): void {
-    const { request, refusal } = ending;
+  /** Logs a request. Prompts and answers are never logged. */
+  private _log(record: RequestRecord, outcome: string, totalMs: number): void {
+    const { request, refusal } = record;
     this._logger.info({
       event: "request",
       request: request.id,
@@ -75,12 +73,12 @@
       outcome,
       code: refusal?.code,
       reason: refusal?.reason,
-      served_by: ending.servedBy,
-      epoch: ending.epoch,
-      first_token_ms: round(ending.firstTokenMs),
+      served_by: record.servedBy,
+      epoch: record.epoch,
+      first_token_ms: round(record.firstTokenMs),
       total_ms: round(totalMs),
-      tokens: ending.tokens,
-      retries: ending.retries,
+      tokens: record.tokens,
+      retries: record.retries,
     });
   }
 }
@@ -89,13 +87,16 @@
   return milliseconds === undefined ? undefined : Math.round(milliseconds * PERCENT) / PERCENT;
 }
 
-/** What the caller did wrong, or did not wait for, is no failure of the service level. */
-function getBurnOutcome({ request, refusal, firstTokenMs }: Ending): BurnOutcome | undefined {
+/**
+ * Gets the outcome for the service level, or `undefined` for an error or a disconnect of the caller, which
+ * does not count against the service level.
+ */
+function getBurnOutcome({ request, refusal, firstTokenMs }: RequestRecord): BurnOutcome | undefined {
   if (refusal === undefined) return (firstTokenMs ?? 0) <= request.requestClass.firstToken ? "good" : "late";
-  const isCallers =
-    refusal.code === "caller_left" || (refusal.status < 500 && refusal.status !== SHED_STATUS);
-  if (isCallers) return undefined;
+  const isCallerError =
+    refusal.code === "caller_left" || (refusal.status < 500 && refusal.status !== TOO_MANY_REQUESTS_STATUS);
+  if (isCallerError) return undefined;
   return refusal.outcome === "not-run" ? "shed" : "failed";
 }
 
-const SHED_STATUS = 429;
+const TOO_MANY_REQUESTS_STATUS = 429;
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -1,8 +1,7 @@
 /**
- * Fourth filter: lets a request through once it can be placed, or gives it up at once.
+ * Fourth filter: admits a request once it can be placed, or refuses it at once.
  *
- * Placing is part of letting through, so that no two requests are let through on the
- * same free slot.
+ * Admission and placement are one step, so that two requests are never admitted to the same free slot.
  */
 import type { Clock } from "../../clock";
 import type { RandomSource } from "../../consensus";
@@ -10,69 +9,70 @@
 import { Refusal, type RefusalCode } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
-/** Where requests of one kind can be placed. */
+/** Places requests of one kind. */
 export interface Placer<R> {
-  /** Places a request now; gives `undefined` when there is no room. */
+  /** Places a request at `now`. Returns `undefined` if there is no free capacity. */
   tryPlace(now: number, request: ClassifiedRequest): R | undefined;
-  /** Gets how many requests this entry may have in flight at a target. */
+  /** Gets how many requests this entry may have in flight for a target. */
   getSlots(now: number, target: string): number;
-  /** Checks whether a target has any endpoint at all. */
+  /** Checks whether a target has any endpoint. */
   hasEndpoint(now: number, target: string): boolean;
-  /** Code of the refusal when it has none. */
+  /** Refusal code for a target without an endpoint. */
   readonly absenceCode: RefusalCode;
 }
 
-interface Waiter {
+interface QueuedRequest {
   readonly ticket: Ticket;
   readonly request: ClassifiedRequest;
-  readonly tryStart: (now: number) => boolean;
+  readonly tryPlace: (now: number) => boolean;
   readonly refuse: (refusal: Refusal) => void;
 }
 
-/** Retry times are spread by this share, so that callers don't all return together. */
-const RETRY_SPREAD = 0.5;
-const CODES: Readonly<Record<AdmissionRefusal["reason"], RefusalCode>> = {
+/**
+ * Retry times are extended by a random share of up to this value, so that refused callers do not all return
+ * at the same time.
+ */
+const RETRY_JITTER = 0.5;
+const CODE_BY_REASON: Readonly<Record<AdmissionRefusal["reason"], RefusalCode>> = {
   queueFull: "queue_full",
   infeasible: "deadline_infeasible",
   expired: "deadline_expired",
 };
 
-/** Admission at one entry. */
+/** Admits the requests of one entry. */
 export class Admission {
   private readonly _clock: Clock;
   private readonly _random: RandomSource;
   private readonly _queue = new AdmissionQueue();
-  private readonly _waiters = new Map<Ticket, Waiter>();
-  private readonly _waitingTargets = new Map<string, number>();
+  private readonly _queuedRequests = new Map<Ticket, QueuedRequest>();
+  private readonly _queuedCounts = new Map<string, number>();
 
-  /**
-   * @param random - Spreads the times at which refused callers come back.
-   */
+  /** @param random - Adds jitter to the retry times of refused callers. */
   constructor(clock: Clock, random: RandomSource) {
     this._clock = clock;
     this._random = random;
   }
 
-  /** Gets how many requests wait. */
+  /** Gets the number of queued requests. */
   get queueLength(): number {
     return this._queue.length;
   }
 
-  /** Gets how many requests of an organisation wait. */
-  getOrganisationLength(organisation: string): number {
+  /** Gets the number of queued requests of an organisation. */
+  getOrganisationQueueLength(organisation: string): number {
     return this._queue.getOrganisationLength(organisation);
   }
 
-  /** Estimates how long a request of the lowest class would wait, milliseconds. */
-  getQueueMs(target: string): number {
-    const probe: Ticket = { ...PROBE, target };
-    return this._queue.getWaitMs(probe);
+  /** Estimates the queueing time of a request of the lowest priority, milliseconds. */
+  getQueueingMs(target: string): number {
+    const ticket: Ticket = { ...LOWEST_PRIORITY_TICKET, target };
+    return this._queue.getWaitMs(ticket);
   }
 
   /**
    * Waits until a request is placed.
-   * @param maxLength - Requests that may wait.
-   * @param signal - Aborted when the caller leaves.
+   * @param maxLength - Maximum number of queued requests.
+   * @param signal - Aborted when the caller disconnects.
    * @throws Refusal - With the outcome not-run.
    */
   admit<R>(
@@ -87,115 +87,119 @@
     this._queue.setSlots(target, placer.getSlots(now, request.target));
     const infeasible = this._queue.getInfeasibility(now, ticket);
     if (infeasible !== undefined) return Promise.reject(this.createRefusal(infeasible));
-    if (!this._waitingTargets.has(target)) {
+    if (!this._queuedCounts.has(target)) {
       const placed = placer.tryPlace(now, request);
       if (placed !== undefined) return Promise.resolve(placed);
     }
-    if (!placer.hasEndpoint(now, request.target)) return Promise.reject(this._createAbsence(request, placer));
+    if (!placer.hasEndpoint(now, request.target))
+      return Promise.reject(this._createUnavailableRefusal(request, placer));
     const refused = this._queue.add(ticket, maxLength);
     if (refused !== undefined) return Promise.reject(this.createRefusal(refused));
-    return this._wait(request, ticket, placer, signal);
+    return this._enqueue(request, ticket, placer, signal);
   }
 
-  /** Places what can be placed now, and gives up what can't be answered in time any more. */
+  /**
+   * Places queued requests that have an endpoint with free capacity, and refuses those that can no longer
+   * meet their deadline.
+   */
   update(): void {
     if (this._queue.length === 0) return;
     const now = this._clock.getMonotonicMs();
     for (const { ticket, refused } of this._queue.takeExpired(now)) {
-      this._takeWaiter(ticket)?.refuse(this.createRefusal(refused));
+      this._removeQueued(ticket)?.refuse(this.createRefusal(refused));
     }
-    for (const target of [...this._waitingTargets.keys()]) this._placeWaiting(now, target);
+    for (const target of [...this._queuedCounts.keys()]) this._placeQueued(now, target);
   }
 
-  /** Notes an answered request, from which waiting times are estimated. */
+  /** Adds an answered request to the statistics from which queueing times are estimated. */
   addCompletion(request: ClassifiedRequest, cost: number, serviceMs: number): void {
     this._queue.addCompletion(getTargetKey(request), cost, serviceMs);
   }
 
-  /** Makes a refusal whose time to come back is spread. */
+  /** Creates a refusal with jitter in its retry time. */
   createRefusal(refused: AdmissionRefusal): Refusal {
     return new Refusal({
-      code: CODES[refused.reason],
+      code: CODE_BY_REASON[refused.reason],
       outcome: "not-run",
-      reason: REASONS[refused.reason],
-      retryAfterMs: this.spread(refused.retryAfterMs),
+      reason: TEXT_BY_REASON[refused.reason],
+      retryAfterMs: this.addJitter(refused.retryAfterMs),
     });
   }
 
-  /** Spreads a time to come back. */
-  spread(milliseconds: number): number {
-    return Math.ceil(milliseconds * (1 + RETRY_SPREAD * this._random.next()));
+  /** Adds jitter to a retry time. */
+  addJitter(milliseconds: number): number {
+    return Math.ceil(milliseconds * (1 + RETRY_JITTER * this._random.next()));
   }
 
-  private _wait<R>(
+  private _enqueue<R>(
     request: ClassifiedRequest,
     ticket: Ticket,
     placer: Placer<R>,
     signal: AbortSignal,
   ): Promise<R> {
     return new Promise((resolve, reject) => {
-      const leave = () => {
+      const onAbort = () => {
         this._queue.remove(ticket);
-        this._takeWaiter(ticket)?.refuse(createLeft(signal.reason));
+        this._removeQueued(ticket)?.refuse(createAbortedRefusal(signal.reason));
       };
-      const tryStart = (now: number) => {
+      const tryPlace = (now: number) => {
         const placed = placer.tryPlace(now, request);
         if (placed === undefined) return false;
-        signal.removeEventListener("abort", leave);
+        signal.removeEventListener("abort", onAbort);
         resolve(placed);
         return true;
       };
-      this._addWaiter({ ticket, request, tryStart, refuse: reject });
-      signal.addEventListener("abort", leave, { once: true });
-      if (signal.aborted) leave();
+      this._addQueued({ ticket, request, tryPlace, refuse: reject });
+      signal.addEventListener("abort", onAbort, { once: true });
+      if (signal.aborted) onAbort();
     });
   }
 
-  /** The head of the line is taken out only to be placed; one that has no room goes back. */
-  private _placeWaiting(now: number, target: string): void {
-    while (this._waitingTargets.has(target)) {
+  /** Places the queued requests of a target in order. A request leaves the queue only once it is placed. */
+  private _placeQueued(now: number, target: string): void {
+    while (this._queuedCounts.has(target)) {
       const ticket = this._queue.getNext(target);
-      const waiter = ticket === undefined ? undefined : this._waiters.get(ticket);
-      if (ticket === undefined || waiter === undefined || !waiter.tryStart(now)) return;
+      const queued = ticket === undefined ? undefined : this._queuedRequests.get(ticket);
+      if (ticket === undefined || queued === undefined || !queued.tryPlace(now)) return;
       this._queue.takeNext(target);
-      this._takeWaiter(ticket);
+      this._removeQueued(ticket);
     }
   }
 
-  private _addWaiter(waiter: Waiter): void {
-    const { target } = waiter.ticket;
-    this._waiters.set(waiter.ticket, waiter);
-    this._waitingTargets.set(target, (this._waitingTargets.get(target) ?? 0) + 1);
+  private _addQueued(queued: QueuedRequest): void {
+    const { target } = queued.ticket;
+    this._queuedRequests.set(queued.ticket, queued);
+    this._queuedCounts.set(target, (this._queuedCounts.get(target) ?? 0) + 1);
   }
 
-  private _takeWaiter(ticket: Ticket): Waiter | undefined {
-    const waiter = this._waiters.get(ticket);
-    if (waiter === undefined) return undefined;
-    this._waiters.delete(ticket);
-    const left = this._waitingTargets.get(ticket.target)! - 1;
-    if (left === 0) this._waitingTargets.delete(ticket.target);
-    else this._waitingTargets.set(ticket.target, left);
-    return waiter;
+  private _removeQueued(ticket: Ticket): QueuedRequest | undefined {
+    const queued = this._queuedRequests.get(ticket);
+    if (queued === undefined) return undefined;
+    this._queuedRequests.delete(ticket);
+    const remaining = this._queuedCounts.get(ticket.target)! - 1;
+    if (remaining === 0) this._queuedCounts.delete(ticket.target);
+    else this._queuedCounts.set(ticket.target, remaining);
+    return queued;
   }
 
-  private _createAbsence<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
+  private _createUnavailableRefusal<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
     return new Refusal({
       code: placer.absenceCode,
       outcome: "not-run",
-      reason: `nothing serves "${request.target}" now`,
-      retryAfterMs: this.spread(ABSENCE_RETRY_MS),
+      reason: `no endpoint currently serves "${request.target}"`,
+      retryAfterMs: this.addJitter(UNAVAILABLE_RETRY_MS),
     });
   }
 }
 
-const ABSENCE_RETRY_MS = 2_000;
-const REASONS: Readonly<Record<AdmissionRefusal["reason"], string>> = {
-  queueFull: "too many requests wait already",
-  infeasible: "it could not be answered before its deadline",
-  expired: "it could not be answered before its deadline any more",
+const UNAVAILABLE_RETRY_MS = 2_000;
+const TEXT_BY_REASON: Readonly<Record<AdmissionRefusal["reason"], string>> = {
+  queueFull: "the queue of this entry is full",
+  infeasible: "the request can't be answered before its deadline",
+  expired: "the queued request can no longer be answered before its deadline",
 };
 const LOWEST_PRIORITY = 9;
-const PROBE: Ticket = {
+const LOWEST_PRIORITY_TICKET: Ticket = {
   id: "",
   target: "",
   organisation: "",
@@ -205,7 +209,7 @@
   deadlineAt: 0,
 };
 
-/** Models and services may have the same name. */
+/** The key includes the kind because a model and a service may have the same name. */
 function getTargetKey(request: ClassifiedRequest): string {
   return `${request.call.kind}:${request.target}`;
 }
@@ -222,8 +226,8 @@
   };
 }
 
-/** A request that only waited was not run, whatever ended the waiting. */
-function createLeft(cause: unknown): Refusal {
+/** A request that was aborted in the queue has the outcome not-run, whatever the cause of the abort. */
+function createAbortedRefusal(cause: unknown): Refusal {
   const code = cause instanceof Refusal ? cause.code : "caller_left";
   const reason = cause instanceof Refusal ? cause.reason : "the caller closed the connection";
   return new Refusal({ code, outcome: "not-run", reason });
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -1,9 +1,9 @@
 /**
  * Fifth filter, for model requests: runs a placed request and relays its answer.
  *
- * Tried again elsewhere only while the caller has seen nothing, and only if the
- * request is repeatable or provably did not run. A stream that was cut after its first
- * byte goes on at its offset where the engine still knows it, or ends visibly broken.
+ * A request is attempted again elsewhere only if the caller has received no part of the answer, and only if
+ * the request is repeatable or provably did not run. A stream that is cut after its first byte resumes at its
+ * offset if the engine still has the generation. Otherwise it ends with an error.
  */
 import { type Clock, pause } from "../../clock";
 import type { Frame, Generation, SendOptions } from "../../engine";
@@ -26,16 +26,16 @@
 /** A classified model request. */
 export type ModelRequest = ClassifiedRequest & { readonly call: ModelCall };
 
-/** How a model request went. */
+/** Result of a model request. */
 export interface ModelResult {
   readonly replicaId: string;
-  /** Milliseconds from acceptance to the first piece of the answer. */
+  /** Milliseconds from the receipt of the request to the first frame of the answer. */
   readonly firstTokenMs: number;
   readonly tokens: number;
   readonly retries: number;
 }
 
-/** What model dispatch works with. */
+/** Options of the model dispatch. */
 export interface ModelDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
@@ -45,7 +45,7 @@
   readonly lease: EntryLease;
 }
 
-/** One request on one replica. */
+/** One attempt of a request at one replica. */
 interface Attempt {
   readonly request: ModelRequest;
   readonly route: Route;
@@ -55,31 +55,29 @@
   tokens: number;
   firstTokenAt: number | undefined;
   lastFrameAt: number;
-  /** Set when the replica was lost under the attempt. */
-  lostReason: string;
+  /** Why the replica was lost during the attempt, "" while it is available. */
+  lossReason: string;
 }
 
-const RESUME_ATTEMPTS = 5;
+const MAX_RESUME_ATTEMPTS = 5;
 const RESUME_PAUSE_MS = 200;
-const CANCEL_MS = 1_000;
+const CANCEL_TIMEOUT_MS = 1_000;
 
 /** Runs model requests. */
 export class ModelDispatch {
   private readonly _options: ModelDispatchOptions;
-  private readonly _budget = new RetryBudget();
+  private readonly _retryBudget = new RetryBudget();
   private readonly _attempts = new Set<Attempt>();
 
-  /**
-   * @param options - Clock, view, router and the other parts of the entry.
-   */
+  /** @param options - Clock, view, router and the other components of the entry. */
   constructor(options: ModelDispatchOptions) {
     this._options = options;
   }
 
   /**
-   * Runs a request to its end.
-   * @param signal - Aborted when the caller leaves.
-   * @throws Refusal - When the answer is not whole.
+   * Runs a request to completion.
+   * @param signal - Aborted when the caller disconnects.
+   * @throws Refusal - If the answer is not complete.
    */
   async run(
     request: ModelRequest,
@@ -88,7 +86,7 @@
     signal: AbortSignal,
   ): Promise<ModelResult> {
     const { limits } = active.declared;
-    this._budget.addRequest(limits.retryRatio);
+    this._retryBudget.addRequest(limits.retryRatio);
     const excluded = new Set<string>();
     const placer = this._createPlacer(excluded);
     const { result, retries } = await runAttempts<Route, Omit<ModelResult, "retries">>({
@@ -97,7 +95,7 @@
         await this._options.claims.claimOnce(request);
         return this._attempt(request, route, writer, signal);
       },
-      noteFailure: (route, failure) => {
+      recordFailure: (route, failure) => {
         this._endWork(route.work, failure, signal);
         excluded.add(route.replica.id);
       },
@@ -110,12 +108,12 @@
     return { ...result, retries };
   }
 
-  /** Aborts attempts whose replica was lost under them. */
-  abortLost(now: number): void {
+  /** Aborts the attempts whose replica was lost. */
+  abortLostAttempts(now: number): void {
     for (const attempt of this._attempts) {
       const reason = this._getLossReason(now, attempt);
       if (reason === undefined) continue;
-      attempt.lostReason = reason;
+      attempt.lossReason = reason;
       attempt.controller.abort();
     }
   }
@@ -138,8 +136,8 @@
   }
 
   private _endWork(work: Work, failure: Failure, signal: AbortSignal): void {
-    const isBlamed = failure.isEndpointFault && !signal.aborted;
-    work.end(this._options.clock.getMonotonicMs(), isBlamed ? "failed" : "cancelled");
+    const hasEndpointFailed = failure.isEndpointFault && !signal.aborted;
+    work.end(this._options.clock.getMonotonicMs(), hasEndpointFailed ? "failed" : "cancelled");
   }
 
   private _mayRetry(
@@ -151,7 +149,7 @@
     if (signal.aborted || writer.hasStarted || !failure.isEndpointFault) return false;
     if (!failure.wasNotRun && !request.isRepeatable) return false;
     if (this._options.clock.getMonotonicMs() >= request.deadlineAt) return false;
-    return this._budget.takeRetry();
+    return this._retryBudget.takeRetry();
   }
 
   private async _attempt(
@@ -161,19 +159,19 @@
     signal: AbortSignal,
   ): Promise<Omit<ModelResult, "retries">> {
     const attempt = this._createAttempt(request, route, writer);
-    const onLeave = () => attempt.controller.abort();
-    signal.addEventListener("abort", onLeave, { once: true });
-    if (signal.aborted) onLeave();
+    const onAbort = () => attempt.controller.abort();
+    signal.addEventListener("abort", onAbort, { once: true });
+    if (signal.aborted) onAbort();
     this._attempts.add(attempt);
     try {
       await this._relayWithResume(attempt, signal);
       return this._finish(attempt);
     } catch (cause) {
       this._cancel(attempt);
-      throw this._explain(attempt, cause, signal);
+      throw this._getFailureCause(attempt, cause, signal);
     } finally {
       this._attempts.delete(attempt);
-      signal.removeEventListener("abort", onLeave);
+      signal.removeEventListener("abort", onAbort);
     }
   }
 
@@ -186,7 +184,7 @@
       tokens: 0,
       firstTokenAt: undefined,
       lastFrameAt: this._options.clock.getMonotonicMs(),
-      lostReason: "",
+      lossReason: "",
     };
   }
 
@@ -196,43 +194,46 @@
     const { engine } = attempt.route;
     let cause = await this._relay(attempt, () => engine.generate(generation, options));
     for (let i = 0; cause !== undefined; i++) {
-      if (!this._mayResume(attempt, cause, signal) || i >= RESUME_ATTEMPTS) throw cause;
+      if (!this._mayResume(attempt, cause, signal) || i >= MAX_RESUME_ATTEMPTS) throw cause;
       await pause(RESUME_PAUSE_MS * i);
       cause = await this._relay(attempt, () => engine.resume(generation, attempt.tokens, options));
     }
   }
 
-  /** Relays frames until the last one; gives what broke the stream, if anything did. */
+  /**
+   * Relays frames up to the last one. Returns the error that ended the stream, or `undefined` at its regular
+   * end.
+   */
   private async _relay(
     attempt: Attempt,
     start: () => Promise<AsyncIterable<readonly Frame[]>>,
   ): Promise<unknown> {
     try {
-      for await (const frames of await start()) await this._takeFrames(attempt, frames);
+      for await (const frames of await start()) await this._relayFrames(attempt, frames);
       return undefined;
     } catch (cause) {
       return cause;
     }
   }
 
-  private async _takeFrames(attempt: Attempt, frames: readonly Frame[]): Promise<void> {
+  private async _relayFrames(attempt: Attempt, frames: readonly Frame[]): Promise<void> {
     const now = this._options.clock.getMonotonicMs();
     const tokens = frames.reduce((sum, frame) => sum + frame.tokens, 0);
     attempt.firstTokenAt ??= now;
     attempt.lastFrameAt = now;
     attempt.tokens += tokens;
     attempt.route.work.addProgress(now, tokens);
-    if (frames.at(-1)?.finishReason === "error") throw createEngineFailure();
+    if (frames.at(-1)?.finishReason === "error") throw createEngineRefusal();
     await attempt.writer.write(frames, attempt.route.replica.id);
   }
 
-  /** Only a cut is resumed: a foreign answer or an error of the engine's would come again. */
+  /** Only a cut connection is resumed. A foreign answer or an error of the engine would recur. */
   private _mayResume(attempt: Attempt, cause: unknown, signal: AbortSignal): boolean {
     if (!(cause instanceof LostAnswer) || signal.aborted || attempt.tokens === 0) return false;
-    return !attempt.controller.signal.aborted && this._isHeld(attempt.route.replica);
+    return !attempt.controller.signal.aborted && this._isCurrent(attempt.route.replica);
   }
 
-  private _isHeld(replica: Replica): boolean {
+  private _isCurrent(replica: Replica): boolean {
     return this._options.view.getReplica(replica.id)?.epoch === replica.epoch;
   }
 
@@ -245,14 +246,19 @@
     };
   }
 
-  /** The last check before a byte goes out; an entry that was frozen finds its lease lapsed here. */
+  /**
+   * Performs the last checks before the first byte is sent: the lease, the deadline and the replica. An entry
+   * that was paused detects here that its lease has expired.
+   */
   private _throwIfNotAllowed(request: ModelRequest, replica: Replica, isResumed: boolean): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "this entry's lease has lapsed");
+    if (!this._options.lease.isHeld(now))
+      throw createNotRunRefusal("lease_lapsed", "the lease of this entry has expired");
     if (isResumed) return;
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "its deadline has passed");
-    if (!this._options.router.isOpen(now, replica))
-      throw createNotRun("no_replica", `${replica.id} closed meanwhile`);
+    if (now >= request.deadlineAt)
+      throw createNotRunRefusal("deadline_expired", "the deadline of the request has passed");
+    if (!this._options.router.isRoutable(now, replica))
+      throw createNotRunRefusal("no_replica", `${replica.id} no longer takes new requests`);
   }
 
   private _finish(attempt: Attempt): Omit<ModelResult, "retries"> {
@@ -272,26 +278,27 @@
   private _cancel(attempt: Attempt): void {
     const { engine, replica } = attempt.route;
     attempt.controller.abort();
-    engine.cancel(attempt.request.id, replica.epoch, CANCEL_MS).catch(() => {});
+    engine.cancel(attempt.request.id, replica.epoch, CANCEL_TIMEOUT_MS).catch(() => {});
   }
 
-  private _explain(attempt: Attempt, cause: unknown, signal: AbortSignal): unknown {
+  private _getFailureCause(attempt: Attempt, cause: unknown, signal: AbortSignal): unknown {
     if (signal.aborted)
       return new Refusal({ code: "caller_left", outcome: "unknown", reason: String(signal.reason) });
-    if (attempt.lostReason === "") return cause;
-    return new LostAnswer({ address: attempt.route.engine.address, reason: attempt.lostReason });
+    if (attempt.lossReason === "") return cause;
+    return new LostAnswer({ address: attempt.route.engine.address, reason: attempt.lossReason });
   }
 
   private _getLossReason(now: number, attempt: Attempt): string | undefined {
     const { replica } = attempt.route;
     const current = this._options.view.getReplica(replica.id);
-    if (current === undefined || current.epoch !== replica.epoch) return "its replica was released";
+    if (current === undefined || current.epoch !== replica.epoch) return "the replica was released";
     const windowMs = this._options.view.configuration?.declared.timing.presenceWindow ?? 0;
-    const isSilent = now - attempt.lastFrameAt > windowMs;
-    if (isSilent && !this._options.router.isWhole(now, current, windowMs))
-      return "its replica lost an instance";
-    const isLost = current.phase === ReplicaPhase.RETIRING && this._options.view.isAbsentAtControl(current);
-    return isSilent && isLost ? "its replica was retired" : undefined;
+    const isStalled = now - attempt.lastFrameAt > windowMs;
+    if (isStalled && !this._options.router.isResponding(now, current, windowMs))
+      return "an instance of the replica was lost";
+    const isAbsentAndRetiring =
+      current.phase === ReplicaPhase.RETIRING && this._options.view.hasAbsentInstance(current);
+    return isStalled && isAbsentAndRetiring ? "the replica was retired" : undefined;
   }
 }
 
@@ -312,12 +319,15 @@
   };
 }
 
-function createNotRun(code: "lease_lapsed" | "deadline_expired" | "no_replica", reason: string): Refusal {
+function createNotRunRefusal(
+  code: "lease_lapsed" | "deadline_expired" | "no_replica",
+  reason: string,
+): Refusal {
   return new Refusal({ code, outcome: "not-run", reason, retryAfterMs: NOT_RUN_RETRY_MS });
 }
 
-function createEngineFailure(): Refusal {
-  return new Refusal({ code: "answer_lost", outcome: "failed", reason: "the engine gave the answer up" });
+function createEngineRefusal(): Refusal {
+  return new Refusal({ code: "answer_lost", outcome: "failed", reason: "the engine aborted the generation" });
 }
 
 const NOT_RUN_RETRY_MS = 500;
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -1,9 +1,8 @@
 /**
- * Fifth filter, for plain services: sends a call to one endpoint and relays the answer.
+ * Fifth filter, for services: sends a call to one endpoint and relays its answer.
  *
- * The same rules as for models: tried again only if repeatable or provably not run, and
- * never after the first byte of an answer. What an endpoint answers is the answer,
- * whatever its status.
+ * The rules are those of model requests: a call is attempted again only if it is repeatable or provably did
+ * not run, and never after the first byte of an answer. An endpoint's answer is relayed with any status.
  */
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
@@ -26,14 +25,14 @@
 /** A classified service call. */
 export type ServiceRequest = ClassifiedRequest & { readonly call: ServiceCall };
 
-/** How a service call went. */
+/** Result of a service call. */
 export interface ServiceResult {
   readonly instanceId: string;
   readonly status: number;
   readonly retries: number;
 }
 
-/** What service dispatch works with. */
+/** Options of the service dispatch. */
 export interface ServiceDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
@@ -49,8 +48,8 @@
   readonly work: Work;
 }
 
-/** Headers of one connection, which are not passed on (RFC 9110, section 7.6.1). */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to one connection and are not forwarded (RFC 9110, section 7.6.1). */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -69,26 +68,24 @@
 /** Runs service calls. */
 export class ServiceDispatch {
   private readonly _options: ServiceDispatchOptions;
-  private readonly _budget = new RetryBudget();
+  private readonly _retryBudget = new RetryBudget();
   private readonly _pool = new EndpointPool();
   private readonly _placement = new LeastWorkPlacement();
 
-  /**
-   * @param options - Clock, view, client and the other parts of the entry.
-   */
+  /** @param options - Clock, view, client and the other components of the entry. */
   constructor(options: ServiceDispatchOptions) {
     this._options = options;
   }
 
-  /** Forgets endpoints that are gone. */
+  /** Removes endpoints that are no longer in the view. */
   updateEndpoints(): void {
     this._pool.retain(this._options.view.getServiceInstanceIds());
   }
 
   /**
-   * Runs a call to its end.
-   * @param signal - Aborted when the caller leaves.
-   * @throws Refusal - When there is no whole answer.
+   * Runs a call to completion.
+   * @param signal - Aborted when the caller disconnects.
+   * @throws Refusal - If the answer is not complete.
    */
   async run(
     request: ServiceRequest,
@@ -97,7 +94,7 @@
     signal: AbortSignal,
   ): Promise<ServiceResult> {
     const { limits } = active.declared;
-    this._budget.addRequest(limits.retryRatio);
+    this._retryBudget.addRequest(limits.retryRatio);
     const excluded = new Set<string>();
     const placer = this._createPlacer(active, excluded);
     const { result, retries } = await runAttempts<ServiceRoute, Omit<ServiceResult, "retries">>({
@@ -111,7 +108,7 @@
         );
         return { instanceId: route.endpoint.instanceId, status };
       },
-      noteFailure: (route, failure) => {
+      recordFailure: (route, failure) => {
         const end = failure.isEndpointFault ? "failed" : "cancelled";
         route.work.end(this._options.clock.getMonotonicMs(), end);
         excluded.add(route.endpoint.instanceId);
@@ -124,7 +121,7 @@
   private _mayRetry(request: ServiceRequest, failure: Failure, response: ServerResponse): boolean {
     const mayRepeat = failure.wasNotRun || request.isRepeatable;
     if (!mayRepeat || !failure.isEndpointFault || response.headersSent) return false;
-    return this._budget.takeRetry();
+    return this._retryBudget.takeRetry();
   }
 
   private async _attempt(
@@ -162,11 +159,13 @@
 
   private _throwIfNotAllowed(request: ServiceRequest, route: ServiceRoute): void {
     const now = this._options.clock.getMonotonicMs();
-    if (!this._options.lease.isHeld(now)) throw createNotRun("lease_lapsed", "this entry's lease has lapsed");
-    if (now >= request.deadlineAt) throw createNotRun("deadline_expired", "its deadline has passed");
+    if (!this._options.lease.isHeld(now))
+      throw createNotRunRefusal("lease_lapsed", "the lease of this entry has expired");
+    if (now >= request.deadlineAt)
+      throw createNotRunRefusal("deadline_expired", "the deadline of the request has passed");
     const current = this._options.view.getServiceEndpoints(request.target);
     if (current.some((endpoint) => endpoint.instanceId === route.endpoint.instanceId)) return;
-    throw createNotRun("no_endpoint", `${route.endpoint.instanceId} left meanwhile`);
+    throw createNotRunRefusal("no_endpoint", `${route.endpoint.instanceId} is no longer available`);
   }
 
   private _createPlacer(active: ActiveConfiguration, excluded: ReadonlySet<string>): Placer<ServiceRoute> {
@@ -174,10 +173,10 @@
       absenceCode: "no_endpoint",
       tryPlace: (now, request) => this._tryPlace(now, request, active, excluded),
       getSlots: (now, target) => {
-        const endpoints = this._getOpenEndpoints(now, target, excluded);
+        const endpoints = this._getAvailableEndpoints(now, target, excluded);
         return endpoints.reduce((sum, endpoint) => sum + this._getLimit(now, endpoint, active), 0);
       },
-      hasEndpoint: (now, target) => this._getOpenEndpoints(now, target, excluded).length > 0,
+      hasEndpoint: (now, target) => this._getAvailableEndpoints(now, target, excluded).length > 0,
     };
   }
 
@@ -187,7 +186,7 @@
     active: ActiveConfiguration,
     excluded: ReadonlySet<string>,
   ): ServiceRoute | undefined {
-    const endpoints = this._getOpenEndpoints(now, request.target, excluded);
+    const endpoints = this._getAvailableEndpoints(now, request.target, excluded);
     const candidates = endpoints.map((endpoint) => this._createCandidate(now, endpoint, active));
     const chosen = this._placement.choose(candidates, 0, this._options.random);
     const endpoint = endpoints.find((candidate) => candidate.instanceId === chosen?.replicaId);
@@ -195,7 +194,11 @@
     return { endpoint, work: this._pool.startWork(now, endpoint.instanceId, request.cost) };
   }
 
-  private _getOpenEndpoints(now: number, service: string, excluded: ReadonlySet<string>): ServiceEndpoint[] {
+  private _getAvailableEndpoints(
+    now: number,
+    service: string,
+    excluded: ReadonlySet<string>,
+  ): ServiceEndpoint[] {
     return this._options.view
       .getServiceEndpoints(service)
       .filter(
@@ -224,31 +227,37 @@
   }
 }
 
-function createNotRun(code: "lease_lapsed" | "deadline_expired" | "no_endpoint", reason: string): Refusal {
+function createNotRunRefusal(
+  code: "lease_lapsed" | "deadline_expired" | "no_endpoint",
+  reason: string,
+): Refusal {
   return new Refusal({ code, outcome: "not-run", reason, retryAfterMs: NOT_RUN_RETRY_MS });
 }
 
 function createRequestHeaders(request: ServiceRequest): IncomingHttpHeaders {
-  const headers = dropHopHeaders(request.call.headers);
+  const headers = removeHopByHopHeaders(request.call.headers);
   headers[ANSWER_HEADER.requestId] = request.id;
   if (request.call.body.length > 0) headers["content-length"] = String(request.call.body.length);
   return headers;
 }
 
-function dropHopHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
-  const named = (headers.connection ?? "").split(",").map((name) => name.trim().toLowerCase());
-  const dropped = new Set([...HOP_HEADERS, ...named]);
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !dropped.has(name)));
+function removeHopByHopHeaders(headers: IncomingHttpHeaders): IncomingHttpHeaders {
+  const listed = (headers.connection ?? "").split(",").map((name) => name.trim().toLowerCase());
+  const removed = new Set([...HOP_BY_HOP_HEADERS, ...listed]);
+  return Object.fromEntries(Object.entries(headers).filter(([name]) => !removed.has(name)));
 }
 
-/** Passes an answer on as it comes; one that breaks off is cut, never ended as if whole. */
+/**
+ * Forwards an answer as it arrives. If the answer is cut, its copy to the caller is cut too and never ends
+ * like a complete one.
+ */
 async function relayAnswer(
   answer: IncomingMessage,
   response: ServerResponse,
   request: ServiceRequest,
   endpoint: ServiceEndpoint,
 ): Promise<void> {
-  const headers = dropHopHeaders(answer.headers);
+  const headers = removeHopByHopHeaders(answer.headers);
   const length = answer.headers["content-length"];
   if (length !== undefined) headers["content-length"] = length;
   response.writeHead(answer.statusCode ?? 502, {
--- a/src/entry/filters/classify.ts
+++ b/src/entry/filters/classify.ts
@@ -1,4 +1,4 @@
-/** Third filter: class, deadline and estimated cost. */
+/** Third filter: determines class, deadline and estimated cost. */
 import type { Facts, LoadFacts } from "../../policy";
 import { getPrefixDigests } from "../../routing";
 import type { ActiveConfiguration } from "../ClusterView";
@@ -6,43 +6,43 @@
 import type { ClassifiedRequest, IdentifiedRequest } from "../requests";
 import { estimateTokens, PROMPT_TOKEN_COST } from "../tokens";
 
-/** What a class depends on besides the request. */
-export interface ClassifyFacts {
-  /** Wall clock, for the hour. */
+/** Inputs to the classification besides the request. */
+export interface ClassificationContext {
+  /** Wall clock time, for the hour of the day. */
   readonly wallMs: number;
   readonly load: LoadFacts;
-  /** Requests of the organisation that wait at this entry. */
+  /** Number of the organisation's requests that are queued at this entry. */
   readonly organisationQueued: number;
-  /** Tokens that answers of a class have had on the average, if known. */
+  /** Gets the mean number of tokens per answer of a class, or `undefined` before its first answer. */
   readonly getMeanTokens: (className: string) => number | undefined;
 }
 
 const MS_PER_HOUR = 3_600_000;
 const HOURS_PER_DAY = 24;
-/** Work of a service call against generated tokens. */
+/** Cost of a service call, in generated tokens. */
 const SERVICE_CALL_COST = 1;
 
 /**
  * Classifies a request.
  * @param now - Monotonic milliseconds.
- * @throws Refusal - shed_by_policy.
+ * @throws Refusal - With the code shed_by_policy.
  */
 export function classifyRequest(
   now: number,
   request: IdentifiedRequest,
   active: ActiveConfiguration,
-  facts: ClassifyFacts,
+  context: ClassificationContext,
 ): ClassifiedRequest {
   const promptTokens = request.call.kind === "model" ? estimateTokens(request.call.prompt) : 0;
-  const policyFacts = createFacts(request, promptTokens, facts);
+  const policyFacts = createPolicyFacts(request, promptTokens, context);
   const requestClass = active.policy.getClass(policyFacts);
   if (active.policy.isShed(requestClass.name, policyFacts)) {
-    const reason = `the policy sheds class "${requestClass.name}" now`;
+    const reason = `the policy currently sheds requests of class "${requestClass.name}"`;
     throw new Refusal({
       code: "shed_by_policy",
       outcome: "not-run",
       reason,
-      retryAfterMs: facts.load.queue_ms,
+      retryAfterMs: context.load.queue_ms,
     });
   }
   const deadlineMs = Math.min(request.deadlineMs ?? requestClass.deadline, active.declared.limits.total);
@@ -51,12 +51,16 @@
     requestClass,
     deadlineAt: now + deadlineMs,
     promptTokens,
-    cost: getCost(request, promptTokens, facts.getMeanTokens(requestClass.name)),
-    prefixDigests: getDigests(request),
+    cost: estimateCost(request, promptTokens, context.getMeanTokens(requestClass.name)),
+    prefixDigests: getPromptDigests(request),
   };
 }
 
-function createFacts(request: IdentifiedRequest, promptTokens: number, facts: ClassifyFacts): Facts {
+function createPolicyFacts(
+  request: IdentifiedRequest,
+  promptTokens: number,
+  context: ClassificationContext,
+): Facts {
   const { call, organisation } = request;
   return {
     request: {
@@ -68,20 +72,27 @@
       deadline_ms: request.deadlineMs ?? 0,
       not_repeatable: !request.isRepeatable,
     },
-    organisation: { name: organisation.name, share: organisation.share, queued: facts.organisationQueued },
-    load: facts.load,
-    hour: (facts.wallMs / MS_PER_HOUR) % HOURS_PER_DAY,
+    organisation: { name: organisation.name, share: organisation.share, queued: context.organisationQueued },
+    load: context.load,
+    hour: (context.wallMs / MS_PER_HOUR) % HOURS_PER_DAY,
   };
 }
 
-function getCost(request: IdentifiedRequest, promptTokens: number, meanTokens: number | undefined): number {
+function estimateCost(
+  request: IdentifiedRequest,
+  promptTokens: number,
+  meanTokens: number | undefined,
+): number {
   if (request.call.kind === "service") return SERVICE_CALL_COST;
   const answerTokens = Math.min(request.call.maxTokens, meanTokens ?? request.call.maxTokens);
   return answerTokens + promptTokens * PROMPT_TOKEN_COST;
 }
 
-/** The scope keeps organisations apart: none can learn of another's prompts from a cache. */
-function getDigests(request: IdentifiedRequest) {
+/**
+ * Gets the prefix digests of the prompt. Their scope includes the organisation, so that an organisation can't
+ * infer the prompts of another one from the cache.
+ */
+function getPromptDigests(request: IdentifiedRequest) {
   if (request.call.kind !== "model") return [];
   const { model, adapter, prompt } = request.call;
   return getPrefixDigests(`${request.organisation.name}\0${model}\0${adapter}`, prompt);
