--- a/src/burn/BurnStore.ts
+++ b/src/burn/BurnStore.ts
@@ -31,7 +31,7 @@
   }
 
   /** Removes windows older than the retention. */
-  removeOld(nowMinute: number): void {
+  removeExpired(nowMinute: number): void {
     for (const [entryId, windows] of this._windows) {
       for (const [key, window] of windows) {
         if (window.minute < nowMinute - RETENTION_MINUTES) windows.delete(key);
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -143,7 +143,7 @@
     const probe = () => {
       const timing = view.configuration?.declared.timing;
       router.probe(timing?.presenceWindow ?? CONNECT_TIMEOUT_MS);
-      router.followCaches(timing?.presenceWindow ?? CONNECT_TIMEOUT_MS);
+      router.fetchCacheEvents(timing?.presenceWindow ?? CONNECT_TIMEOUT_MS);
       probeTimer = setTimeout(probe, timing?.probe ?? DEFAULT_PROBE_INTERVAL_MS);
     };
     probe();
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -22,7 +22,7 @@
   PrefixTable,
   type Work,
 } from "../routing";
-import { CacheTracker } from "./CacheFollower";
+import { CacheTracker } from "./CacheTracker";
 import type { ClusterView } from "./ClusterView";
 import { CHARACTERS_PER_TOKEN } from "./tokens";
 
@@ -91,7 +91,7 @@
   }
 
   /** Fetches the cache events of all replicas. */
-  followCaches(timeoutMs: number): void {
+  fetchCacheEvents(timeoutMs: number): void {
     for (const replica of this._view.getReplicas()) {
       const engine = this.getHeadEngine(replica);
       if (engine !== undefined) void this._caches.fetchEvents(replica.id, engine, timeoutMs);
@@ -134,12 +134,12 @@
   /**
    * Checks whether a model has a routable replica that is not excluded, whether or not it has free capacity.
    */
-  hasReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
+  hasRoutableReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
     return this._getRoutableReplicas(now, model).some((replica) => !excluded.has(replica.id));
   }
 
   /** Chooses a replica and records the work for it. Returns `undefined` if no replica has free capacity. */
-  startRoute(now: number, request: RouteRequest): Route | undefined {
+  placeRequest(now: number, request: RouteRequest): Route | undefined {
     const routable = this._getRoutableReplicas(now, request.model).filter(
       (replica) => !request.excluded.has(replica.id),
     );
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -18,7 +18,7 @@
   /** Checks whether a target has any endpoint. */
   hasEndpoint(now: number, target: string): boolean;
   /** Refusal code for a target without an endpoint. */
-  readonly absenceCode: RefusalCode;
+  readonly unavailableCode: RefusalCode;
 }
 
 interface QueuedRequest {
@@ -184,7 +184,7 @@
 
   private _createUnavailableRefusal<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
     return new Refusal({
-      code: placer.absenceCode,
+      code: placer.unavailableCode,
       outcome: "not-run",
       reason: `no endpoint currently serves "${request.target}"`,
       retryAfterMs: this.addJitter(UNAVAILABLE_RETRY_MS),
--- a/test/burn/burn.test.ts
+++ b/test/burn/burn.test.ts
@@ -96,7 +96,7 @@
     recordRequests(recorder, 0, 1, 0);
     const store = new BurnStore();
     store.setWindows(EntryId("a"), recorder.takeChanged(NOW, true));
-    store.removeOld(NOW / MS_PER_MINUTE + RETENTION_MINUTES + 1);
+    store.removeExpired(NOW / MS_PER_MINUTE + RETENTION_MINUTES + 1);
     expect(store.getMerged()).toEqual([]);
   });
 });
