--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -1,22 +1,22 @@
 /**
- * Every failure of the system as a typed error, and the guards that throw them.
+ * Typed errors for all failures of the system, and functions that throw them.
  *
- * Fields say what a reader needs to act: the bad value, where it stands, when to
- * come back. No module throws a bare string or a plain `Error`.
+ * Fields contain the information that is necessary to handle the error: the invalid value, its position, the
+ * time of the next attempt. No module throws a string or a plain `Error`.
  */
 import { Data } from "effect";
 
-/** One fault of a settings or configuration file. */
+/** A fault in a settings or configuration file. */
 export interface FileFault {
-  /** Line from 1; 0 when the fault belongs to no line. */
+  /** Line number, starting at 1; 0 if the fault has no line. */
   readonly line: number;
   /** Dotted path of the key. */
   readonly path: string;
-  /** What is wrong and, for an unknown key, the nearest known one. */
+  /** Description of the fault; for an unknown key it includes the most similar known key. */
   readonly message: string;
 }
 
-/** A settings or configuration file that can't be used. */
+/** Thrown if a settings or configuration file cannot be read or is invalid. */
 export class InvalidFile extends Data.TaggedError("InvalidFile")<{
   readonly file: string;
   readonly faults: readonly FileFault[];
@@ -28,7 +28,7 @@
   }
 }
 
-/** A file of the data folder that was changed or lost after it was synced. */
+/** Thrown if a file of the data folder was changed or lost after it was synced. */
 export class DamagedData extends Data.TaggedError("DamagedData")<{
   readonly file: string;
   /** Byte offset of the damage. */
@@ -40,7 +40,7 @@
   }
 }
 
-/** A data folder that belongs to another member, or to none. */
+/** Thrown if a data folder belongs to another member or has no identity. */
 export class ForeignData extends Data.TaggedError("ForeignData")<{
   readonly folder: string;
   readonly reason: string;
@@ -50,7 +50,7 @@
   }
 }
 
-/** A file of the data folder that could not be read or written. */
+/** Thrown if a file of the data folder could not be read or written. */
 export class FailedStorage extends Data.TaggedError("FailedStorage")<{
   readonly file: string;
   readonly cause: unknown;
@@ -60,9 +60,9 @@
   }
 }
 
-/** More of an answer than may be held. */
+/** Thrown if an answer exceeds the size that may be buffered. */
 export class OversizedAnswer extends Data.TaggedError("OversizedAnswer")<{
-  /** host:port of who sent it. */
+  /** host:port of the sender. */
   readonly address: string;
   readonly reason: string;
 }> {
@@ -71,54 +71,60 @@
   }
 }
 
-/** A call that only the leader answers, made elsewhere. */
+/** Thrown by a call that only the leader answers, on any other process. */
 export class AbsentLeader extends Data.TaggedError("AbsentLeader")<{
-  /** Address of the leader, empty when unknown. */
+  /** Address of the leader; empty if unknown. */
   readonly leaderAddress: string;
 }> {
   override get message(): string {
-    return `not the leader; the leader is ${this.leaderAddress || "unknown"}`;
+    return `this process is not the leader; the leader is ${this.leaderAddress || "unknown"}`;
   }
 }
 
-/** A proposal whose fate the proposer lost sight of: it may yet be committed. */
+/**
+ * Thrown if a proposer lost leadership before its proposal was committed. The proposal may still be
+ * committed.
+ */
 export class UnknownProposal extends Data.TaggedError("UnknownProposal")<{
   readonly index: number;
 }> {
   override get message(): string {
-    return `leadership was lost before entry ${this.index} was committed; it may still be`;
+    return `leadership was lost before entry ${this.index} was committed; the entry may still be committed`;
   }
 }
 
-/** More proposals at once than the leader holds. */
+/** Thrown if the number of pending proposals has reached the leader's limit. */
 export class FullProposalQueue extends Data.TaggedError("FullProposalQueue")<{
   readonly limit: number;
 }> {
   override get message(): string {
-    return `${this.limit} proposals are waiting already`;
+    return `proposal queue is full: ${this.limit} proposals are pending`;
   }
 }
 
-/** A broken invariant of our own: continuing would be worse than stopping. */
+/**
+ * Thrown if an internal invariant is violated. The process must stop, because continuing could do more
+ * damage.
+ */
 export class BrokenInvariant extends Data.TaggedError("BrokenInvariant")<{
   readonly invariant: string;
   readonly value: unknown;
 }> {
   override get message(): string {
-    return `broken invariant: ${this.invariant}; found ${JSON.stringify(this.value)}`;
+    return `invariant violated: ${this.invariant}; found ${JSON.stringify(this.value)}`;
   }
 }
 
-/** The time since the start of the machine can't be read here. */
+/** Thrown if the time since the boot of the machine cannot be read on this system. */
 export class MissingBootTime extends Data.TaggedError("MissingBootTime")<{
   readonly reason: string;
 }> {
   override get message(): string {
-    return `the time since the start of the machine can't be read: ${this.reason}`;
+    return `cannot read the time since boot: ${this.reason}`;
   }
 }
 
-/** No control process could be reached, or none is leading. */
+/** Thrown if no control process could be reached, or none of them is the leader. */
 export class UnreachableControl extends Data.TaggedError("UnreachableControl")<{
   readonly tried: readonly string[];
   readonly reason: string;
@@ -128,24 +134,24 @@
   }
 }
 
-/** A call without the right shared secret. */
+/** Thrown by a call that lacks the correct shared secret. */
 export class MissingSecret extends Data.TaggedError("MissingSecret")<{ readonly interface: string }> {
   override get message(): string {
     return `a valid secret is required for ${this.interface}`;
   }
 }
 
-/** An account of a request and crashes under it that no entry of this version would give. */
+/** Thrown if a crash record has a form that no entry of this version sends. */
 export class InvalidCrashRecord extends Data.TaggedError("InvalidCrashRecord")<{
   readonly field: string;
   readonly reason: string;
 }> {
   override get message(): string {
-    return `the account of crashes can't be used: ${this.field}: ${this.reason}`;
+    return `invalid crash record: ${this.field}: ${this.reason}`;
   }
 }
 
-/** An engine or service that refused an order or request before running it. */
+/** Thrown if an engine or service refused an order or request before running it. */
 export class RefusedOrder extends Data.TaggedError("RefusedOrder")<{
   readonly instance: string;
   readonly status: number;
@@ -156,7 +162,7 @@
   }
 }
 
-/** An endpoint or platform that could not be reached before any byte was sent. */
+/** Thrown if an endpoint or the platform could not be reached before any byte was sent. */
 export class UnreachableEndpoint extends Data.TaggedError("UnreachableEndpoint")<{
   readonly address: string;
   readonly reason: string;
@@ -166,7 +172,7 @@
   }
 }
 
-/** An endpoint whose answer was lost after bytes of the request were sent. */
+/** Thrown if an endpoint's answer was lost after bytes of the request had been sent. */
 export class LostAnswer extends Data.TaggedError("LostAnswer")<{
   readonly address: string;
   readonly reason: string;
@@ -176,18 +182,18 @@
   }
 }
 
-/** An answer that belongs to another request, epoch or offset. */
+/** Thrown if an answer belongs to another request, epoch or offset. */
 export class ForeignAnswer extends Data.TaggedError("ForeignAnswer")<{
   readonly address: string;
   readonly expected: string;
   readonly found: string;
 }> {
   override get message(): string {
-    return `${this.address} answered ${this.found} where ${this.expected} was expected`;
+    return `${this.address} answered ${this.found}; expected ${this.expected}`;
   }
 }
 
-/** An answer whose form is not the published one. */
+/** Thrown if an answer does not have the published form. */
 export class MalformedAnswer extends Data.TaggedError("MalformedAnswer")<{
   readonly address: string;
   readonly reason: string;
@@ -197,14 +203,17 @@
   }
 }
 
-/** Throws a typed error when an invariant of our own does not hold. */
+/**
+ * Asserts that an internal invariant holds.
+ * @throws BrokenInvariant
+ */
 export function throwIfBroken(holds: boolean, invariant: string, value: unknown): asserts holds {
   if (!holds) throw new BrokenInvariant({ invariant, value });
 }
 
-/** A declaration that is refused whole. */
+/** Thrown if a declaration is invalid. The whole declaration is refused. */
 export class InvalidDeclaration extends Data.TaggedError("InvalidDeclaration")<{
-  /** Dotted path of the part that is wrong. */
+  /** Dotted path of the invalid part. */
   readonly path: string;
   readonly reason: string;
 }> {
@@ -213,13 +222,13 @@
   }
 }
 
-/** A report of an instance that can't be read. */
+/** Thrown if an instance's report cannot be read. */
 export class InvalidReport extends Data.TaggedError("InvalidReport")<{
-  /** The part that is wrong; "body" where it can't be read at all. */
+  /** Name of the invalid field; "body" if the whole report is unreadable. */
   readonly field: string;
   readonly reason: string;
 }> {
   override get message(): string {
-    return `the report can't be used: ${this.field}: ${this.reason}`;
+    return `invalid report: ${this.field}: ${this.reason}`;
   }
 }
--- a/src/ids/Life.ts
+++ b/src/ids/Life.ts
@@ -1,33 +1,33 @@
 /**
- * One life of an instance.
+ * An incarnation: one start of an instance.
  *
- * An instance may start again under the id that it had: it then knows nothing of before, and its counts
- * begin anew. The time of its start, by its own clock, orders the lives of one id. It says nothing of
- * instances with other ids, and a clock that was set back between two starts turns the order round: who runs
- * is then found out by asking. Pure.
+ * An instance may restart under the same id. It then has no state from before, and its counters start again.
+ * The start time by the instance's own clock orders the incarnations of one id. It is not comparable between
+ * instances with different ids. If the clock is set back between two starts, the order is reversed; the
+ * running incarnation is then determined by a query to the instance. Pure.
  */
 
 import type { Brand } from "effect";
 
-/** An id and the start of one life under it. */
+/** Id of an instance and start time of one of its incarnations. */
 export interface Life {
   readonly instanceId: string;
-  /** Unix milliseconds by the instance's own clock; 0 when it does not tell. */
+  /** Unix milliseconds by the instance's own clock; 0 if the instance does not report it. */
   readonly born: number;
 }
 
-/** Text that names one life. */
+/** Text that identifies an incarnation. */
 export type LifeKey = string & Brand.Brand<"LifeKey">;
 
-/** Parts an instance's id from the start of its life. */
+/** Separates the instance id from the start time. */
 const SEPARATOR = "@";
 
-/** Gets the text that names a life; of an instance that does not tell its start it is its id. */
+/** Gets the key of an incarnation: the instance id alone if the start time is not reported. */
 export function getLifeKey({ instanceId, born }: Life): LifeKey {
   return (born === 0 ? instanceId : `${instanceId}${SEPARATOR}${born}`) as LifeKey;
 }
 
-/** Gets the life of an instance that a text names. */
+/** Gets the incarnation of an instance that a key identifies. */
 export function parseLifeKey(instanceId: string, key: string): Life {
   if (key === instanceId) return { instanceId, born: 0 };
   return { instanceId, born: Number(key.slice(instanceId.length + SEPARATOR.length)) };
--- a/src/ids/index.ts
+++ b/src/ids/index.ts
@@ -1,34 +1,34 @@
-/** Branded identifiers: plain strings that the type checker keeps apart. */
+/** Branded identifiers: strings that the type checker treats as distinct types. */
 import { Brand } from "effect";
 
-/** A voter or learner of the agreed state: settings name and incarnation. */
+/** A voter or learner of the consensus group: name from the settings and incarnation. */
 export type MemberId = string & Brand.Brand<"MemberId">;
-/** Makes a member id from its text. */
+/** Creates a member id from text. */
 export const MemberId = Brand.nominal<MemberId>();
 
-/** One machine that runs an engine or a service, as the platform names it. */
+/** A machine that runs an engine or a service; the platform assigns its id. */
 export type InstanceId = string & Brand.Brand<"InstanceId">;
-/** Makes an instance id from its text. */
+/** Creates an instance id from text. */
 export const InstanceId = Brand.nominal<InstanceId>();
 
-/** A replica; a new id for every forming. */
+/** A replica; each new formation gets a new id. */
 export type ReplicaId = string & Brand.Brand<"ReplicaId">;
-/** Makes a replica id from its text. */
+/** Creates a replica id from text. */
 export const ReplicaId = Brand.nominal<ReplicaId>();
 
-/** One incarnation of an entry process. */
+/** An incarnation of an entry process. */
 export type EntryId = string & Brand.Brand<"EntryId">;
-/** Makes an entry id from its text. */
+/** Creates an entry id from text. */
 export const EntryId = Brand.nominal<EntryId>();
 
-/** A calling organisation, as the configuration declares it. */
+/** A calling organisation of the configuration. */
 export type OrganisationId = string & Brand.Brand<"OrganisationId">;
-/** Makes an organisation id from its text. */
+/** Creates an organisation id from text. */
 export const OrganisationId = Brand.nominal<OrganisationId>();
 
-/** One caller's request; made by the entry that accepted it. */
+/** A caller's request; the entry that accepts the request creates the id. */
 export type RequestId = string & Brand.Brand<"RequestId">;
-/** Makes a request id from its text. */
+/** Creates a request id from text. */
 export const RequestId = Brand.nominal<RequestId>();
 
 export { getLifeKey, type Life, type LifeKey, parseLifeKey } from "./Life";
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** Starts the program. */
+/** Entry point of the command line. */
 import { main } from "./cli/main";
 
 void main(process.argv);
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,5 +1,4 @@
-/** The version of this build. */
+/** Version of this build, read from package.json. */
 import manifest from "../package.json";
 
-/** Version as in the package's manifest. */
 export const VERSION: string = manifest.version;
