--- a/src/configuration/Configuration.ts
+++ b/src/configuration/Configuration.ts
@@ -1,7 +1,7 @@
 /**
- * The agreed configuration: the declarations that operators keep in version control.
+ * The replicated configuration, which operators keep in version control.
  *
- * All times are milliseconds, shares and weights are ratios, costs are tokens.
+ * Times are in milliseconds, shares and weights are ratios, and costs are in tokens.
  */
 import { Effect, Schema } from "effect";
 
@@ -9,7 +9,7 @@
 const Positive = Schema.Number.check(Schema.isGreaterThan(0));
 const Count = Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: 100_000_000 }));
 const Milliseconds = Schema.Int.check(Schema.isBetween({ minimum: 1, maximum: 86_400_000 }));
-/** Bounded, since a new leader waits for the longest lease of its predecessors. */
+/** Limited, because a new leader waits for the longest lease that its predecessors may have granted. */
 const LeaseMilliseconds = Schema.Int.check(Schema.isBetween({ minimum: 100, maximum: 10_000 }));
 const Ratio = Schema.Number.check(Schema.isBetween({ minimum: 0, maximum: 1 }));
 const Text = Schema.String.check(Schema.isNonEmpty(), Schema.isMaxLength(2_000));
@@ -21,120 +21,123 @@
   return schema.pipe(Schema.withDecodingDefaultKey(Effect.succeed(value)));
 }
 
-/** What the planner weighs against each other. */
+/** Weights of the planner's cost function. */
 const Weights = Schema.Struct({
-  /** Cost of one second in which a replica that is wanted can't serve. */
+  /** Cost of one second during which a requested replica cannot serve. */
   groupDowntime: Positive,
-  /** Cost of one second of one healthy accelerator that is in no serving replica. */
+  /** Cost of one second during which a healthy accelerator belongs to no serving replica. */
   strandedAccelerators: Positive,
 });
 
-/** Intervals that the promises rest on. */
+/** Intervals on which the system's guarantees depend. */
 const Timing = Schema.Struct({
-  /** How long an entry may take new work after it sent a renewal. */
+  /** Time for which an entry may accept new work after it sent a renewal. */
   lease: withDefault(LeaseMilliseconds, 3_000),
-  /** How often an entry renews. */
+  /** Interval of an entry's renewals. */
   renew: withDefault(Milliseconds, 500),
-  /** How often an instance is asked whether it is there. */
+  /** Interval of the probes of an instance's presence. */
   probe: withDefault(Milliseconds, 400),
-  /** An instance that has not answered for so long is absent. */
+  /** Time without an answer after which an instance is absent. */
   presenceWindow: withDefault(Milliseconds, 1_500),
-  /** How long a non-repeatable request's key is remembered. */
+  /** Time for which the key of a non-repeatable request is stored. */
   claimRetention: withDefault(Milliseconds, 86_400_000),
-  /** How long callers may keep an answer of `/v1/addresses`. */
+  /** Time for which callers may cache an answer of `/v1/addresses`. */
   addressTtl: withDefault(Milliseconds, 5_000),
-  /** How long work in flight on a replica that is to be released may go on. */
+  /** Maximum time for which work in flight may continue on a replica that is being released. */
   drain: withDefault(Milliseconds, 60_000),
 });
 
-/** Bounds on what callers may ask for and entries may hold. */
+/** Limits on requests of callers and on queues of entries. */
 const Limits = Schema.Struct({
   bodyBytes: withDefault(Count, 1_000_000),
   queueLength: withDefault(Count, 2_000),
-  /** Requests in flight on one replica, shared between the live entries. */
+  /** Maximum number of requests in flight on a replica, shared between the live entries. */
   replicaConcurrency: withDefault(Count, 64),
-  /** Calls in flight on one service endpoint, shared likewise. */
+  /** Maximum number of calls in flight on a service endpoint, shared between the live entries. */
   serviceConcurrency: withDefault(Count, 64),
   total: withDefault(Milliseconds, 120_000),
   idle: withDefault(Milliseconds, 15_000),
   connect: withDefault(Milliseconds, 1_000),
-  /** Retries as a share of first attempts. */
+  /** Maximum number of retries as a share of first attempts. */
   retryRatio: withDefault(Ratio, 0.1),
   maxTokens: withDefault(Count, 4_096),
 });
 
-/** A model, at the version that all its replicas are to run. */
+/** A model and the version that all its replicas must run. */
 const Model = Schema.Struct({
   name: Name,
   version: Text,
   adapters: withDefault(Schema.Array(Name), []),
-  /** How long an instance takes to load it when the weight store is idle. */
+  /** Time that an instance takes to load the model while the weight store is otherwise idle. */
   load: withDefault(Milliseconds, 60_000),
   acceleratorsPerInstance: withDefault(Count, 1),
 });
 
-/** A number of alike replicas of one model. */
+/** A number of identical replicas of a model. */
 const Group = Schema.Struct({
   name: Name,
   model: Name,
-  /** Replicas wanted. */
+  /** Requested number of replicas. */
   replicas: Count,
-  /** Replicas that planned work never goes below, where the instances allow it. */
+  /** Number of replicas below which planned work never goes if enough instances are available. */
   minimum: withDefault(Count, 0),
   instancesPerReplica: Schema.Int.check(Schema.isBetween({ minimum: 1, maximum: 64 })),
-  /** Worth of one of its replicas against another group's when instances are short. */
+  /** Value of a replica of this group relative to other groups when instances are scarce. */
   value: withDefault(Positive, 1),
 });
 
-/** A plain service that requests are routed to. */
+/** A plain service to which requests are routed. */
 const Service = Schema.Struct({
   name: Name,
-  /** Paths below it whose calls run at most once, whatever the caller says. */
+  /** Paths below the service whose calls run at most once, even if the caller declares a call repeatable. */
   notRepeatablePaths: withDefault(Schema.Array(Text), []),
 });
 
 /** A calling organisation. */
 const Organisation = Schema.Struct({
   name: Name,
-  /** Its share of capacity against other organisations under contention. */
+  /** Share of capacity relative to other organisations under contention. */
   share: withDefault(Positive, 1),
 });
 
-/** Requests that are treated alike; the first class whose `when` holds is taken. */
+/** A class of requests. A request belongs to the first class whose `when` is true. */
 const RequestClass = Schema.Struct({
   name: Name,
-  /** CEL over `request`, `organisation`, `load` and `hour`, giving a bool. */
+  /** CEL expression over `request`, `organisation`, `load` and `hour` with a boolean result. */
   when: Text,
-  /** Served in this order, 0 first. */
+  /** Requests are served in this order, 0 first. */
   priority: Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: 9 })),
-  /** Deadline when the caller names none. */
+  /** Deadline of a request for which the caller specifies none. */
   deadline: Milliseconds,
-  /** CEL giving a bool: shed the request at once although its deadline might be met. */
+  /**
+   * CEL expression with a boolean result: whether to shed a request at once even if its deadline could be
+   * met.
+   */
   shedWhen: Schema.optionalKey(Text),
-  /** First token promised within this time. */
+  /** Objective for the time to the first token. */
   firstToken: withDefault(Milliseconds, 1_200),
-  /** Share of requests for which that promise is to be kept. */
+  /** Share of requests that must meet this objective. */
   objective: withDefault(Ratio, 0.95),
 });
 
-/** Who is served first, and what is shed. */
+/** Order in which requests are served, and conditions for shedding them. */
 const Policy = Schema.Struct({ classes: Schema.Array(RequestClass).check(Schema.isMinLength(1)) });
 
-/** The weight store's limit on loads. */
+/** Load limit of the weight store. */
 const WeightStore = Schema.Struct({ concurrentLoads: withDefault(Count, 8) });
 
-/** Bounds on the planner's choices. */
+/** Limits on the planner's decisions. */
 const Planning = Schema.Struct({
-  /** Healthy instances that are kept free per fabric domain for repairs. */
+  /** Healthy instances kept free in each fabric domain for repairs. */
   reserve: withDefault(Count, 0),
-  /** The longest wait for a missing instance to come back before its replica is rebuilt. */
+  /** Maximum wait for a missing instance to return before its replica is rebuilt. */
   maxWait: withDefault(Milliseconds, 120_000),
-  /** Losses within `flapWindow` after which an instance is not taken into a replica. */
+  /** Number of losses within `flapWindow` after which an instance is not assigned to a replica. */
   flapLosses: withDefault(Count, 3),
   flapWindow: withDefault(Milliseconds, 600_000),
 });
 
-/** The whole configuration. */
+/** Schema of the whole configuration. */
 export const ConfigurationSchema = Schema.Struct({
   weights: Weights,
   timing: withDefault(Timing, {}),
@@ -148,7 +151,7 @@
   policy: Policy,
 });
 
-/** A checked configuration. */
+/** A valid configuration. */
 export type Configuration = typeof ConfigurationSchema.Type;
 /** A model's declaration. */
 export type Model = typeof Model.Type;
@@ -160,7 +163,7 @@
 export type Organisation = typeof Organisation.Type;
 /** A request class's declaration. */
 export type RequestClass = typeof RequestClass.Type;
-/** Bounds on requests and queues. */
+/** Limits on requests and queues. */
 export type Limits = typeof Limits.Type;
-/** Intervals that the promises rest on. */
+/** Intervals on which the system's guarantees depend. */
 export type Timing = typeof Timing.Type;
--- a/src/configuration/diffConfiguration.ts
+++ b/src/configuration/diffConfiguration.ts
@@ -1,9 +1,9 @@
-/** Compares two configuration texts, for people. */
+/** Compares two configuration texts for display to operators. */
 import { createTwoFilesPatch } from "diff";
 
 /**
- * Gets the difference of two texts in unified form.
- * @returns An empty string when they are alike.
+ * Gets the unified diff of two texts.
+ * @returns An empty string if the texts are equal.
  */
 export function diffConfiguration(
   before: string,
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,4 +1,4 @@
-/** The agreed configuration. */
+/** The replicated configuration. */
 export {
   type Configuration,
   ConfigurationSchema,
--- a/src/configuration/parseConfiguration.ts
+++ b/src/configuration/parseConfiguration.ts
@@ -1,4 +1,4 @@
-/** Reads a configuration and finds every fault in it, with file and line. */
+/** Parses a configuration and reports all faults with file and line. */
 import { type FileFault, InvalidFile } from "../errors";
 import { Expression, InvalidExpression } from "../policy";
 import { sortFaults, TomlDocument } from "../toml";
@@ -8,9 +8,9 @@
 type Report = (path: Path, message: string) => void;
 
 /**
- * Parses and checks a configuration.
- * @param file - Name for the faults.
- * @throws InvalidFile - With every fault found.
+ * Parses and validates a configuration.
+ * @param file - File name for error messages.
+ * @throws InvalidFile - Contains all faults.
  */
 export function parseConfiguration(file: string, text: string): Configuration {
   const document = TomlDocument.parse(file, text);
@@ -51,10 +51,10 @@
 
 function checkTiming({ timing }: Configuration, report: Report): void {
   if (timing.renew * 2 > timing.lease) {
-    report(["timing", "renew"], "a lease must be renewed at least twice before it runs out");
+    report(["timing", "renew"], "a lease must be renewed at least twice before it expires");
   }
   if (timing.probe * 2 > timing.presenceWindow) {
-    report(["timing", "probe"], "an instance must be asked at least twice within the presence window");
+    report(["timing", "probe"], "an instance must be probed at least twice within the presence window");
   }
 }
 
@@ -62,15 +62,15 @@
   reportDuplicates("policy.classes", policy.classes, (path, message) =>
     report(["policy", "classes", ...path.slice(1)], message),
   );
-  policy.classes.forEach((declared, i) => {
-    checkExpression(declared.when, ["policy", "classes", i, "when"], report);
-    if (declared.shedWhen !== undefined) {
-      checkExpression(declared.shedWhen, ["policy", "classes", i, "shedWhen"], report);
+  policy.classes.forEach((requestClass, i) => {
+    checkExpression(requestClass.when, ["policy", "classes", i, "when"], report);
+    if (requestClass.shedWhen !== undefined) {
+      checkExpression(requestClass.shedWhen, ["policy", "classes", i, "shedWhen"], report);
     }
   });
   const last = policy.classes.length - 1;
   if (policy.classes[last]!.when.trim() !== "true") {
-    report(["policy", "classes", last, "when"], 'the last class must take every request: when = "true"');
+    report(["policy", "classes", last, "when"], 'the last class must match every request: when = "true"');
   }
 }
 
--- a/src/declaration/Declaration.ts
+++ b/src/declaration/Declaration.ts
@@ -1,84 +1,84 @@
 /**
- * What operators declare under a version of their own: routes, services, organisations.
+ * Declarations of routes, services and organisations. Operators choose their version numbers.
  *
- * All times are milliseconds, weights are ratios, sizes are bytes.
+ * Times are in milliseconds, weights are ratios, and sizes are in bytes.
  */
 
-/** How often a request of a route may run. */
+/** Specifies whether requests of a route may run more than once, and whether they stream. */
 export type RouteKind = "repeatable" | "notRepeatable" | "stream";
 
-/** One share of a route's requests. */
+/** A service's share of the requests of a route. */
 export interface SplitShare {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host below one path. */
+/** A route for requests to one host below one path. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a stream may go on elsewhere after the last event that arrived. */
+  /** Whether a stream may be resumed at another endpoint after the last received event. */
   readonly isResumable: boolean;
-  /** The longest time that a request is held. */
+  /** Maximum time until a request ends, including queueing. */
   readonly timeoutMs: number;
-  /** Time to the whole answer, of a stream to its first event, within which it is in time. */
+  /** Latency objective: the time to the complete answer, or to the first event of a stream. */
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that is in time; `undefined` when none is named. */
+  /** Objective for the longest gap between two events of a stream; `undefined` if none is declared. */
   readonly gapObjectiveMs: number | undefined;
-  /** A caller that has heard nothing of a stream for so long leaves; `undefined` when that isn't known. */
+  /** Time without an event after which callers abandon a stream; `undefined` if unknown. */
   readonly callerPatienceMs?: number | undefined;
-  /** Rank, 0 first. */
+  /** Priority rank; 0 is served first. */
   readonly priority: number;
   readonly split: readonly SplitShare[];
-  /** Endpoints that one request may be sent to. */
+  /** Maximum number of endpoints to which one request is sent. */
   readonly maxAttempts: number;
   readonly allowsAnonymous: boolean;
 }
 
-/** A model whose replicas span instances. */
+/** A model whose replicas consist of several instances. */
 export interface DeclaredModel {
   readonly name: string;
   readonly instancesPerReplica: number;
-  /** Part of the service's work. */
+  /** Fraction of the service's work. */
   readonly share: number;
-  /** Factor on all times of its replicas. */
+  /** Factor that scales all durations of the model's replicas. */
   readonly pace: number;
-  /** How long an instance takes to load it from the weight store. */
+  /** Time that an instance takes to load the model from the weight store. */
   readonly loadMs: number;
-  /** How long an instance takes to load it from its own host. */
+  /** Time that an instance takes to load the model from its own host. */
   readonly warmMs: number;
 }
 
-/** What is published of a service's engines. */
+/** Published properties of a service's engines. */
 export interface EngineProfile {
-  /** Requests that a replica works on at once. */
+  /** Number of requests that a replica runs concurrently. */
   readonly slots: number;
   readonly models: readonly DeclaredModel[];
-  /** Loads that may begin in a second, over all instances. */
+  /** Maximum number of loads that start per second, over all instances. */
   readonly loadsPerSecond: number;
-  /** Loads at a time past which each takes longer. */
+  /** Number of concurrent loads above which each load takes longer. */
   readonly concurrentLoads: number;
 }
 
-/** A service: plain, or one whose instances form replicas of models. */
+/** A service: a plain one, or one whose instances form replicas of models. */
 export interface DeclaredService {
   readonly name: string;
-  /** Connections that one instance takes from all callers together. */
+  /** Maximum number of connections that an instance accepts from all callers together. */
   readonly maxConnections: number;
   readonly engine: EngineProfile | undefined;
 }
 
-/** An organisation with the keys by which its callers are known. */
+/** An organisation and the API keys that identify its callers. */
 export interface DeclaredOrganisation {
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority: number;
 }
 
-/** Bounds on what callers send. */
+/** Limits on requests of callers. */
 export interface DeclaredLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -86,21 +86,20 @@
   readonly idleMs: number;
 }
 
-/** A whole declaration. */
 export interface Declaration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly DeclaredService[];
-  /** `undefined` when callers need no key. */
+  /** `undefined` if callers need no key. */
   readonly organisations: readonly DeclaredOrganisation[] | undefined;
   readonly limits: DeclaredLimits;
 }
 
-/** The written form of declarations. */
+/** A document format of declarations. */
 export interface DeclarationFormat {
   /**
-   * Reads and checks a document.
-   * @throws InvalidDeclaration - When any part of it can't be used.
+   * Parses and validates a document.
+   * @throws InvalidDeclaration - If any part of the document is invalid.
    */
   parse(document: Uint8Array): Declaration;
 }
--- a/src/declaration/RouteTable.ts
+++ b/src/declaration/RouteTable.ts
@@ -1,66 +1,65 @@
-/** Look-ups in one declaration: the route of a request, the organisation of a key. */
+/** Looks up routes by request and organisations by key. */
 import type { Declaration, DeclaredOrganisation, DeclaredService, Route } from "./Declaration";
 
-/** A declaration made ready for look-ups. */
+/** Index of one declaration. */
 export class RouteTable {
-  /** The declaration that it was made from. */
   readonly declaration: Declaration;
-  /** Routes of each host, those with the longest prefix first. */
-  private readonly _routes = new Map<string, Route[]>();
-  private readonly _organisations = new Map<string, DeclaredOrganisation>();
-  private readonly _services: ReadonlyMap<string, DeclaredService>;
+  /** Routes by host, sorted by prefix length, longest first. */
+  private readonly _routesByHost = new Map<string, Route[]>();
+  private readonly _organisationsByKey = new Map<string, DeclaredOrganisation>();
+  private readonly _servicesByName: ReadonlyMap<string, DeclaredService>;
 
-  /**
-   * @param declaration - A checked declaration.
-   */
+  /** @param declaration - A valid declaration. */
   constructor(declaration: Declaration) {
     this.declaration = declaration;
-    this._services = new Map(declaration.services.map((service) => [service.name, service]));
+    this._servicesByName = new Map(declaration.services.map((service) => [service.name, service]));
     for (const route of declaration.routes) this._addRoute(route);
-    // Once for each host: a host may have thousands of routes.
-    for (const routes of this._routes.values()) {
+    // Sorts once for each host, because a host may have thousands of routes.
+    for (const routes of this._routesByHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
     for (const organisation of declaration.organisations ?? []) {
-      for (const key of organisation.keys) this._organisations.set(key, organisation);
+      for (const key of organisation.keys) this._organisationsByKey.set(key, organisation);
     }
   }
 
-  /** Gets whether callers must show a key where a route does not say otherwise. */
+  /** Gets whether callers must present a key on routes that do not allow anonymous callers. */
   get needsKeys(): boolean {
     return this.declaration.organisations !== undefined;
   }
 
   /**
-   * Gets the route with the longest path prefix.
-   * @param host - As in the request, with or without a port.
+   * Gets the matching route with the longest path prefix.
+   * @param host - Host of the request, with or without a port.
    * @param path - Path of the request, with or without a query.
+   * @returns `undefined` if no route matches.
    */
   getRoute(host: string, path: string): Route | undefined {
     const query = path.indexOf("?");
-    const bare = query < 0 ? path : path.slice(0, query);
-    return this._routes.get(normalizeHost(host))?.find((route) => bare.startsWith(route.pathPrefix));
+    const pathname = query < 0 ? path : path.slice(0, query);
+    return this._routesByHost
+      .get(normalizeHost(host))
+      ?.find((route) => pathname.startsWith(route.pathPrefix));
   }
 
-  /** Gets the organisation that holds a key. */
+  /** Gets the organisation to which a key belongs. */
   getOrganisation(key: string): DeclaredOrganisation | undefined {
-    return this._organisations.get(key);
+    return this._organisationsByKey.get(key);
   }
 
-  /** Gets a service by its name. */
   getService(name: string): DeclaredService | undefined {
-    return this._services.get(name);
+    return this._servicesByName.get(name);
   }
 
   private _addRoute(route: Route): void {
     const host = normalizeHost(route.host);
-    const routes = this._routes.get(host) ?? [];
+    const routes = this._routesByHost.get(host) ?? [];
     routes.push(route);
-    this._routes.set(host, routes);
+    this._routesByHost.set(host, routes);
   }
 }
 
-/** Hosts are the same in any case, and the port is no part of the name. */
+/** Converts a host to lower case and removes the port, because neither case nor port distinguishes routes. */
 function normalizeHost(host: string): string {
   return host.toLowerCase().replace(/:\d*$/, "");
 }
--- a/src/declaration/checkDeclaration.ts
+++ b/src/declaration/checkDeclaration.ts
@@ -1,48 +1,49 @@
-/** The checks that hold for a declaration in any written form. */
+/** Validation that applies to declarations of every format. */
 import { InvalidDeclaration } from "../errors";
 import type { Declaration, Route } from "./Declaration";
 
 /**
- * Checks that the parts of a declaration fit together.
+ * Checks that the parts of a declaration are valid and consistent.
  * @throws InvalidDeclaration
  */
 export function checkDeclaration(declaration: Declaration): Declaration {
   const services = new Set(declaration.services.map((service) => service.name));
-  const places = new Set<string>();
+  const urls = new Set<string>();
   for (const route of declaration.routes) {
     checkRoute(route, services);
-    const place = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-    if (places.has(place)) fail(`routes.${route.name}`, "another route has the same host and path prefix");
-    places.add(place);
+    const url = `${route.host.toLowerCase()} ${route.pathPrefix}`;
+    if (urls.has(url)) fail(`routes.${route.name}`, "another route has the same host and path prefix");
+    urls.add(url);
   }
   checkKeys(declaration);
   return declaration;
 }
 
 function checkRoute(route: Route, services: ReadonlySet<string>): void {
-  const at = `routes.${route.name}`;
+  const path = `routes.${route.name}`;
   if (!route.pathPrefix.startsWith("/") || !route.pathPrefix.endsWith("/")) {
-    fail(`${at}.pathPrefix`, "a path prefix begins and ends with a slash");
+    fail(`${path}.pathPrefix`, "a path prefix must start and end with a slash");
   }
-  if (!(route.timeoutMs > 0)) fail(`${at}.timeoutMs`, "a time limit is above 0");
-  if (!(route.maxAttempts >= 1)) fail(`${at}.maxAttempts`, "a request needs at least one attempt");
-  if (route.split.some((share) => !(share.weight >= 0))) fail(`${at}.split`, "a weight is not below 0");
+  if (!(route.timeoutMs > 0)) fail(`${path}.timeoutMs`, "the timeout must be above 0");
+  if (!(route.maxAttempts >= 1)) fail(`${path}.maxAttempts`, "at least one attempt must be allowed");
+  if (route.split.some((share) => !(share.weight >= 0)))
+    fail(`${path}.split`, "a weight must not be negative");
   const total = route.split.reduce((sum, share) => sum + share.weight, 0);
-  if (!(total > 0)) fail(`${at}.split`, "the weights add up to 0");
+  if (!(total > 0)) fail(`${path}.split`, "the sum of the weights must be above 0");
   const unknown = route.split.find((share) => !services.has(share.service));
-  if (unknown !== undefined) fail(`${at}.split`, `there is no service ${unknown.service}`);
+  if (unknown !== undefined) fail(`${path}.split`, `service ${unknown.service} is not declared`);
 }
 
-/** A key names one organisation, so two can't share it. */
+/** Checks that no two organisations share a key, because a key must identify one organisation. */
 function checkKeys(declaration: Declaration): void {
-  const holders = new Map<string, string>();
+  const ownerByKey = new Map<string, string>();
   for (const organisation of declaration.organisations ?? []) {
     for (const key of organisation.keys) {
-      const holder = holders.get(key);
-      if (holder !== undefined && holder !== organisation.name) {
-        fail(`organisations.${organisation.name}`, `it shares a key with ${holder}`);
+      const owner = ownerByKey.get(key);
+      if (owner !== undefined && owner !== organisation.name) {
+        fail(`organisations.${organisation.name}`, `organisation shares a key with ${owner}`);
       }
-      holders.set(key, organisation.name);
+      ownerByKey.set(key, organisation.name);
     }
   }
 }
--- a/src/declaration/index.ts
+++ b/src/declaration/index.ts
@@ -1,4 +1,4 @@
-/** Declarations under operator-chosen versions: routes, services, organisations. */
+/** Declarations of routes, services and organisations. Operators choose their version numbers. */
 export { checkDeclaration } from "./checkDeclaration";
 export type * from "./Declaration";
 export { packDocument, unpackDocument } from "./documents";
--- a/src/ids/Life.ts
+++ b/src/ids/Life.ts
@@ -17,7 +17,7 @@
 }
 
 /** Text that identifies an incarnation. */
-export type LifeKey = string & Brand.Brand<"LifeKey">;
+export type LifeKey = string & Brand.Brand<"IncarnationKey">;
 
 /** Separates the instance id from the start time. */
 const SEPARATOR = "@";
--- a/src/settings/LiveSettings.ts
+++ b/src/settings/LiveSettings.ts
@@ -1,58 +1,57 @@
-/** Settings that are read again while the process runs: on SIGHUP, and when their file changes. */
+/** Settings that are reloaded while the process runs: on SIGHUP and after a change of their file. */
 import { stat } from "node:fs/promises";
 import type { Logger } from "../metrics";
 
+/** Interval of the check for a changed file. */
 const POLL_MS = 1_000;
 
-/** What live settings work with. */
+/** Options of {@link LiveSettings}. */
 export interface LiveSettingsOptions<T> {
   readonly file: string;
-  /** Reads and checks the file; throws when it can't be used. */
+  /** Reads and validates the file; throws if the file is invalid. */
   readonly read: (file: string) => Promise<T>;
   readonly logger: Logger;
 }
 
-/** The settings in force: those that were read last without a fault. */
+/** Provides the current settings: the result of the last successful read of the file. */
 export class LiveSettings<T> {
   private readonly _options: LiveSettingsOptions<T>;
   private readonly _onSignal = () => void this.reload("signal");
   private _current: T;
-  private _stamp = "";
+  private _fileStamp = "";
   private _timer: NodeJS.Timeout | undefined;
 
-  /**
-   * @param current - As read at the start.
-   */
+  /** @param current - Settings read at the start of the process. */
   constructor(options: LiveSettingsOptions<T>, current: T) {
     this._options = options;
     this._current = current;
   }
 
-  /** Gets the settings in force. */
+  /** Gets the current settings. */
   get current(): T {
     return this._current;
   }
 
   /**
-   * Starts following the file.
-   * @param isOutdated - Whether it was to be read again since it was read.
+   * Starts to watch the file and SIGHUP.
+   * @param isReloadRequested - Whether a reload was requested after the file was read.
    */
-  start(isOutdated = false): void {
+  start(isReloadRequested = false): void {
     process.on("SIGHUP", this._onSignal);
-    void this._getStamp().then((stamp) => {
-      this._stamp = stamp;
+    void this._getFileStamp().then((stamp) => {
+      this._fileStamp = stamp;
     });
     this._timer = setInterval(() => void this._poll(), POLL_MS).unref();
-    if (isOutdated) void this.reload("signal");
+    if (isReloadRequested) void this.reload("signal");
   }
 
-  /** Follows the file no more. */
+  /** Stops watching the file and SIGHUP. */
   stop(): void {
     process.off("SIGHUP", this._onSignal);
     clearInterval(this._timer);
   }
 
-  /** Reads the file again; a faulty one changes nothing. */
+  /** Reads the file again. If the file is invalid, the current settings stay in effect. */
   async reload(cause: "signal" | "change"): Promise<void> {
     const { file, read, logger } = this._options;
     try {
@@ -64,15 +63,15 @@
   }
 
   private async _poll(): Promise<void> {
-    const stamp = await this._getStamp();
-    if (stamp === "" || stamp === this._stamp) return;
-    const isFirst = this._stamp === "";
-    this._stamp = stamp;
+    const stamp = await this._getFileStamp();
+    if (stamp === "" || stamp === this._fileStamp) return;
+    const isFirst = this._fileStamp === "";
+    this._fileStamp = stamp;
     if (!isFirst) await this.reload("change");
   }
 
-  private async _getStamp(): Promise<string> {
-    const found = await stat(this._options.file).catch(() => undefined);
-    return found === undefined ? "" : `${found.mtimeMs}/${found.size}/${found.ino}`;
+  private async _getFileStamp(): Promise<string> {
+    const stats = await stat(this._options.file).catch(() => undefined);
+    return stats === undefined ? "" : `${stats.mtimeMs}/${stats.size}/${stats.ino}`;
   }
 }
--- a/src/settings/Settings.ts
+++ b/src/settings/Settings.ts
@@ -1,8 +1,8 @@
 /**
- * Settings of one process: addresses, failure domain, data folder, secrets.
+ * Settings of a process: addresses, failure domain, data folder, secrets.
  *
- * They differ from process to process and need a restart; what all share and what
- * changes while running is the agreed configuration.
+ * They differ between processes, and a change requires a restart. Values that all processes share, or that
+ * change at run time, belong to the replicated configuration.
  */
 import { readFile } from "node:fs/promises";
 import { Effect, Schema } from "effect";
@@ -20,11 +20,11 @@
 });
 
 const Secrets = Schema.Struct({
-  /** File with the secret between the system's own processes. */
+  /** File with the secret shared by the processes of this system. */
   clusterFile: Schema.String,
-  /** File with the secret of the operators' interface; an entry has no use for it. */
+  /** File with the secret of the operators' interface; entries do not use it. */
   operatorFile: Schema.optionalKey(Schema.String),
-  /** File with the secret shown to engines with orders. */
+  /** File with the secret that authenticates orders to engines. */
   orderFile: Schema.String,
 });
 
@@ -39,22 +39,22 @@
 const Peer = Schema.Struct({ name: Name, address: Address, failureDomain: Name });
 
 const Control = Schema.Struct({
-  /** Where the system's own processes reach this one. */
+  /** Address at which the other processes of this system reach this one. */
   listen: Address,
-  /** Where operators reach it. */
+  /** Address at which operators reach this process. */
   operatorListen: Address,
-  /** Where liveness and readiness are asked for. */
+  /** Address of the liveness and readiness checks. */
   healthListen: Schema.optionalKey(Address),
   dataFolder: Schema.String,
-  /** All control processes, this one too. */
+  /** All control processes, including this one. */
   peers: Schema.Array(Peer).check(Schema.isMinLength(1)),
 });
 
 const Entry = Schema.Struct({
-  /** Where callers connect; given out by `/v1/addresses`. */
+  /** Address at which callers connect; returned by `/v1/addresses`. */
   listen: Address,
   healthListen: Schema.optionalKey(Address),
-  /** Control processes, in any order. */
+  /** Addresses of the control processes, in any order. */
   controls: Schema.Array(Address).check(Schema.isMinLength(1)),
 });
 
@@ -65,97 +65,100 @@
   return schema.pipe(Schema.withDecodingDefaultKey(Effect.succeed(value)));
 }
 
-const shared = {
+const sharedFields = {
   process: Process,
   log: withDefault(Log, { level: "info" }),
   metrics: Schema.optionalKey(StatsdServer),
 };
 
 const Milliseconds = Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: 3_600_000 }));
-const Share = Schema.Number.check(Schema.isGreaterThanOrEqualTo(0));
+const NonNegative = Schema.Number.check(Schema.isGreaterThanOrEqualTo(0));
 
-/** Bounds that keep replicas safe; where a platform gives them, its figures. */
+/** Limits that keep replicas safe. Where the platform specifies a limit, the setting must have its value. */
 const Replicas = Schema.Struct({
-  /** How often an instance reports. */
+  /** Interval of an instance's reports. */
   reportMs: Milliseconds,
-  /** Reports that an instance may miss before it is absent. */
-  reportsMissed: withDefault(Share, 2.5),
-  /** How long a closed replica may work on what it has. */
+  /** Number of missed reports after which an instance is absent. */
+  reportsMissed: withDefault(NonNegative, 2.5),
+  /** Maximum time for which a closed replica may continue its work in flight. */
   drainMs: withDefault(Milliseconds, 9_000),
-  /** How long a replica stands still, for want of an instance, before it breaks. */
+  /** Time for which a replica stalls without one of its instances before it breaks. */
   stallMs: Milliseconds,
-  /** Window of the weight store's limit on loads, and how far it may be overrun in it. */
-  loadWindowS: Share,
-  loadOverrun: withDefault(Share, 1),
+  /** Window of the weight store's load limit, and a factor on the number of loads allowed in the window. */
+  loadWindowS: NonNegative,
+  loadOverrun: withDefault(NonNegative, 1),
   /**
-   * Instances kept free in each fabric domain for repairs; what is left of a broken replica
-   * serves as well.
+   * Instances kept free in each fabric domain for repairs. The remaining instances of a broken replica are
+   * used for repairs as well.
    */
   reserve: withDefault(Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: 64 })), 0),
 });
 
 const FleetControl = Schema.Struct({
-  /** Where the system's own processes reach this one; all use the same port. */
+  /** Address at which the other processes of this system reach this one. All of them use the same port. */
   listen: Address,
-  /** Where instances and operators reach this process; it is also the member's name. */
+  /** Address at which instances and operators reach this process; also the name of the member. */
   publicAddress: Address,
-  /** Where callers ask for addresses of entries. */
+  /** Address at which callers request the addresses of entries. */
   directoryListen: Schema.optionalKey(Address),
   dataFolder: Schema.String,
-  /** Public addresses of a few control processes. */
+  /** Public addresses of some of the control processes. */
   seeds: Schema.Array(Address).check(Schema.isMinLength(1)),
-  /** Members that may be lost at once; twice as many and one more vote, others stand by. */
+  /**
+   * Number of members that may be lost at the same time. Twice this number plus one members vote; the others
+   * are standbys.
+   */
   lossesBorne: withDefault(Schema.Int.check(Schema.isBetween({ minimum: 0, maximum: 4 })), 1),
-  /** Whether this is the first start of the whole system, so that the seeds are its founders. */
+  /** Whether this is the first start of the whole system; the seeds are then the bootstrap members. */
   isFirstStart: withDefault(Schema.Boolean, false),
-  /** How long callers may keep an answer with addresses. */
-  addressTtlS: withDefault(Share, 2),
+  /** Time for which callers may cache an answer with addresses. */
+  addressTtlS: withDefault(NonNegative, 2),
   replicas: Replicas,
 });
 
 const Gateway = Schema.Struct({
-  /** Where callers connect. */
+  /** Address at which callers connect. */
   listen: Address,
-  /** Where readiness is asked for. */
+  /** Address of the readiness check. */
   readyListen: Schema.optionalKey(Address),
-  /** host:port of control processes, as the system's own processes reach them. */
+  /** Addresses (host:port) at which the processes of this system reach control processes. */
   seeds: Schema.Array(Address).check(Schema.isMinLength(1)),
-  /** Port at which control processes are reached, where seeds name another one. */
+  /** Port of the control processes if it differs from the port in the seeds. */
   controlPort: Schema.optionalKey(Port),
-  /** How long a planned stop may take. */
-  stopS: withDefault(Share, 8),
-  /** Repeats of all entries together: a share of the requests and, in the window, some more. */
-  retryRatio: withDefault(Share, 0.1),
-  retryExtra: withDefault(Share, 10),
-  retryWindowS: withDefault(Share, 10),
+  /** Maximum duration of a planned stop. */
+  stopS: withDefault(NonNegative, 8),
+  /** Retries of all entries together: a share of the requests, plus a fixed number in each window. */
+  retryRatio: withDefault(NonNegative, 0.1),
+  retryExtra: withDefault(NonNegative, 10),
+  retryWindowS: withDefault(NonNegative, 10),
 });
 
-/** Settings of a control process. */
+/** Schema of the settings of a control process. */
 export const ControlSettingsSchema = Schema.Struct({
-  ...shared,
+  ...sharedFields,
   secrets: ControlSecrets,
   platform: Platform,
   control: Control,
 });
-/** Settings of an entry process. */
-export const EntrySettingsSchema = Schema.Struct({ ...shared, secrets: Secrets, entry: Entry });
+/** Schema of the settings of an entry process. */
+export const EntrySettingsSchema = Schema.Struct({ ...sharedFields, secrets: Secrets, entry: Entry });
 
-const fleetShared = {
+const sharedFleetFields = {
   process: Process,
   log: withDefault(Log, { level: "info" }),
-  /** Where metrics are fetched as text. */
+  /** Address at which metrics are available as text. */
   metricsListen: Schema.optionalKey(Address),
 };
 
-/** Settings of a control process whose instances register themselves. */
+/** Schema of the settings of a control process whose instances register themselves. */
 export const FleetControlSettingsSchema = Schema.Struct({
-  ...fleetShared,
+  ...sharedFleetFields,
   secrets: Schema.optionalKey(Schema.Struct({ clusterFile: Schema.String })),
   control: FleetControl,
 });
-/** Settings of an entry that routes by declarations. */
+/** Schema of the settings of an entry that routes by declarations. */
 export const GatewaySettingsSchema = Schema.Struct({
-  ...fleetShared,
+  ...sharedFleetFields,
   secrets: Schema.optionalKey(Schema.Struct({ clusterFile: Schema.String })),
   gateway: Gateway,
 });
@@ -170,7 +173,7 @@
 export type GatewaySettings = typeof GatewaySettingsSchema.Type;
 
 /**
- * Reads and checks a control process's settings.
+ * Reads and validates the settings of a control process.
  * @throws InvalidFile
  */
 export async function readControlSettings(file: string): Promise<ControlSettings> {
@@ -178,7 +181,7 @@
 }
 
 /**
- * Reads and checks an entry process's settings.
+ * Reads and validates the settings of an entry process.
  * @throws InvalidFile
  */
 export async function readEntrySettings(file: string): Promise<EntrySettings> {
@@ -186,7 +189,7 @@
 }
 
 /**
- * Reads and checks the settings of a control process whose instances register themselves.
+ * Reads and validates the settings of a control process whose instances register themselves.
  * @throws InvalidFile
  */
 export async function readFleetControlSettings(file: string): Promise<FleetControlSettings> {
@@ -194,7 +197,7 @@
 }
 
 /**
- * Reads and checks the settings of an entry that routes by declarations.
+ * Reads and validates the settings of an entry that routes by declarations.
  * @throws InvalidFile
  */
 export async function readGatewaySettings(file: string): Promise<GatewaySettings> {
@@ -202,13 +205,13 @@
 }
 
 /**
- * Reads a secret.
- * @throws InvalidFile - When the file is missing, or the secret too short to be one.
+ * Reads a secret, without surrounding white space.
+ * @throws InvalidFile - If the file cannot be read or the secret is too short.
  */
 export async function readSecret(file: string): Promise<string> {
   const secret = (await readText(file)).trim();
   if (secret.length >= MIN_SECRET_LENGTH) return secret;
-  const message = `a secret has at least ${MIN_SECRET_LENGTH} characters`;
+  const message = `a secret must have at least ${MIN_SECRET_LENGTH} characters`;
   throw new InvalidFile({ file, faults: [{ line: 1, path: "", message }] });
 }
 
@@ -220,7 +223,7 @@
 
 /**
  * Reads a text file.
- * @throws InvalidFile - When it can't be read.
+ * @throws InvalidFile - If the file cannot be read.
  */
 export async function readText(file: string): Promise<string> {
   try {
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings of the processes. */
+/** Settings of the processes of this system. */
 export { LiveSettings, type LiveSettingsOptions } from "./LiveSettings";
 export {
   type ControlSettings,
--- a/src/toml/KeyLocator.ts
+++ b/src/toml/KeyLocator.ts
@@ -1,17 +1,15 @@
-/** Finds the lines of keys in a TOML text, which the parser does not report. */
+/** Locates the lines of keys in a TOML text; the parser does not report them. */
 
 const TABLE = /^\s*\[([^[\]]+)\]\s*(#.*)?$/;
 const TABLE_ARRAY = /^\s*\[\[([^[\]]+)\]\]\s*(#.*)?$/;
 const KEY = /^\s*([A-Za-z0-9_-]+|"[^"]*")\s*=/;
 
-/** Lines of the tables and keys of one text. */
+/** Index of the lines of all tables and keys of a text. */
 export class KeyLocator {
   private readonly _lines = new Map<string, number>();
-  private readonly _counts = new Map<string, number>();
+  private readonly _elementCounts = new Map<string, number>();
 
-  /**
-   * @param text - A TOML text that parses.
-   */
+  /** @param text - A valid TOML text. */
   constructor(text: string) {
     let table = "";
     let isInString = false;
@@ -24,12 +22,12 @@
   }
 
   /**
-   * Gets the line of a path, or of the nearest part around it.
-   * @returns 0 when no part of the path stands in the text.
+   * Gets the line of a path, or of its nearest enclosing part.
+   * @returns Line number, starting at 1; 0 if no part of the path is in the text.
    */
   getLine(path: readonly (string | number)[]): number {
     for (let length = path.length; length > 0; length--) {
-      const line = this._lines.get(toText(path.slice(0, length)));
+      const line = this._lines.get(toPathKey(path.slice(0, length)));
       if (line !== undefined) return line;
     }
     return 0;
@@ -37,17 +35,17 @@
 
   private _readLine(line: string, number: number, table: string): string {
     const arrayName = TABLE_ARRAY.exec(line)?.[1];
-    if (arrayName !== undefined) return this._addElement(this._resolve(arrayName), number);
+    if (arrayName !== undefined) return this._addElement(this._resolveTableName(arrayName), number);
     const tableName = TABLE.exec(line)?.[1];
-    if (tableName !== undefined) return this._addLine(this._resolve(tableName), number);
+    if (tableName !== undefined) return this._addLine(this._resolveTableName(tableName), number);
     const key = KEY.exec(line)?.[1];
     if (key !== undefined) this._addLine(table === "" ? unquote(key) : `${table}.${unquote(key)}`, number);
     return table;
   }
 
   private _addElement(name: string, number: number): string {
-    const count = this._counts.get(name) ?? 0;
-    this._counts.set(name, count + 1);
+    const count = this._elementCounts.get(name) ?? 0;
+    this._elementCounts.set(name, count + 1);
     if (count === 0) this._lines.set(name, number);
     return this._addLine(`${name}.${count}`, number);
   }
@@ -57,20 +55,23 @@
     return path;
   }
 
-  /** Puts the newest element's number behind each array on the way: `a.b` means `a[last].b`. */
-  private _resolve(name: string): string {
+  /**
+   * Resolves a table name: inserts the index of the last element after each array name, so that `a.b` becomes
+   * `a[last].b`.
+   */
+  private _resolveTableName(name: string): string {
     const parts = name.split(".").map((part) => unquote(part.trim()));
     let path = "";
     for (const [i, part] of parts.entries()) {
       path = path === "" ? part : `${path}.${part}`;
-      const count = this._counts.get(path);
+      const count = this._elementCounts.get(path);
       if (count !== undefined && i < parts.length - 1) path = `${path}.${count - 1}`;
     }
     return path;
   }
 }
 
-function toText(path: readonly (string | number)[]): string {
+function toPathKey(path: readonly (string | number)[]): string {
   return path.join(".");
 }
 
--- a/src/toml/TomlDocument.ts
+++ b/src/toml/TomlDocument.ts
@@ -1,7 +1,7 @@
 /**
- * A TOML file decoded against a schema, with faults that name line and key.
+ * A TOML file that is decoded with a schema. Faults contain line and key.
  *
- * Keys are snake_case in files and camelCase in the code.
+ * Keys are in snake_case in files and in camelCase in code.
  */
 import { Result, Schema, SchemaIssue } from "effect";
 import { closest, distance } from "fastest-levenshtein";
@@ -12,12 +12,12 @@
 type Path = readonly (string | number)[];
 
 const formatIssue = SchemaIssue.makeFormatterStandardSchemaV1();
-/** Keys further apart than this are not offered as the one that was meant. */
+/** Maximum edit distance at which a known key is suggested for an unknown one. */
 const MAX_KEY_DISTANCE = 4;
 
-/** A parsed file whose values can be traced back to lines. */
+/** A parsed file that maps values to lines. */
 export class TomlDocument {
-  /** Name of the file, for faults. */
+  /** File name for faults. */
   readonly file: string;
   private readonly _value: unknown;
   private readonly _locator: KeyLocator;
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Parses a file's text.
-   * @throws InvalidFile - When it is no TOML.
+   * Parses a text.
+   * @throws InvalidFile - If the text is not valid TOML.
    */
   static parse(file: string, text: string): TomlDocument {
     try {
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Decodes the file against a schema; unknown keys are faults.
-   * @throws InvalidFile - With every fault found.
+   * Decodes the file with a schema. Unknown keys are faults.
+   * @throws InvalidFile - Contains all faults.
    */
   decode<S extends Schema.Top & { readonly DecodingServices: never }>(schema: S): S["Type"] {
     const decoded = Schema.decodeUnknownResult(schema)(this._value, {
@@ -53,18 +53,18 @@
     const issues = formatIssue(decoded.failure.issue).issues;
     const faults = issues.map((issue) => {
       const path = (issue.path ?? []).map(toPathPart);
-      return this.createFault(path, this._explain(issue.message, path, schema));
+      return this.createFault(path, this._describeIssue(issue.message, path, schema));
     });
     throw new InvalidFile({ file: this.file, faults: sortFaults(faults) });
   }
 
-  /** Makes a fault about a value. */
+  /** Creates a fault for the value at a path. */
   createFault(path: Path, message: string): FileFault {
-    const snake = path.map((part) => (typeof part === "string" ? toSnakeCase(part) : part));
-    return { line: this._locator.getLine(snake), path: formatPath(snake), message };
+    const snakeCasePath = path.map((part) => (typeof part === "string" ? toSnakeCase(part) : part));
+    return { line: this._locator.getLine(snakeCasePath), path: formatPath(snakeCasePath), message };
   }
 
-  private _explain(message: string, path: Path, schema: Schema.Top): string {
+  private _describeIssue(message: string, path: Path, schema: Schema.Top): string {
     if (!message.startsWith("Expected no excess property")) return message;
     const key = toSnakeCase(String(path.at(-1)));
     const known = getKnownKeys(schema.ast as SchemaTree, path.slice(0, -1)).map(toSnakeCase);
@@ -74,7 +74,7 @@
   }
 }
 
-/** Orders faults by line. */
+/** Sorts faults by line. */
 export function sortFaults(faults: readonly FileFault[]): FileFault[] {
   return [...faults].sort((a, b) => a.line - b.line);
 }
@@ -111,7 +111,7 @@
   return key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`);
 }
 
-/** The parts of a schema's tree that are followed to find the keys known at a path. */
+/** Properties of a schema's syntax tree that lead to the known keys of a path. */
 interface SchemaTree {
   readonly propertySignatures?: readonly { readonly name: PropertyKey; readonly type: SchemaTree }[];
   readonly rest?: readonly SchemaTree[];
--- a/src/toml/index.ts
+++ b/src/toml/index.ts
@@ -1,3 +1,3 @@
-/** Reading of TOML files. */
+/** Parsing of TOML files. */
 export { KeyLocator } from "./KeyLocator";
 export { sortFaults, TomlDocument } from "./TomlDocument";
--- a/test/configuration/parseConfiguration.test.ts
+++ b/test/configuration/parseConfiguration.test.ts
@@ -38,77 +38,77 @@
     expect(getFaults(BASE.replace(from, to))).toEqual(faults);
   }
 
-  it("takes a configuration without faults", () => doTest("", ""));
+  it("accepts a valid configuration", () => doTest("", ""));
 
-  it("fills defaults in", () => {
+  it("applies default values", () => {
     const configuration = parseConfiguration("c.toml", BASE);
     expect(configuration.timing.lease).toBe(3_000);
     expect(configuration.limits.replicaConcurrency).toBe(64);
   });
 
-  it("names line and nearest key of an unknown key", () =>
+  it("reports the line of an unknown key and suggests the most similar key", () =>
     doTest(
       "replicas = 2",
       "replica = 2\nreplicas = 2",
       'c.toml:10: groups[0].replica: unknown key "replica"; did you mean "replicas"?',
     ));
 
-  it("finds a model that is not declared", () =>
+  it("rejects a group whose model is not declared", () =>
     doTest('model = "m"', 'model = "n"', 'c.toml:9: groups[0].model: model "n" is not declared'));
 
-  it("finds a name declared twice", () =>
+  it("rejects a name that is declared twice", () =>
     doTest(
       "[[organisations]]",
       '[[organisations]]\nname = "a"\n[[organisations]]',
       'c.toml:15: organisations[1].name: "a" is declared twice',
     ));
 
-  it("finds a minimum above the size", () =>
+  it("rejects a group whose minimum is above its number of replicas", () =>
     doTest(
       "replicas = 2",
       "replicas = 2\nminimum = 3",
       "c.toml:11: groups[0].minimum: minimum 3 is above replicas 2",
     ));
 
-  it("finds a lease that is renewed too seldom", () =>
+  it("rejects a renewal interval above half of the lease", () =>
     doTest(
       "[[models]]",
       "[timing]\nlease = 1000\nrenew = 600\n[[models]]",
-      "c.toml:6: timing.renew: a lease must be renewed at least twice before it runs out",
+      "c.toml:6: timing.renew: a lease must be renewed at least twice before it expires",
     ));
 
-  it("refuses a policy whose last class does not take every request", () =>
+  it("rejects a policy whose last class does not match every request", () =>
     doTest(
       'when = "true"',
       "when = \"request.kind == 'x'\"",
-      'c.toml:16: policy.classes[0].when: the last class must take every request: when = "true"',
+      'c.toml:16: policy.classes[0].when: the last class must match every request: when = "true"',
     ));
 
-  it("refuses an expression over an unknown field", () => {
+  it("rejects an expression with an unknown field", () => {
     const [fault] = getFaults(BASE.replace('when = "true"', 'when = "request.kin == 1 || true"'));
     expect(fault).toContain('c.toml:16: policy.classes[0].when: "request" has no field "kin"');
   });
 
-  it("refuses an expression that gives no bool", () => {
+  it("rejects an expression whose result is not a boolean", () => {
     const [fault] = getFaults(BASE.replace('when = "true"', 'when = "request.kind"'));
     expect(fault).toContain("it must give a bool");
   });
 
-  it("refuses an expression that costs too much", () => {
+  it("rejects an expression above the cost limit", () => {
     const long = Array.from({ length: 60 }, () => "hour > 1.0").join(" || ");
     expect(getFaults(BASE.replace('when = "true"', `when = "${long}"`))[0]).toContain("120 at most");
   });
 
-  it("tells the line of a syntax fault", () => expect(getFaults("a = 1\nb = [")[0]).toMatch(/^c\.toml:2:/));
+  it("reports the line of a syntax error", () => expect(getFaults("a = 1\nb = [")[0]).toMatch(/^c\.toml:2:/));
 
-  it("reports all faults of a file at once", () => {
+  it("reports all faults of a file together", () => {
     const faults = getFaults(
       BASE.replace("group_downtime = 1", "group_downtime = 0").replace("deadline = 1000", ""),
     );
     expect(faults).toHaveLength(2);
   });
 
-  it.each(["casablanca", "jeonju"])("takes examples/%s.toml", (name) => {
+  it.each(["casablanca", "jeonju"])("accepts examples/%s.toml", (name) => {
     expect(getFaults(readFileSync(`examples/${name}.toml`, "utf8"))).toEqual([]);
   });
 });
--- a/test/declaration/RouteTable.test.ts
+++ b/test/declaration/RouteTable.test.ts
@@ -1,14 +1,14 @@
 import { afterEach, describe, expect, it, vi } from "vitest";
 import { type Declaration, type Route, RouteTable } from "../../src/declaration";
 
-/** Routes of the largest declarations seen. */
+/** Number of routes in the largest declarations. */
 const ROUTES = 1_650;
 
 function createRoute(i: number): Route {
   return {
     name: `r-${i}`,
     host: "api.example",
-    // Prefixes of many lengths, in no order.
+    // Prefixes of many lengths, unsorted.
     pathPrefix: `/${"x".repeat((i * 7_919) % 97)}/${i}/`,
     kind: "repeatable",
     isResumable: false,
@@ -25,7 +25,7 @@
 describe("RouteTable", () => {
   afterEach(() => vi.restoreAllMocks());
 
-  it("sorts the routes of a host once, however many there are, so that a large declaration holds no process up", () => {
+  it("sorts the routes of a host only once, so that a large declaration does not block the process", () => {
     const sort = vi.spyOn(Array.prototype, "sort");
     const routes = Array.from({ length: ROUTES }, (_, i) => createRoute(i));
     const limits = { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 };
--- a/test/declaration/declaration.test.ts
+++ b/test/declaration/declaration.test.ts
@@ -38,22 +38,22 @@
     }
   }
 
-  it("takes a declaration whose parts fit", () => {
+  it("accepts a valid declaration", () => {
     expect(checkDeclaration(createDeclaration()).version).toBe(1);
   });
 
-  it("refuses an unknown service", () => {
+  it("rejects a route to an unknown service", () => {
     expectRefused(
       { routes: [{ ...route, split: [{ service: "other", weight: 1 }] }] },
       "routes.drafts.split",
     );
   });
 
-  it("refuses two routes of one host and prefix, in any case of the host", () => {
+  it("rejects two routes with the same prefix and host, regardless of the case of the host", () => {
     expectRefused({ routes: [route, { ...route, name: "again", host: "API.example" }] }, "routes.again");
   });
 
-  it("refuses weights that add up to 0, and no time", () => {
+  it("rejects weights with a sum of 0, and a timeout of 0", () => {
     expectRefused(
       { routes: [{ ...route, split: [{ service: "model", weight: 0 }] }] },
       "routes.drafts.split",
@@ -61,7 +61,7 @@
     expectRefused({ routes: [{ ...route, timeoutMs: 0 }] }, "routes.drafts.timeoutMs");
   });
 
-  it("refuses a key that two organisations share", () => {
+  it("rejects a key that two organisations share", () => {
     const organisations = [
       { name: "atlas", keys: ["k1"], priority: 0 },
       { name: "dasol", keys: ["k1"], priority: 0 },
@@ -75,18 +75,18 @@
     createDeclaration({ routes: [route, { ...route, name: "letters", pathPrefix: "/drafts/letters/" }] }),
   );
 
-  it("takes the longest prefix, whatever the query, port and case of the host", () => {
+  it("finds the longest prefix, regardless of query, port and case of the host", () => {
     expect(table.getRoute("api.example", "/drafts/letters/1?x=/drafts/")?.name).toBe("letters");
     expect(table.getRoute("API.example:80", "/drafts/1")?.name).toBe("drafts");
   });
 
-  it("knows no route for another host or path", () => {
+  it("returns undefined for an unknown host or path", () => {
     expect(table.getRoute("other.example", "/drafts/1")).toBeUndefined();
     expect(table.getRoute("api.example", "/drafts")).toBeUndefined();
     expect(table.getRoute("api.example", "/?/drafts/")).toBeUndefined();
   });
 
-  it("knows organisations by any of their keys", () => {
+  it("finds an organisation by each of its keys", () => {
     expect(table.getOrganisation("k2")?.name).toBe("atlas");
     expect(table.getOrganisation("k3")).toBeUndefined();
   });
--- a/test/declaration/documents.test.ts
+++ b/test/declaration/documents.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { packDocument, unpackDocument } from "../../src/declaration";
 
-describe("documents", () => {
+describe("packDocument and unpackDocument", () => {
   const routes = Array.from({ length: 460 }, (_, i) => ({
     name: `r-${(i * 7_919).toString(36)}`,
     host: "a.example",
@@ -11,17 +11,17 @@
   }));
   const document = new TextEncoder().encode(JSON.stringify({ version: 7, routes }));
 
-  it("come back as they were sent, and travel at a fifth of their size at the most", () => {
+  it("restore the document, and compress it to less than a fifth of its size", () => {
     const packed = packDocument(document);
     expect(Buffer.from(unpackDocument(packed)).equals(document)).toBe(true);
     expect(packed.length).toBeLessThan(document.length / 5);
   });
 
-  it("are the same bytes whichever process packs them", () => {
+  it("produce the same bytes for the same document", () => {
     expect(Buffer.from(packDocument(document)).equals(packDocument(document))).toBe(true);
   });
 
-  it("are taken as they are where they were kept without compression", () => {
+  it("return an uncompressed document unchanged", () => {
     expect(unpackDocument(document)).toBe(document);
     expect(unpackDocument(new Uint8Array())).toHaveLength(0);
   });
--- a/test/settings/LiveSettings.test.ts
+++ b/test/settings/LiveSettings.test.ts
@@ -30,20 +30,20 @@
     await rm(folder, { recursive: true });
   });
 
-  it("reads the file again on SIGHUP, which ends nothing", async () => {
+  it("reloads the file on SIGHUP, which does not end the process", async () => {
     await writeFile(file, createText(["127.0.0.1:3"]));
     process.kill(process.pid, "SIGHUP");
     await waitUntil("the seeds change", () => live.current.gateway.seeds[0] === "127.0.0.1:3");
   });
 
-  it("reads a changed file again without a signal", async () => {
+  it("reloads a changed file without a signal", async () => {
     await waitUntil("the seeds change", async () => {
       await writeFile(file, createText(["127.0.0.1:4", "127.0.0.1:5"]));
       return live.current.gateway.seeds.length === 2;
     });
   });
 
-  it("keeps what it has when the file is faulty", async () => {
+  it("keeps the current settings if the file is invalid", async () => {
     await writeFile(file, "[gateway");
     await live.reload("signal");
     expect(live.current.gateway.seeds).toEqual(["127.0.0.1:2"]);
--- a/test/settings/Settings.test.ts
+++ b/test/settings/Settings.test.ts
@@ -5,7 +5,7 @@
 import { InvalidFile } from "../../src/errors";
 import { readControlSettings, readEntrySettings, readSecret } from "../../src/settings";
 
-describe("settings", () => {
+describe("Settings", () => {
   let folder: string;
 
   beforeAll(() => {
@@ -19,7 +19,7 @@
     return file;
   }
 
-  it("are what the examples say", async () => {
+  it("are read from the example files", async () => {
     const control = await readControlSettings("examples/settings/control.toml");
     expect(control.control.peers).toHaveLength(3);
     const entry = await readEntrySettings("examples/settings/entry.toml");
@@ -27,19 +27,19 @@
     expect(entry.log.level).toBe("info");
   });
 
-  it("refuse an address that is no number", async () => {
+  it("reject an address with a host name instead of an IP address", async () => {
     const file = write("[process]\nname = 'e'\nfailure_domain = 'd'\n[entry]\nlisten = 'localhost:1'\n");
     const failure = await readEntrySettings(file).catch((cause: unknown) => cause);
     expect(failure).toBeInstanceOf(InvalidFile);
     expect((failure as InvalidFile).message).toContain(`${file}:5: entry.listen`);
   });
 
-  it("refuse a secret that is too short to be one", async () => {
+  it("reject a secret that is shorter than the minimum", async () => {
     await expect(readSecret(write("short\n"))).rejects.toBeInstanceOf(InvalidFile);
     expect(await readSecret(write("long enough to be one\n"))).toBe("long enough to be one");
   });
 
-  it("tell of a file that is not there", async () => {
+  it("reject a missing file", async () => {
     await expect(readControlSettings(join(folder, "missing"))).rejects.toBeInstanceOf(InvalidFile);
   });
 });
--- a/test/toml/KeyLocator.test.ts
+++ b/test/toml/KeyLocator.test.ts
@@ -24,19 +24,19 @@
       expect(new KeyLocator(TEXT).getLine(path)).toBe(line);
     }
 
-    it("finds a key at the top", () => doTest(["top"], 1));
+    it("finds a top-level key", () => doTest(["top"], 1));
     it("finds a key of a table", () => doTest(["limits", "total"], 3));
     it("finds a table", () => doTest(["limits"], 2));
-    it("finds keys of each element of an array", () => {
+    it("finds the keys of each array element", () => {
       doTest(["groups", 0, "name"], 9);
       doTest(["groups", 1, "name"], 11);
     });
-    it("finds elements of a nested array, quoted keys too", () => {
+    it("finds elements of a nested array and quoted keys", () => {
       doTest(["policy", "classes", 0, "when"], 13);
       doTest(["policy", "classes", 1, "when"], 15);
     });
-    it("takes no key out of a string of many lines", () => doTest(["limits", "inner"], 2));
-    it("gives the nearest part for a missing key", () => doTest(["groups", 1, "model"], 10));
-    it("gives 0 when nothing of the path is there", () => doTest(["nowhere"], 0));
+    it("ignores keys inside a multi-line string", () => doTest(["limits", "inner"], 2));
+    it("returns the nearest enclosing line for a missing key", () => doTest(["groups", 1, "model"], 10));
+    it("returns 0 if no part of the path exists", () => doTest(["nowhere"], 0));
   });
 });
