--- a/src/declaration/checkDeclaration.ts
+++ b/src/declaration/checkDeclaration.ts
@@ -31,7 +31,7 @@
   const total = route.split.reduce((sum, share) => sum + share.weight, 0);
   if (!(total > 0)) fail(`${path}.split`, "the sum of the weights must be above 0");
   const unknown = route.split.find((share) => !services.has(share.service));
-  if (unknown !== undefined) fail(`${path}.split`, `service ${unknown.service} is not declared`);
+  if (unknown !== undefined) fail(`${path}.split`, `unknown service ${unknown.service}`);
 }
 
 /** Checks that no two organisations share a key, because a key must identify one organisation. */
--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -71,7 +71,7 @@
   }
 }
 
-/** Thrown by a call that only the leader answers, on any other process. */
+/** Thrown if a call that only the leader answers reaches another process. */
 export class AbsentLeader extends Data.TaggedError("AbsentLeader")<{
   /** Address of the leader; empty if unknown. */
   readonly leaderAddress: string;
@@ -98,7 +98,7 @@
   readonly limit: number;
 }> {
   override get message(): string {
-    return `proposal queue is full: ${this.limit} proposals are pending`;
+    return `${this.limit} proposals are pending; the queue is full`;
   }
 }
 
@@ -134,7 +134,7 @@
   }
 }
 
-/** Thrown by a call that lacks the correct shared secret. */
+/** Thrown if a call lacks the correct shared secret. */
 export class MissingSecret extends Data.TaggedError("MissingSecret")<{ readonly interface: string }> {
   override get message(): string {
     return `a valid secret is required for ${this.interface}`;
