--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -189,7 +189,7 @@
   readonly found: string;
 }> {
   override get message(): string {
-    return `${this.address} answered ${this.found}; expected ${this.expected}`;
+    return `${this.address} answered ${this.found}, but ${this.expected} was expected`;
   }
 }
 
