--- a/src/gateway/HeldBytes.ts
+++ b/src/gateway/AnswerBuffers.ts
@@ -3,7 +3,7 @@
  *
  * Over the bound the largest one is given up, so that what an endpoint sends without end costs nobody else their answer. Pure.
  */
-import { HeldAnswer, type HeldSum } from "./HeldAnswer";
+import { HeldAnswer, type HeldSum } from "./BufferedAnswer";
 
 /** What is held of all answers of a process. */
 export class HeldBytes implements HeldSum {
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashWatch.ts
@@ -7,7 +7,7 @@
  * runs of three entries that are asked for it by turns every 0.3 s.
  */
 import { pause } from "../clock";
-import type { Admittance, CrashLedger, RequestDigest } from "../containment";
+import type { AdmissionDecision, CrashLedger, RequestDigest } from "../containment";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
@@ -58,7 +58,7 @@
    * Decides whether a request may be sent to endpoints.
    * @param getDigest - Called only where anything is known of any request.
    */
-  admit(now: number, getDigest: () => RequestDigest): Admittance {
+  admit(now: number, getDigest: () => RequestDigest): AdmissionDecision {
     const { ledger } = this._options;
     return ledger.isEmpty ? "admitted" : ledger.admit(now, getDigest());
   }
@@ -66,13 +66,13 @@
   /** Checks whether a request is kept away from endpoints now. */
   isKeptAway(now: number, getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isKeptAway(now, getDigest());
+    return !ledger.isEmpty && ledger.isBlocked(now, getDigest());
   }
 
   /** Checks whether a request is proven guilty. */
   isProven(getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isProven(getDigest());
+    return !ledger.isEmpty && ledger.isConfirmedCause(getDigest());
   }
 
   /**
@@ -101,8 +101,8 @@
     const { ledger, logger, metrics } = this._options;
     const digests = records.map(({ digest }) => digest);
     const before = digests.map((digest) => ledger.getVerdict(digest));
-    ledger.addAgreed(now, records);
-    metrics.gauge("gateway_kept_away", ledger.countProven());
+    ledger.addCommitted(now, records);
+    metrics.gauge("gateway_kept_away", ledger.countConfirmedCauses());
     for (const [i, digest] of digests.entries()) {
       const verdict = ledger.getVerdict(digest);
       if (verdict !== before[i]) logger.info({ event: "request_judged", digest, verdict, before: before[i] });
@@ -117,7 +117,7 @@
     const { ledger, logger, onNews } = this._options;
     if (ledger.isEmpty) return;
     const digest = getDigest();
-    if (!ledger.addGoodEnd(now, digest)) return;
+    if (!ledger.addSuccess(now, digest)) return;
     logger.info({ event: "request_cleared", digest });
     onNews();
   }
@@ -137,7 +137,7 @@
       ran_ms: Math.round(brokeAt - startedAt),
       answered: wasAnswered,
       depth,
-      kept_away: ledger.isKeptAway(brokeAt, digest),
+      kept_away: ledger.isBlocked(brokeAt, digest),
     });
     onNews();
   }
--- a/src/gateway/Dialect.ts
+++ b/src/gateway/Dialect.ts
@@ -7,7 +7,7 @@
 import type { IncomingHttpHeaders } from "node:http";
 
 /** What a caller says of its request. */
-export interface CallFacts {
+export interface CallMetadata {
   /** The caller's own id of this attempt. */
   readonly requestId: string;
   /** Milliseconds that the caller waits. */
@@ -22,7 +22,7 @@
 }
 
 /** What an endpoint is told. */
-export interface AttemptFacts {
+export interface AttemptMetadata {
   /** Milliseconds that are left. */
   readonly leftMs: number;
   readonly instanceId: string;
@@ -30,13 +30,13 @@
   /** Where a resumed stream goes on. */
   readonly lastEventId: string | undefined;
   /** Whether its caller can still be answered within the objective; endpoints begin the others later. */
-  readonly canBeInTime: boolean;
+  readonly canMeetObjective: boolean;
 }
 
 /** What the head of an endpoint's answer means. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** Whether it answers this request and no other. */
-  readonly isOwn: boolean;
+  readonly matchesRequest: boolean;
   /** Whether the endpoint says that it did not run the request. */
   readonly wasNotRun: boolean;
   /** Whether it bears the marks of an endpoint's answer that may be passed on. */
@@ -52,12 +52,12 @@
 /** One way to speak. */
 export interface Dialect {
   /** Reads what a caller says; what can't be read is taken as not said. */
-  readCall(headers: IncomingHttpHeaders): CallFacts;
+  readCall(headers: IncomingHttpHeaders): CallMetadata;
   /**
    * Makes the headers for an endpoint: the caller's own and what the system adds.
    * @param raw - Names and values in turn, end-to-end headers only.
    */
-  createHeaders(raw: readonly string[], attempt: AttemptFacts): string[];
+  createHeaders(raw: readonly string[], attempt: AttemptMetadata): string[];
   /** Reads the head of an answer. */
-  readAnswer(call: CallFacts, answer: AnswerHead): AnswerFacts;
+  readAnswer(call: CallMetadata, answer: AnswerHead): AnswerMetadata;
 }
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -12,6 +12,7 @@
 import type { Route } from "../declaration";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { HttpClient } from "../http";
+import type { HeldBytes } from "./AnswerBuffers";
 import {
   type AttemptFailure,
   type BegunAttempt,
@@ -20,18 +21,17 @@
   wasBroken,
   wasLeft,
 } from "./Attempt";
-import type { CrashWatch } from "./CrashWatch";
-import type { CallFacts, Dialect } from "./Dialect";
+import type { CrashMonitor } from "./CrashMonitor";
+import type { CallMetadata, Dialect } from "./Dialect";
 import { createKeptAway, createNotRun, createUnknown, type GatewayRefusal } from "./GatewayRefusal";
-import type { HeldBytes } from "./HeldBytes";
-import { isSilentTooLong, mayRepeat } from "./patience";
-import { getReturnMs } from "./returnTime";
+import { getReturnMs } from "./retryAfter";
 import type { GatePass, StreamGate } from "./StreamGate";
 import type { TargetPool } from "./TargetPool";
+import { isSilentTooLong, mayRepeat } from "./timeouts";
 
 /** A request that was accepted. Times are monotonic milliseconds. */
 export interface ExchangeRequest {
-  readonly call: CallFacts;
+  readonly call: CallMetadata;
   readonly route: Route;
   readonly service: string;
   readonly organisation: string | undefined;
@@ -56,7 +56,7 @@
   /** Holds streams back while endpoints are overloaded. */
   readonly gate: StreamGate;
   /** Knows which requests are kept away from endpoints. */
-  readonly crashes: CrashWatch;
+  readonly crashes: CrashMonitor;
   /** Takes one repeat from the entries' budget, if there is one. */
   readonly takeRetry: () => boolean;
   /** What is held of answers that are not whole. */
@@ -212,7 +212,7 @@
   /** Checks whether the request is kept away from endpoints, for what it did to those that ran it. */
   get isKeptAway(): boolean {
     const { crashes } = this.tools;
-    return this._isOnTrial ? this.isProven : crashes.isKeptAway(this.getNow(), () => this.digest);
+    return this._isOnTrial ? this.isProven : crashes.isBlocked(this.getNow(), () => this.digest);
   }
 
   /** Checks whether the request is proven to end those that run it. */
@@ -316,7 +316,7 @@
     attempt.end();
     this._running.delete(attempt.abort);
     this.tools.pool.addSuccess(attempt.target.id);
-    this.tools.crashes.addGoodEnd(this.getNow(), () => this.digest);
+    this.tools.crashes.addSuccess(this.getNow(), () => this.digest);
   }
 
   /** Makes the caller's final answer after the attempts that failed. */
@@ -378,7 +378,7 @@
       instanceId: target.instanceId,
       organisation: request.organisation,
       lastEventId,
-      canBeInTime: this._canBeInTime(lastEventId),
+      canMeetObjective: this._canBeInTime(lastEventId),
     });
     const hasBody = request.body.length > 0 || !isBodiless(request.method);
     if (hasBody) headers.push("Content-Length", String(request.body.length));
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -8,14 +8,14 @@
 import { randomBytes } from "node:crypto";
 import { createServer } from "node:http";
 import { Effect, type Scope } from "effect";
-import { getProcessorMs, getSuspensionClock, LoopLag, pause, SystemClock } from "../clock";
+import { EventLoopLag, getProcessorMs, getSuspensionClock, pause, SystemClock } from "../clock";
 import { SeededRandom } from "../consensus";
 import { CrashLedger } from "../containment";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
 import type { ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import { HttpClient, listen, splitAddress } from "../http";
 import type { Logger, Metrics } from "../metrics";
-import { SuspensionWatch } from "../process";
+import { SuspensionMonitor } from "../process";
 import {
   CrashReporter,
   FollowedView,
@@ -26,10 +26,10 @@
 import { type RetryBound, SharedRetryBudget } from "../routing";
 import { TransportPool } from "../rpc";
 import type { GatewaySettings, LiveSettings } from "../settings";
-import { CrashWatch } from "./CrashWatch";
+import { HeldBytes } from "./AnswerBuffers";
+import { CrashMonitor } from "./CrashMonitor";
 import type { Dialect } from "./Dialect";
 import { GatewayServer } from "./GatewayServer";
-import { HeldBytes } from "./HeldBytes";
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
@@ -105,11 +105,11 @@
   const getEntryCount = () => Math.max(1, view.entryCount);
   let routes: RouteTable | undefined;
   const ledger = new CrashLedger();
-  const crashes = new CrashWatch({
+  const crashes = new CrashMonitor({
     ledger,
     logger,
     metrics,
-    onNews: () => {
+    onChange: () => {
       reporter.sendSoon();
       server.withdrawProven();
     },
@@ -184,19 +184,19 @@
     logger,
   });
   const reporter = new CrashReporter(ledger, watcher, logger);
-  const suspensions = new SuspensionWatch({
+  const suspensions = new SuspensionMonitor({
     clock: getSuspensionClock(),
     logger,
     metrics,
-    onWake: () => {
+    onResume: () => {
       server.endLate();
-      client.dropIdle();
+      client.closeIdle();
       watcher.restart();
     },
   });
   return {
     clock,
-    lag: new LoopLag(clock),
+    lag: new EventLoopLag(clock),
     client,
     server,
     watcher,
--- a/src/gateway/GatewayRefusal.ts
+++ b/src/gateway/GatewayRefusal.ts
@@ -1,6 +1,6 @@
 /** Why the gateway itself ends a request, as the caller is told. */
 import { Data } from "effect";
-import { DOUBT_MS, KEEP_AWAY_MS } from "../containment";
+import { BLOCK_MS, TRIAL_DELAY_MS } from "../containment";
 
 /** Reasons, as logs and answers name them. */
 export type GatewayRefusalCode =
@@ -41,7 +41,7 @@
 /** Makes the refusal of a request that is kept away from endpoints: it did not run, and is not to for so long. */
 export function createKeptAway(isProven: boolean): GatewayRefusal {
   const reason = "the last endpoints that ran this request ended while they did, so it isn't run for a while";
-  return createNotRun("kept_away", reason, isProven ? KEEP_AWAY_MS : DOUBT_MS);
+  return createNotRun("kept_away", reason, isProven ? BLOCK_MS : TRIAL_DELAY_MS);
 }
 
 /** Makes the refusal of a request that may have run. */
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -7,15 +7,15 @@
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
 import type { ReceivedView } from "../registration";
-import { CallerWaits } from "./CallerWaits";
-import type { CallFacts } from "./Dialect";
+import { CallerWaits } from "./CallerTimeouts";
+import type { CallMetadata } from "./Dialect";
+import { endWithConnection } from "./delimitByClose";
 import { Exchange, type ExchangeRequest, type ExchangeTools } from "./Exchange";
-import { endWithConnection } from "./endWithConnection";
 import { createNotRun, GatewayRefusal } from "./GatewayRefusal";
 import { dropHeaders, getEndToEndHeaders } from "./headers";
 import { PlainExchange } from "./PlainExchange";
 import type { WholeAnswer } from "./PlainSource";
-import { getFirstViewReturnMs } from "./returnTime";
+import { getFirstViewReturnMs } from "./retryAfter";
 import { StreamExchange } from "./StreamExchange";
 
 /** What a gateway server works with. */
@@ -52,7 +52,7 @@
 /** A request as far as it got. */
 interface Progress {
   readonly receivedAt: number;
-  call: CallFacts | undefined;
+  call: CallMetadata | undefined;
   route: Route | undefined;
   exchange: Exchange | undefined;
 }
@@ -152,7 +152,7 @@
   /** Serves on, but ends each connection with its answer. */
   announceStop(): void {
     this._isStopping = true;
-    this._connections.announceEnd();
+    this._connections.announceClose();
   }
 
   /** Refuses what comes from now on; what was taken goes on. */
@@ -174,7 +174,7 @@
    * @param maxAcceptMs - How long callers that connect without a pause may hold that up.
    */
   async endConnections(maxAcceptMs: number): Promise<void> {
-    await this._connections.end(maxAcceptMs);
+    await this._connections.drain(maxAcceptMs);
   }
 
   /** Ends all connections and listens no more. */
@@ -275,7 +275,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     progress: Progress,
-    call: CallFacts,
+    call: CallMetadata,
   ): GatewayRefusal {
     if (this._options.isConfirmed()) return createFinal(status, code, reason);
     const unconfirmed = `${reason} in the declaration known here, which may not be the newest one`;
@@ -286,7 +286,7 @@
     code: GatewayRefusal["code"],
     reason: string,
     { receivedAt }: Progress,
-    { waitMs }: CallFacts,
+    { waitMs }: CallMetadata,
   ): GatewayRefusal {
     const sinceStartMs = receivedAt - this._startedAt;
     const returnMs = getFirstViewReturnMs(sinceStartMs, waitMs, this._options.random.next());
--- a/src/gateway/PlainExchange.ts
+++ b/src/gateway/PlainExchange.ts
@@ -2,7 +2,7 @@
 import { createRace } from "./createRace";
 import type { Exchange } from "./Exchange";
 import { PlainSource, type WholeAnswer } from "./PlainSource";
-import { getAnswerPatienceMs } from "./patience";
+import { getAnswerPatienceMs } from "./timeouts";
 
 /** Runs a request until an answer may be passed on. */
 export class PlainExchange {
--- a/src/gateway/PlainSource.ts
+++ b/src/gateway/PlainSource.ts
@@ -14,7 +14,7 @@
 import { checkAnswer } from "./checkAnswer";
 import type { Exchange } from "./Exchange";
 import { isFramed } from "./headers";
-import { mayRepeat } from "./patience";
+import { mayRepeat } from "./timeouts";
 
 /** A whole answer. */
 export interface WholeAnswer {
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -8,13 +8,13 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { AttemptRace } from "./AttemptRace";
 import { createRace } from "./createRace";
+import { endWithConnection } from "./delimitByClose";
 import type { StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import { endWithConnection } from "./endWithConnection";
 import { getEndToEndHeaders, isFramed } from "./headers";
-import { getAnswerPatienceMs, getGapPatienceMs } from "./patience";
 import type { GatePass } from "./StreamGate";
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
+import { getAnswerPatienceMs, getGapPatienceMs } from "./timeouts";
 
 /** What a stream came to. */
 export interface StreamResult {
--- a/src/gateway/StreamSource.ts
+++ b/src/gateway/StreamSource.ts
@@ -13,12 +13,12 @@
   wasLeft,
 } from "./Attempt";
 import type { AnswerSource } from "./AttemptRace";
+import type { HeldAnswer } from "./BufferedAnswer";
 import { checkAnswer } from "./checkAnswer";
 import { EventSplitter, type StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import type { HeldAnswer } from "./HeldAnswer";
 import { isFramed } from "./headers";
-import { mayRepeat } from "./patience";
+import { mayRepeat } from "./timeouts";
 
 /** What came of a stream. */
 export interface StreamPart {
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -5,7 +5,7 @@
  */
 import type { RandomSource } from "../consensus";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
-import { AnswerPace } from "./AnswerPace";
+import { AnswerPace } from "./StallDetector";
 
 /** What a choice is made for. */
 export interface TargetRequest {
--- a/src/gateway/checkAnswer.ts
+++ b/src/gateway/checkAnswer.ts
@@ -10,7 +10,8 @@
 ): AttemptFailure | undefined {
   const status = incoming.statusCode ?? 0;
   const facts = tools.dialect.readAnswer(request.call, { status, headers: incoming.headers });
-  if (!facts.isOwn) return { reason: "it answered another request", wasNotRun: false, wasSent: true };
+  if (!facts.matchesRequest)
+    return { reason: "it answered another request", wasNotRun: false, wasSent: true };
   if (facts.wasNotRun) return { reason: `it refused with ${status}`, wasNotRun: true, wasSent: true };
   if (facts.isGenuine) return undefined;
   return { reason: `its ${status} bears no mark of an endpoint`, wasNotRun: false, wasSent: true };
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -1,7 +1,7 @@
 /** The part of a control process with registered instances that exists only while the process leads. */
 
 import { create } from "@bufbuild/protobuf";
-import type { Clock, LoopLag } from "../clock";
+import type { Clock, EventLoopLag } from "../clock";
 import { type ConsensusDriver, getVoters } from "../consensus";
 import type { RouteTable } from "../declaration";
 import {
@@ -32,7 +32,7 @@
   InstanceRegistry,
   type RegisteredInstance,
 } from "./InstanceRegistry";
-import { PlanningPace } from "./PlanningPace";
+import { PlanningSchedule } from "./PlanningSchedule";
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
@@ -45,7 +45,7 @@
   readonly metrics: Metrics;
   readonly meter: WorkMeter;
   /** Measures the event loop lag of this process. */
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
@@ -76,7 +76,7 @@
   private readonly _committed: CommittedFacts;
   private readonly _relays = new RelayRoster();
   private readonly _crashes: CrashRegistry;
-  private readonly _planningInterval: PlanningPace;
+  private readonly _planningInterval: PlanningSchedule;
   private readonly _hearing: HeartbeatMonitor;
   private _timer: NodeJS.Timeout | undefined;
   private _isEnded = false;
@@ -90,7 +90,7 @@
     this.term = options.driver.node.term;
     const now = options.clock.getMonotonicMs();
     this._hearing = new HeartbeatMonitor(now);
-    this._planningInterval = new PlanningPace(now);
+    this._planningInterval = new PlanningSchedule(now);
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -15,7 +15,7 @@
    * Takes one load if the window has room for it.
    * @param limit - `undefined` while there is none; what begins then counts once there is one.
    */
-  takeLoad(now: number, limit: LoadLimit | undefined): boolean {
+  tryAddLoad(now: number, limit: LoadLimit | undefined): boolean {
     if (limit !== undefined) {
       this._startedAt = this._startedAt.filter((startedAt) => now - startedAt < limit.windowMs);
       if (this._startedAt.length >= limit.loads) return false;
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -113,7 +113,7 @@
   async sendLoad(receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome | undefined> {
     const now = this._options.clock.getMonotonicMs();
     if (!this._isDue(now, receiver, order)) return undefined;
-    if (!this._limiter.takeLoad(now, this._options.getLoadLimit())) return undefined;
+    if (!this._limiter.tryAddLoad(now, this._options.getLoadLimit())) return undefined;
     const key = getLifeKey(receiver);
     this._toldToLoadAt.set(key, now);
     if (order.kind !== "stage") return this._send(now, receiver, order);
@@ -138,7 +138,7 @@
     // Rises with each order and term: what is carried out late, or sent by a deposed leader, is refused.
     this._fence += 1;
     const fence = this._fence;
-    await this._turns.enter();
+    await this._turns.waitForTurn();
     const outcome = await orders.send(receiver, order, fence);
     this._busy.delete(key);
     this._answerCount += 1;
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -55,9 +55,9 @@
     return {
       instances,
       replicas,
-      isClear: true,
+      areOldLeasesExpired: true,
       retiredInForce: over,
-      drained: over,
+      drainedReplicas: over,
       inFlight: new Map(),
       absences: [],
     };
--- a/src/registration/PlanningPace.ts
+++ b/src/registration/PlanningSchedule.ts
@@ -21,7 +21,7 @@
 const MAX_PAUSE_MS = 500;
 
 /** The pace of one leadership. */
-export class PlanningPace {
+export class PlanningSchedule {
   private _inputs: string | undefined;
   private _seenInputs: string | undefined;
   private _endedAt: number;
--- a/src/registration/ReplicaCloser.ts
+++ b/src/registration/ReplicaCloser.ts
@@ -100,15 +100,15 @@
   }
 
   /** Checks whether a retiring replica is over: its instances may be chosen again. */
-  isOver(now: number, replica: Replica, times: ClosingTimes): boolean {
-    return this.getEndGround(now, replica, times) !== undefined;
+  hasEnded(now: number, replica: Replica, times: ClosingTimes): boolean {
+    return this.getEndReason(now, replica, times) !== undefined;
   }
 
   /**
    * Gets the ground on which a retiring replica is over.
    * @returns `undefined` while it is not.
    */
-  getEndGround(now: number, replica: Replica, times: ClosingTimes): EndGround | undefined {
+  getEndReason(now: number, replica: Replica, times: ClosingTimes): EndGround | undefined {
     const closing = this._closings.get(replica.id);
     if (closing === undefined) return undefined;
     const head = replica.members[0]!;
@@ -139,7 +139,7 @@
     isSilent: (instanceId: string) => boolean,
   ): DueOrder[] {
     const closing = this._closings.get(replica.id);
-    if (closing === undefined || this.isOver(now, replica, times)) return [];
+    if (closing === undefined || this.hasEnded(now, replica, times)) return [];
     const { id: replicaId, epoch } = replica;
     const head = replica.members[0]!;
     const isHeadSilent = isSilent(head.instanceId);
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -4,21 +4,22 @@
  *
  * Held only while leading. What it knows of instances are their reports.
  */
-import type { Clock, LoopLag } from "../clock";
+import type { Clock, EventLoopLag } from "../clock";
 import type { ConsensusDriver } from "../consensus";
 import type { RouteTable } from "../declaration";
 import { PlaceState } from "../gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
 import { type Action, type InstanceFacts, REASON } from "../planner";
-import { GivenUpPlaces, type HeldPlace } from "./GivenUpPlaces";
 import type { HeartbeatMonitor } from "./HeartbeatMonitor";
 import { IdentityChecks } from "./IdentityChecks";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
+import { GivenUpPlaces, type HeldPlace } from "./LeaveConfirmations";
 import type { LoadLimit } from "./LoadLimiter";
 import { createLoadLimit } from "./loadLimits";
 import { OrderDispatcher } from "./OrderDispatcher";
+import { StrayHeads } from "./OrphanHeads";
 import { PlanningFactsSource, READY_STATES } from "./PlanningFactsSource";
 import { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
@@ -30,7 +31,6 @@
   type PlanningTimes,
   ServicePlanner,
 } from "./ServicePlanner";
-import { StrayHeads } from "./StrayHeads";
 
 /** Times and bounds of the replicas' control, milliseconds. */
 export interface ReplicaTimes extends ClosingTimes, PlanningTimes {}
@@ -45,7 +45,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** How late this process runs. */
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   /** Whether this process was started with the whole system, for the first time. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
@@ -200,7 +200,7 @@
     for (const replica of replicas) this._openIfReady(replica);
     const over = new Set(
       retiring
-        .filter((replica) => this._wasNeverOpened(replica) || this._closer.isOver(now, replica, times))
+        .filter((replica) => this._wasNeverOpened(replica) || this._closer.hasEnded(now, replica, times))
         .map((replica) => replica.id),
     );
     const byService = divideReplicas(services, replicas);
@@ -312,7 +312,7 @@
   private _describeGround(replica: Replica): EndGround | "neverOpened" | undefined {
     if (this._wasNeverOpened(replica)) return "neverOpened";
     const { clock, getTimes } = this._options;
-    return this._closer.getEndGround(clock.getMonotonicMs(), replica, getTimes());
+    return this._closer.getEndReason(clock.getMonotonicMs(), replica, getTimes());
   }
 
   private _describePlace(replica: Replica, instanceId: string): string {
--- a/test/gateway/HeldBytes.test.ts
+++ b/test/gateway/AnswerBuffers.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { HeldBytes } from "../../src/gateway/HeldBytes";
+import { HeldBytes } from "../../src/gateway/AnswerBuffers";
 
 const MAX_BYTES = 100;
 
--- a/test/gateway/CallerWaits.test.ts
+++ b/test/gateway/CallerTimeouts.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { CallerWaits } from "../../src/gateway/CallerWaits";
+import { CallerWaits } from "../../src/gateway/CallerTimeouts";
 
 describe("CallerWaits", () => {
   it("tells how long ago a caller asked first from what it lacks of the longest wait of its route", () => {
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -7,11 +7,11 @@
 import { SeededRandom } from "../../src/consensus";
 import { CrashLedger, getRequestDigest, type RequestContent } from "../../src/containment";
 import { type Declaration, type Route, RouteTable } from "../../src/declaration";
-import type { AttemptFacts, CallFacts, Dialect } from "../../src/gateway";
+import type { AttemptMetadata, CallMetadata, Dialect } from "../../src/gateway";
 import { dropHeaders } from "../../src/gateway";
-import { CrashWatch } from "../../src/gateway/CrashWatch";
+import { HeldBytes } from "../../src/gateway/AnswerBuffers";
+import { CrashMonitor } from "../../src/gateway/CrashMonitor";
 import { GatewayServer } from "../../src/gateway/GatewayServer";
-import { HeldBytes } from "../../src/gateway/HeldBytes";
 import { StreamGate } from "../../src/gateway/StreamGate";
 import { TargetPool } from "../../src/gateway/TargetPool";
 import { type Target, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
@@ -45,7 +45,7 @@
 
 /** Headers as the tests speak them. */
 class TestDialect implements Dialect {
-  readCall(headers: IncomingMessage["headers"]): CallFacts {
+  readCall(headers: IncomingMessage["headers"]): CallMetadata {
     const waitMs = headers["x-wait-ms"];
     return {
       requestId: String(headers["x-id"] ?? ""),
@@ -58,16 +58,16 @@
     };
   }
 
-  createHeaders(raw: readonly string[], attempt: AttemptFacts): string[] {
+  createHeaders(raw: readonly string[], attempt: AttemptMetadata): string[] {
     const headers = dropHeaders(raw, new Set(["x-key", "x-wait-ms", "last-event-id", "x-organisation"]));
     headers.push("x-wait-ms", String(Math.floor(attempt.leftMs)));
-    headers.push("x-in-time", String(attempt.canBeInTime));
+    headers.push("x-in-time", String(attempt.canMeetObjective));
     if (attempt.organisation !== undefined) headers.push("x-organisation", attempt.organisation);
     if (attempt.lastEventId !== undefined) headers.push("last-event-id", attempt.lastEventId);
     return headers;
   }
 
-  readAnswer(call: CallFacts, { headers }: { headers: IncomingMessage["headers"] }) {
+  readAnswer(call: CallMetadata, { headers }: { headers: IncomingMessage["headers"] }) {
     const id = headers["x-id"];
     return {
       isOwn: id === undefined || id === call.requestId,
@@ -111,7 +111,7 @@
   /** What the gateway knows of requests under which endpoints ended. */
   readonly ledger = new CrashLedger();
   /** Watches what requests do to endpoints. */
-  readonly crashes: CrashWatch;
+  readonly crashes: CrashMonitor;
   /** Whether a leader has confirmed the declaration. */
   isConfirmed = true;
   shown: ReceivedView = { control: "10.0.0.1:1", term: 2, heartbeatAgeMs: 80 };
@@ -123,7 +123,12 @@
 
   private constructor() {
     const logger = pino(LOG_OPTIONS, { write: (line: string) => this.logLines.push(line) });
-    this.crashes = new CrashWatch({ ledger: this.ledger, logger, metrics: this.metrics, onNews: () => {} });
+    this.crashes = new CrashMonitor({
+      ledger: this.ledger,
+      logger,
+      metrics: this.metrics,
+      onChange: () => {},
+    });
   }
 
   /** Starts endpoints, one for each script, and the gateway before them. */
@@ -157,7 +162,7 @@
   keepAway(content: RequestContent): void {
     const crashes = [1, 2, 3].map((depth) => ({ life: `elsewhere-${depth}`, depth }));
     const record = create(CrashRecordSchema, { digest: getRequestDigest(content), crashes });
-    this.ledger.addAgreed(0, [record]);
+    this.ledger.addCommitted(0, [record]);
     this._gateway.withdrawProven();
   }
 
--- a/test/gateway/GatewayServer.test.ts
+++ b/test/gateway/GatewayServer.test.ts
@@ -64,7 +64,7 @@
         "its trial is over",
         async () => (await harness.call({ body: "guilty" })).status === 502,
       );
-      await waitUntil("it is proven", () => harness.ledger.countProven() === 1);
+      await waitUntil("it is proven", () => harness.ledger.countConfirmedCauses() === 1);
       const refused = await harness.call({ body: "guilty" });
       expect(refused).toMatchObject({ status: 503, isWhole: true });
       expect(refused.headers["retry-after"]).toBe("600");
@@ -97,7 +97,7 @@
       expect((await harness.call()).status).toBe(200);
       await waitUntil("it is cleared", () => harness.ledger.takePending().some(isCleared));
       expect((await harness.call()).status).toBe(200);
-      expect(harness.ledger.countProven()).toBe(0);
+      expect(harness.ledger.countConfirmedCauses()).toBe(0);
     });
 
     it("are taken back from endpoints that have yet to run them", async () => {
--- a/test/gateway/AnswerPace.test.ts
+++ b/test/gateway/StallDetector.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { AnswerPace } from "../../src/gateway/AnswerPace";
+import { AnswerPace } from "../../src/gateway/StallDetector";
 
 /** Notes events of one stream at a steady pace; gives when the last one came. */
 function addSteady(pace: AnswerPace, start: number, gapMs: number, count: number): number {
--- a/test/gateway/returnTime.test.ts
+++ b/test/gateway/retryAfter.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { getFirstViewReturnMs, getReturnMs } from "../../src/gateway/returnTime";
+import { getFirstViewReturnMs, getReturnMs } from "../../src/gateway/retryAfter";
 
 const random = fc.double({ min: 0, max: 1, maxExcluded: true, noNaN: true });
 
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -16,7 +16,7 @@
 } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type InstanceReport, InstanceReportSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { LeaderContact } from "../../src/registration/LeaderContact";
-import { PlanningPace } from "../../src/registration/PlanningPace";
+import { PlanningSchedule } from "../../src/registration/PlanningSchedule";
 import { RelayRoster } from "../../src/registration/RelayRoster";
 import { type RelayBatch, ReportRelay } from "../../src/registration/ReportRelay";
 import type { Costs } from "./costs";
@@ -63,7 +63,7 @@
 interface Leadership {
   readonly term: number;
   readonly relays: RelayRoster;
-  readonly pace: PlanningPace;
+  readonly pace: PlanningSchedule;
   /** Sequence number of the content that is known of each instance. */
   readonly known: Map<string, number>;
   revision: number;
@@ -593,7 +593,7 @@
     this._leadership = {
       term: this._node!.term,
       relays: new RelayRoster(),
-      pace: new PlanningPace(this._world.simulation.now),
+      pace: new PlanningSchedule(this._world.simulation.now),
       known: new Map(),
       revision: 1,
       published: 0,
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -223,7 +223,7 @@
       instanceId: "i-1",
       organisation: "t",
       lastEventId: undefined,
-      canBeInTime: true,
+      canMeetObjective: true,
     });
     const text = headers.join("\n").toLowerCase();
     expect(text).not.toContain("api-key");
@@ -249,7 +249,7 @@
     expect(read(200, sealed)).toEqual({ isOwn: true, wasNotRun: false, isGenuine: true });
     expect(read(200, {}).isGenuine).toBe(false);
     expect(read(200, { ...sealed, "content-encoding": "gzip" }).isGenuine).toBe(false);
-    expect(read(200, { ...sealed, "x-ploverstage-request-id": "other" }).isOwn).toBe(false);
+    expect(read(200, { ...sealed, "x-ploverstage-request-id": "other" }).matchesRequest).toBe(false);
     expect(read(503, { "x-ploverstage-not-executed": "1" }).wasNotRun).toBe(true);
     expect(read(421, {}).wasNotRun).toBe(true);
     expect(read(500, {}).wasNotRun).toBe(false);
--- a/test/registration/GivenUpPlaces.test.ts
+++ b/test/registration/LeaveConfirmations.test.ts
@@ -8,8 +8,8 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { GivenUpPlaces } from "../../src/registration/GivenUpPlaces";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
+import { GivenUpPlaces } from "../../src/registration/LeaveConfirmations";
 import type { StateMachine } from "../../src/state";
 import { createInstances, createReplica } from "../support/planning";
 
--- a/test/registration/StrayHeads.test.ts
+++ b/test/registration/OrphanHeads.test.ts
@@ -3,7 +3,7 @@
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
-import { StrayHeads } from "../../src/registration/StrayHeads";
+import { StrayHeads } from "../../src/registration/OrphanHeads";
 import type { StateMachine } from "../../src/state";
 import { createInstances, createReplica } from "../support/planning";
 
--- a/test/registration/loadLimits.test.ts
+++ b/test/registration/loadLimits.test.ts
@@ -47,8 +47,8 @@
 
   it("counts unlimited loads against the limit that follows them", () => {
     const limiter = new LoadLimiter();
-    for (let load = 0; load < 30; load++) expect(limiter.takeLoad(0, undefined)).toBe(true);
-    expect(limiter.takeLoad(100, LIMIT)).toBe(false);
-    expect(limiter.takeLoad(5_000, LIMIT)).toBe(true);
+    for (let load = 0; load < 30; load++) expect(limiter.tryAddLoad(0, undefined)).toBe(true);
+    expect(limiter.tryAddLoad(100, LIMIT)).toBe(false);
+    expect(limiter.tryAddLoad(5_000, LIMIT)).toBe(true);
   });
 });
--- a/test/registration/ownership/overload.test.ts
+++ b/test/registration/ownership/overload.test.ts
@@ -7,15 +7,15 @@
 import { SeededRandom } from "../../../src/consensus";
 import { type Replica, ReplicaPhase } from "../../../src/gen/ploverstage/v1/state_pb";
 import type { OrderReceiver } from "../../../src/registration";
-import { GivenUpPlaces } from "../../../src/registration/GivenUpPlaces";
 import { InstanceRegistry } from "../../../src/registration/InstanceRegistry";
+import { GivenUpPlaces } from "../../../src/registration/LeaveConfirmations";
 import type { StateMachine } from "../../../src/state";
 import { createInstances, createReplica } from "../../support/planning";
 import type { FleetModel, FleetOptions } from "./FleetModel";
 import { INSTANCE_TIMES, InstanceModel } from "./InstanceModel";
 import { type OrderFaults, OrderModel } from "./OrderModel";
 import type { OverloadTimes } from "./OverloadModel";
-import { playFleet, SEEDS } from "./playFleet";
+import { playFleet, SEEDS } from "./simulateFleets";
 
 const OVERLOADED: OverloadTimes = { deafMs: 10_000, hearingMs: 2_000, patienceMs: 1_500 };
 /** A third of all orders is carried out seconds late; the others and their answers take up to a second. */
--- a/test/registration/ownership/ownership.test.ts
+++ b/test/registration/ownership/ownership.test.ts
@@ -25,7 +25,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { FleetModel, type FleetOptions } from "./FleetModel";
 import type { OrderFaults } from "./OrderModel";
-import { FORMATION_MS, playFleet, SEEDS, WANTED_REPLICAS } from "./playFleet";
+import { FORMATION_MS, playFleet, SEEDS, WANTED_REPLICAS } from "./simulateFleets";
 
 /** Seeds with which a head that had left was opened again, while reports proved nothing any more. */
 const REOPENING_SEEDS = [68, 91, 93, 129, 162];
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -108,7 +108,9 @@
   it("allows no more loads in a window than the limit", () => {
     const limiter = new LoadLimiter();
     const limit = { loads: 3, windowMs: 1_000 };
-    const taken = Array.from({ length: 40 }, (_, i) => i * 100).filter((now) => limiter.takeLoad(now, limit));
+    const taken = Array.from({ length: 40 }, (_, i) => i * 100).filter((now) =>
+      limiter.tryAddLoad(now, limit),
+    );
     expect(taken.length).toBeGreaterThan(6);
     for (const end of taken) {
       expect(taken.filter((at) => at <= end && at > end - limit.windowMs).length).toBeLessThanOrEqual(3);
@@ -155,7 +157,7 @@
 
   it("does not complete while the head may accept requests", () => {
     const { closer } = setUp(false);
-    expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
   });
 
   const isNeverSilent = () => false;
@@ -167,13 +169,13 @@
     expect(due?.order.kind).toBe("leave");
     expect(due?.receiver.instanceId).toBe("head");
     left.closer.addOutcome(10, replica, due!, "done");
-    expect(left.closer.isOver(10, replica, TIMES)).toBe(true);
+    expect(left.closer.hasEnded(10, replica, TIMES)).toBe(true);
     const broken = setUp(false);
     broken.report("head", 2, PlaceState.BROKEN);
-    expect(broken.closer.isOver(10, replica, TIMES)).toBe(true);
+    expect(broken.closer.hasEnded(10, replica, TIMES)).toBe(true);
     const ended = setUp(false);
     ended.registry.markEnded(createLife("head"));
-    expect(ended.closer.isOver(10, replica, TIMES)).toBe(true);
+    expect(ended.closer.hasEnded(10, replica, TIMES)).toBe(true);
   });
 
   it("orders the members to leave at once when the head sends no heartbeat, and completes only when the head must be broken", () => {
@@ -183,8 +185,8 @@
     closer.addOutcome(1_000, replica, orders[0]!, "unanswered");
     closer.addOutcome(100, replica, orders[1]!, "done");
     closer.addOutcome(200, replica, orders[2]!, "unanswered");
-    expect(closer.isOver(100 + TIMES.stallMs, replica, TIMES)).toBe(false);
-    expect(closer.isOver(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+    expect(closer.hasEnded(100 + TIMES.stallMs, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     const again = closer.getDueOrders(2_000, replica, TIMES, isHeadSilent);
     expect(again.map((due) => due.receiver.instanceId)).toEqual(["m2"]);
   });
@@ -194,17 +196,17 @@
     const isLost = (id: string) => id === "head" || id === "m2";
     const [, toMember] = closer.getDueOrders(0, replica, TIMES, isLost);
     expect(toMember?.receiver.instanceId).toBe("m1");
-    expect(closer.isOver(10, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(10, replica, TIMES)).toBe(false);
     closer.addOutcome(10, replica, toMember!, "done");
     expect(closer.getDueOrders(20, replica, TIMES, isLost)).toEqual([]);
-    expect(closer.getEndGround(20, replica, TIMES)).toBe("membersLeft");
+    expect(closer.getEndReason(20, replica, TIMES)).toBe("membersLeft");
     // While the head still answers, closing waits for it.
     const answering = setUp(false);
     const [, toM1, toM2] = answering.closer.getDueOrders(0, replica, TIMES, isNeverSilent);
     answering.closer.addOutcome(10, replica, toM1!, "done");
     answering.closer.addOutcome(10, replica, toM2!, "done");
     answering.closer.getDueOrders(20, replica, TIMES, isNeverSilent);
-    expect(answering.closer.isOver(20, replica, TIMES)).toBe(false);
+    expect(answering.closer.hasEnded(20, replica, TIMES)).toBe(false);
   });
 
   it("orders the head and the members that report to leave, each once", () => {
@@ -214,7 +216,7 @@
     expect(orders.map((due) => due.receiver.instanceId)).toEqual(["head", "m1"]);
     closer.addOutcome(1_000, replica, orders[1]!, "unanswered");
     expect(closer.getDueOrders(1_000, replica, TIMES, isMemberSilent).length).toBe(1);
-    expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+    expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
   });
 
   it("treats a refused connection as no proof that the head has ended, since others may still reach it", () => {
@@ -222,13 +224,13 @@
       const { closer } = setUp(drains);
       const [first] = closer.getDueOrders(0, replica, TIMES, isNeverSilent);
       closer.addOutcome(10, replica, first!, "absent");
-      expect(closer.isOver(10, replica, TIMES)).toBe(false);
+      expect(closer.hasEnded(10, replica, TIMES)).toBe(false);
       const orders = closer.getDueOrders(1_000, replica, TIMES, isHeadSilent);
       const toMember = orders.find((due) => due.receiver.instanceId !== "head")!;
       closer.addOutcome(1_010, replica, toMember, "absent");
-      expect(closer.isOver(60_000, replica, TIMES)).toBe(false);
+      expect(closer.hasEnded(60_000, replica, TIMES)).toBe(false);
       closer.addOutcome(1_020, replica, toMember, "done");
-      expect(closer.isOver(1_020 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+      expect(closer.hasEnded(1_020 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     }
   });
 
@@ -246,7 +248,7 @@
     const orders = closer.getDueOrders(0, replica, TIMES, isHeadSilent);
     expect(orders.map((due) => due.order.kind)).toEqual(["leave", "leave", "leave"]);
     closer.addOutcome(100, replica, orders[1]!, "done");
-    expect(closer.isOver(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
+    expect(closer.hasEnded(100 + TIMES.stallMs + 1_000, replica, TIMES)).toBe(true);
     const closed = setUp(true);
     const [close] = closed.closer.getDueOrders(0, replica, TIMES, isNeverSilent);
     closed.closer.addOutcome(1_000, replica, close!, "unanswered");
