--- a/src/declaration/Declaration.ts
+++ b/src/declaration/Declaration.ts
@@ -29,7 +29,7 @@
   /** Objective for the longest gap between two events of a stream; `undefined` if none is declared. */
   readonly gapObjectiveMs: number | undefined;
   /** Time without an event after which callers abandon a stream; `undefined` if unknown. */
-  readonly callerPatienceMs?: number | undefined;
+  readonly callerTimeoutMs?: number | undefined;
   /** Priority rank; 0 is served first. */
   readonly priority: number;
   readonly split: readonly SplitShare[];
--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -207,8 +207,8 @@
  * Asserts that an internal invariant holds.
  * @throws BrokenInvariant
  */
-export function throwIfBroken(holds: boolean, invariant: string, value: unknown): asserts holds {
-  if (!holds) throw new BrokenInvariant({ invariant, value });
+export function assertInvariant(condition: boolean, invariant: string, value: unknown): asserts condition {
+  if (!condition) throw new BrokenInvariant({ invariant, value });
 }
 
 /** Thrown if a declaration is invalid. The whole declaration is refused. */
--- a/src/ids/Life.ts
+++ b/src/ids/Incarnation.ts
@@ -10,25 +10,25 @@
 import type { Brand } from "effect";
 
 /** Id of an instance and start time of one of its incarnations. */
-export interface Life {
+export interface Incarnation {
   readonly instanceId: string;
   /** Unix milliseconds by the instance's own clock; 0 if the instance does not report it. */
   readonly born: number;
 }
 
 /** Text that identifies an incarnation. */
-export type LifeKey = string & Brand.Brand<"IncarnationKey">;
+export type IncarnationKey = string & Brand.Brand<"IncarnationKey">;
 
 /** Separates the instance id from the start time. */
 const SEPARATOR = "@";
 
 /** Gets the key of an incarnation: the instance id alone if the start time is not reported. */
-export function getLifeKey({ instanceId, born }: Life): LifeKey {
-  return (born === 0 ? instanceId : `${instanceId}${SEPARATOR}${born}`) as LifeKey;
+export function getIncarnationKey({ instanceId, born }: Incarnation): IncarnationKey {
+  return (born === 0 ? instanceId : `${instanceId}${SEPARATOR}${born}`) as IncarnationKey;
 }
 
 /** Gets the incarnation of an instance that a key identifies. */
-export function parseLifeKey(instanceId: string, key: string): Life {
+export function parseIncarnationKey(instanceId: string, key: string): Incarnation {
   if (key === instanceId) return { instanceId, born: 0 };
   return { instanceId, born: Number(key.slice(instanceId.length + SEPARATOR.length)) };
 }
