--- a/src/cli/OperatorClient.ts
+++ b/src/cli/OperatorClient.ts
@@ -1,4 +1,4 @@
-/** Calls of an operator's terminal to the control leader. */
+/** A client for the calls of operators to the control leader. */
 import { SystemClock } from "../clock";
 import {
   type ApplyRequest,
@@ -13,18 +13,18 @@
 import { LeaderClient, TransportPool } from "../rpc";
 import { readSecret } from "../settings";
 
-/** How operators reach the system. */
+/** Connection options of the operator commands. */
 export interface OperatorOptions {
-  /** host:port of operators' interfaces, comma separated. */
+  /** Addresses of the operator interfaces of control processes, host:port, separated by commas. */
   readonly control: string;
   readonly secretFile: string;
-  /** Longest time that a command may take, seconds. */
+  /** Maximum duration of a command, seconds. */
   readonly timeout: string;
 }
 
 const MS_PER_SECOND = 1_000;
 
-/** A client of the operators' interface. */
+/** A client of the operator interface. */
 export class OperatorClient {
   private readonly _client: LeaderClient<typeof OperatorService>;
   private readonly _totalMs: number;
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Makes a client.
-   * @throws InvalidFile - When the secret can't be read.
+   * Creates a client.
+   * @throws InvalidFile - When the secret file cannot be read.
    */
   static async create(options: OperatorOptions): Promise<OperatorClient> {
     const secret = await readSecret(options.secretFile);
@@ -46,7 +46,7 @@
     return new OperatorClient(client, Number(options.timeout) * MS_PER_SECOND);
   }
 
-  /** Gets the newest configuration, or one version of it. */
+  /** Gets a version of the configuration; 0 gets the newest one. */
   async getConfiguration(version = 0): Promise<ConfigurationVersion | undefined> {
     const call = await this._client.call(
       (c, timeoutMs) => c.getConfiguration({ version }, { timeoutMs }),
@@ -55,12 +55,12 @@
     return call.configuration;
   }
 
-  /** Applies a change; a resend with the same change id gets the first answer. */
+  /** Applies a change. Applying the same change id again returns the first outcome. */
   apply(request: Omit<ApplyRequest, "$typeName" | "$unknown">): Promise<ApplyResponse> {
     return this._client.call((client, timeoutMs) => client.apply(request, { timeoutMs }), this._totalMs);
   }
 
-  /** Asks whether a version is in force on every entry. */
+  /** Checks whether a version is in force on every entry. */
   getInForce(version: number): Promise<InForceResponse> {
     return this._client.call(
       (client, timeoutMs) => client.inForce({ version }, { timeoutMs }),
@@ -68,7 +68,7 @@
     );
   }
 
-  /** Gets the newest changes. */
+  /** Gets the newest versions of the configuration. */
   getHistory(limit: number): Promise<HistoryResponse> {
     return this._client.call((client, timeoutMs) => client.history({ limit }, { timeoutMs }), this._totalMs);
   }
@@ -78,7 +78,7 @@
     return this._client.call((client, timeoutMs) => client.status({}, { timeoutMs }), this._totalMs);
   }
 
-  /** Gets the service-level windows and the losses. */
+  /** Gets the service-level windows, and the losses by model, failure domain and cause. */
   getBurn(): Promise<BurnResponse> {
     return this._client.call((client, timeoutMs) => client.burn({}, { timeoutMs }), this._totalMs);
   }
--- a/src/cli/configurationCommands.ts
+++ b/src/cli/configurationCommands.ts
@@ -1,4 +1,4 @@
-/** The commands around the agreed configuration: `check`, `apply`, `history`. */
+/** The commands for the committed configuration: `check`, `apply` and `history`. */
 
 import { randomUUID } from "node:crypto";
 import { userInfo } from "node:os";
@@ -24,30 +24,30 @@
   readonly operator?: string;
 }
 
-const WAIT_POLL_MS = 100;
+const IN_FORCE_POLL_MS = 100;
 
-/** Adds the commands around the configuration. */
+/** Adds the commands `check`, `apply` and `history`. */
 export function addConfigurationCommands(program: Command): void {
   program
     .command("check")
-    .description("find every fault of a configuration or of a process's settings")
-    .argument("<file>", "TOML file; settings are told by their [process] table")
+    .description("check a configuration or the settings of a process, and list all faults")
+    .argument("<file>", "TOML file; a [process] table marks it as settings")
     .option("--json", "print faults as JSON")
     .action((file: string, options: { json?: true }) => check(file, options.json === true));
   addOperatorOptions(program.command("apply"))
-    .description("make a configuration the newest one")
+    .description("apply a configuration as the newest version")
     .argument("<file>", "TOML file of the whole configuration")
-    .option("--yes", "do not ask")
-    .option("--wait", "return once it is in force on every entry")
-    .option("--base <version>", "version that the change is based on; the newest one otherwise")
-    .option("--change-id <id>", "the same id for a resend of the same change")
-    .option("--operator <name>", "who makes the change")
+    .option("--yes", "apply without confirmation")
+    .option("--wait", "wait until the version is in force on every entry")
+    .option("--base <version>", "version that the change is based on; by default the newest")
+    .option("--change-id <id>", "id of the change; use the same id to send a change again")
+    .option("--operator <name>", "name of the operator; by default the current user")
     .option("--json", "print the outcome as JSON")
     .addHelpText("after", "\nExample:\n  ploverstage apply examples/casablanca.toml --wait")
     .action((file: string, options: ApplyOptions) => apply(file, options));
   addOperatorOptions(program.command("history"))
-    .description("show who changed the configuration when")
-    .option("--limit <count>", "newest changes to show", "20")
+    .description("show the versions of the configuration, with operator and time")
+    .option("--limit <count>", "number of versions to show, the newest first", "20")
     .option("--version-text <version>", "print the text of one version")
     .option("--json", "print as JSON")
     .action((options: OperatorOptions & { limit: string; versionText?: string; json?: true }) =>
@@ -95,17 +95,17 @@
     operator: options.operator ?? userInfo().username,
     text,
   });
-  reportOutcome(response, file, options.json === true);
+  printOutcome(response, file, options.json === true);
   if (response.outcome === ApplyOutcome.ACCEPTED && options.wait) {
-    await waitInForce(client, response.version, Number(options.timeout));
+    await waitUntilInForce(client, response.version, Number(options.timeout));
   }
 }
 
 async function confirmChange(before: string, after: string, version: number, file: string): Promise<boolean> {
   const diff = diffConfiguration(before, after, `version ${version}`, basename(file));
-  printLine(diff === "" ? "no difference" : diff);
+  printLine(diff === "" ? "no changes" : diff);
   if (!process.stdin.isTTY) {
-    printError("not a terminal: say --yes to apply without being asked");
+    printError("standard input is not a terminal; use --yes to apply without confirmation");
     return false;
   }
   const terminal = createInterface({ input: process.stdin, output: process.stdout });
@@ -114,7 +114,7 @@
   return answer.trim().toLowerCase() === "y";
 }
 
-function reportOutcome(response: ApplyResponse, file: string, isJson: boolean): void {
+function printOutcome(response: ApplyResponse, file: string, isJson: boolean): void {
   const outcome = ApplyOutcome[response.outcome].toLowerCase();
   if (response.outcome !== ApplyOutcome.ACCEPTED) process.exitCode = EXIT.failure;
   if (isJson) {
@@ -125,12 +125,12 @@
   for (const fault of response.faults) printError(`${file}:${fault.line}: ${fault.path}: ${fault.message}`);
   if (response.outcome === ApplyOutcome.CONFLICT) {
     printError(
-      `refused: ${response.winner} made version ${response.version} first; look at it and apply again`,
+      `refused: ${response.winner} applied version ${response.version} first; review it and apply again`,
     );
   }
 }
 
-async function waitInForce(client: OperatorClient, version: number, timeoutS: number): Promise<void> {
+async function waitUntilInForce(client: OperatorClient, version: number, timeoutS: number): Promise<void> {
   const endAt = performance.now() + timeoutS * 1_000;
   for (;;) {
     const answer = await client.getInForce(version);
@@ -139,11 +139,13 @@
       return;
     }
     if (performance.now() > endAt) {
-      printError(`version ${version} is accepted, but not yet in force on: ${answer.waitingFor.join(", ")}`);
+      printError(
+        `version ${version} was accepted but is not yet in force on: ${answer.waitingFor.join(", ")}`,
+      );
       process.exitCode = EXIT.failure;
       return;
     }
-    await pause(WAIT_POLL_MS);
+    await pause(IN_FORCE_POLL_MS);
   }
 }
 
@@ -153,7 +155,7 @@
   const client = await OperatorClient.create(options);
   if (options.versionText !== undefined) {
     const found = await client.getConfiguration(Number(options.versionText));
-    printLine(found?.text || "the text of this version is no longer kept");
+    printLine(found?.text || "the text of this version is no longer stored");
     return;
   }
   const { versions } = await client.getHistory(Number(options.limit));
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,4 +1,4 @@
-/** The command `explain`: where service was lost, out of the processes' logs. */
+/** The command `explain`, which reports service losses from the logs of processes. */
 import { readFile } from "node:fs/promises";
 import type { Command } from "commander";
 import { createExplanation, type Explanation, readDecisionLog } from "../explain";
@@ -9,14 +9,14 @@
   readonly all?: true;
 }
 
-/** Adds the command. */
+/** Adds the command `explain`. */
 export function addExplainCommand(program: Command): void {
   program
     .command("explain")
-    .argument("<log...>", "logs of entries and control processes, of the time in question")
-    .description("where service was lost: by second and cause, model, failed attempt and idle instance")
+    .argument("<log...>", "log files of entries and control processes")
+    .description("report lost service by second and cause, model, failed attempt and idle instance")
     .option("--json", "print as JSON")
-    .option("--all", "also seconds in which nothing was lost")
+    .option("--all", "also show seconds in which all requests were answered in time")
     .addHelpText("after", "\nExample:\n  ploverstage explain entry-*.log control-*.log")
     .action(async (files: string[], options: ExplainOptions) => explain(files, options));
 }
@@ -27,12 +27,12 @@
   const explanation = createExplanation(log);
   if (options.json) printJson(explanation);
   else printExplanation(explanation, options.all === true);
-  printLine(`${log.requests.length} requests; ${log.otherLines} lines say something else`);
+  printLine(`${log.requests.length} requests; ${log.skippedLines} other lines skipped`);
 }
 
 function printExplanation(explanation: Explanation, showsAll: boolean): void {
   printSeconds(explanation, showsAll);
-  printLine("\nSeconds in which less than half was answered");
+  printLine("\nPeriods in which more than half of the requests were refused or cut");
   printTable(
     ["FROM", "SECONDS", "LOST", "MOSTLY"],
     explanation.blackouts.map(({ from, seconds, lost, mainCause }) => [
@@ -49,7 +49,7 @@
     explanation.attempts.map(({ count, meanMs, reason }) => [String(count), String(meanMs), reason]),
   );
   printIdle(explanation);
-  printLine("\nLives of instances that were held for ended");
+  printLine("\nInstance incarnations that ended");
   printTable(
     ["AT", "INSTANCE", "STARTED", "GROUND"],
     explanation.endedLives.map(({ time, instance, born, ground }) => [
@@ -75,7 +75,7 @@
 }
 
 function printModels({ models }: Explanation): void {
-  printLine("\nFirst events, and whole answers of plain services, against their objective");
+  printLine("\nTime to the first event (whole answer for plain services) against the objective");
   printTable(
     ["MODEL", "ANSWERED", "LATE", "P50 MS", "P90 MS", "P99 MS", "REFUSED", "CUT"],
     models.map((row) => [
@@ -91,7 +91,7 @@
   const idleS = idle.reduce((sum, span) => sum + span.idle * span.seconds, 0);
   printLine(`\nInstances in no serving replica: ${idleS.toFixed(0)} instance-seconds`);
   printTable(
-    ["FROM", "SECONDS", "PRESENT", "SERVING", "IDLE", "REPLICAS", "GIVEN UP"],
+    ["FROM", "SECONDS", "PRESENT", "SERVING", "IDLE", "REPLICAS", "RETIRED BECAUSE"],
     idle.map((span) => [
       span.from.slice(11, 23),
       span.seconds.toFixed(1),
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** The one binary: parses arguments, runs a command, turns errors into exit codes. */
+/** The command-line program: parses arguments, runs a command and maps errors to exit codes. */
 import { Command, CommanderError } from "commander";
 import { InvalidFile } from "../errors";
 import { VERSION } from "../version";
@@ -9,15 +9,15 @@
 import { addReportCommands } from "./reportCommands";
 import { addStatusCommand } from "./statusCommand";
 
-/** Runs the command that the arguments name. */
+/** Runs the command named by the arguments. */
 export async function main(argv: readonly string[]): Promise<void> {
-  process.stdout.on("error", endWithReader);
+  process.stdout.on("error", exitOnBrokenPipe);
   const program = new Command("ploverstage")
     .description("serves language models that span several instances")
     .version(VERSION)
     .exitOverride()
     .showHelpAfterError("(see ploverstage --help)")
-    .addHelpText("after", "\nExit codes: 0 done, 1 failed, 2 wrong usage, settings or configuration");
+    .addHelpText("after", "\nExit codes: 0 success, 1 failure, 2 invalid usage, settings or configuration");
   addProcessCommands(program);
   addConfigurationCommands(program);
   addStatusCommand(program);
@@ -27,23 +27,23 @@
   try {
     await program.parseAsync([...argv]);
   } catch (cause) {
-    process.exitCode = reportFailure(cause);
+    process.exitCode = printFailure(cause);
   }
 }
 
-/** A reader such as `head` that has seen enough closes its end. */
-function endWithReader(cause: NodeJS.ErrnoException): void {
+/** Exits with success when the reader of a pipe, such as `head`, closes it early. */
+function exitOnBrokenPipe(cause: NodeJS.ErrnoException): void {
   if (cause.code !== "EPIPE") throw cause;
   process.exit(EXIT.ok);
 }
 
-/** Errors of subcommands come here too, however deep they are. */
+/** Makes all nested subcommands throw their errors instead of exiting. */
 function setExitOverride(command: Command): void {
   command.exitOverride();
   command.commands.forEach(setExitOverride);
 }
 
-function reportFailure(cause: unknown): number {
+function printFailure(cause: unknown): number {
   if (cause instanceof CommanderError) return cause.exitCode === 0 ? EXIT.ok : EXIT.usage;
   if (cause instanceof InvalidFile) {
     printError(cause.message);
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,25 +1,25 @@
-/** What commands print. */
+/** Output functions and exit codes of the commands. */
 import Table from "cli-table3";
 
 /** Exit codes of all commands. */
 export const EXIT = { ok: 0, failure: 1, usage: 2 } as const;
 
-/** Prints a line. */
+/** Prints a line to standard output. */
 export function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** Prints a line of an error. */
+/** Prints a line to standard error. */
 export function printError(line: string): void {
   process.stderr.write(`${line}\n`);
 }
 
-/** Prints a value as one JSON line. */
+/** Prints a value as one line of JSON. */
 export function printJson(value: unknown): void {
   printLine(JSON.stringify(value));
 }
 
-/** Prints rows under headings, without lines. */
+/** Prints a table without borders. */
 export function printTable(head: readonly string[], rows: readonly (readonly string[])[]): void {
   const table = new Table({
     head: [...head],
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -1,4 +1,7 @@
-/** The commands that run a process: `control`, `entry`, and `init` before the first one. */
+/**
+ * The commands that run a process, `control` and `entry`, and `init`, which creates the data folder of a
+ * control process.
+ */
 import type { Command } from "commander";
 import { Effect, type Scope } from "effect";
 import { initializeDataFolder, startControlProcess } from "../control";
@@ -8,21 +11,21 @@
 import { readControlSettings, readEntrySettings, readSecret } from "../settings";
 import { EXIT, printLine } from "./output";
 
-/** Adds the commands that run processes. */
+/** Adds the commands `init`, `control` and `entry`. */
 export function addProcessCommands(program: Command): void {
   program
     .command("init")
-    .description("make the data folder of one of the first control processes; once, before they first start")
+    .description("create the data folder of a bootstrap member; once, before its first start")
     .requiredOption("--settings <file>", "settings of the control process")
     .action(async (options: { settings: string }) => initialize(options.settings));
   program
     .command("control")
-    .description("run a control process; with an empty data folder it joins as a learner")
+    .description("run a control process; it joins as a learner if its data folder is empty")
     .requiredOption("--settings <file>", "settings of the control process")
     .action((options: { settings: string }) => runControl(options.settings));
   program
     .command("entry")
-    .description("run an entry process; SIGTERM is a planned stop that cuts nothing")
+    .description("run an entry process; SIGTERM stops it without cutting requests")
     .requiredOption("--settings <file>", "settings of the entry process")
     .action((options: { settings: string }) => runEntry(options.settings));
 }
@@ -30,7 +33,7 @@
 async function initialize(file: string): Promise<void> {
   const settings = await readControlSettings(file);
   await initializeDataFolder(settings, await readSecret(settings.secrets.clusterFile));
-  printLine(`made ${settings.control.dataFolder} for ${settings.process.name}`);
+  printLine(`created ${settings.control.dataFolder} for ${settings.process.name}`);
 }
 
 async function runControl(file: string): Promise<void> {
@@ -43,7 +46,7 @@
   };
   const logger = createLogger(settings.log.level, { role: "control", name: settings.process.name });
   const metrics = createMetrics(settings.metrics, "control", settings.process.name);
-  // Storage that failed or an invariant that broke: a restart is safer than going on.
+  // Storage failed or an invariant is violated. A restart is safer than continuing with that state.
   const onFatal = (cause: unknown) => {
     logger.fatal({ event: "control_failed", reason: String(cause) });
     process.exit(EXIT.failure);
@@ -77,19 +80,19 @@
     : new StatsdMetrics(server.host, server.port, { role, name });
 }
 
-/** Runs what was started until a stop signal, then stops it in the opposite order. */
+/** Runs a program until a stop signal, then releases its resources in reverse order. */
 async function runUntilStopped(
   start: Effect.Effect<unknown, unknown, Scope.Scope>,
   metrics: Metrics,
   logger: Logger,
   signals: ProcessSignals,
 ): Promise<void> {
-  const all = Effect.gen(function* () {
+  const program = Effect.gen(function* () {
     yield* start;
     yield* reportResources(metrics);
   });
   try {
-    await runProcess(all, logger, signals);
+    await runProcess(program, logger, signals);
   } finally {
     metrics.close();
   }
--- a/src/cli/reportCommands.ts
+++ b/src/cli/reportCommands.ts
@@ -1,4 +1,4 @@
-/** The commands that make reports: `report burn`. */
+/** The commands that create reports: `report burn`. */
 import { writeFile } from "node:fs/promises";
 import type { Command } from "commander";
 import { type BurnReport, createBurnReport, type Objective, renderBurnHtml } from "../burn";
@@ -12,13 +12,15 @@
   readonly html?: string;
 }
 
-/** Adds the commands. */
+/** Adds the command `report burn`. */
 export function addReportCommands(program: Command): void {
-  const report = program.command("report").description("make a report");
+  const report = program.command("report").description("create a report");
   addOperatorOptions(report.command("burn"))
-    .description("service-level burn by organisation and class, with downtime and stranded accelerators")
+    .description(
+      "report error budget burn rates by organisation and class, with downtime and stranded accelerators",
+    )
     .option("--json", "print as JSON")
-    .option("--html <file>", "write one self-contained page with plots")
+    .option("--html <file>", "write a self-contained HTML page with plots")
     .addHelpText("after", "\nExample:\n  ploverstage report burn --html burn.html")
     .action(async (options: BurnOptions) => showBurn(options));
 }
@@ -57,7 +59,7 @@
     row.alert ?? "-",
   ]);
   const head = ["ORGANISATION", "CLASS", "OBJECTIVE", ...spans.map((span) => `BURN ${span.minutes}M`)];
-  if (rows.length === 0) printLine("no requests were counted");
+  if (rows.length === 0) printLine("no requests recorded");
   else printTable([...head, "FIRST TOKEN P50/95/99 MS", "ALERT"], rows);
   const losses = report.losses.map((loss) => [
     loss.model,
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -1,4 +1,4 @@
-/** The command `status`: what is wrong first, then replicas, instances, entries, members. */
+/** The command `status`, which shows problems first, then replicas, instances, entries and members. */
 
 import { toJson } from "@bufbuild/protobuf";
 import type { Command } from "commander";
@@ -8,10 +8,10 @@
 import { addOperatorOptions } from "./operatorOptions";
 import { printJson, printLine, printTable } from "./output";
 
-/** Adds the command. */
+/** Adds the command `status`. */
 export function addStatusCommand(program: Command): void {
   addOperatorOptions(program.command("status"))
-    .description("show what is wrong, then replicas, stranded instances, entries and control processes")
+    .description("show problems, then replicas, stranded instances, entries and control processes")
     .option("--all", "show every instance, not only the stranded ones")
     .option("--json", "print as JSON")
     .action(async (options: OperatorOptions & { all?: true; json?: true }) => {
@@ -23,7 +23,7 @@
 }
 
 function printStatus(status: StatusResponse, showsAll: boolean): void {
-  if (status.problems.length === 0) printLine("nothing is wrong");
+  if (status.problems.length === 0) printLine("no problems found");
   for (const problem of status.problems) printLine(`! ${problem}`);
   printLine(
     `\nconfiguration ${status.configurationVersion}, term ${status.term}, log index ${status.logIndex}\n`,
--- a/src/explain/DecisionLog.ts
+++ b/src/explain/DecisionLog.ts
@@ -1,9 +1,9 @@
 /**
- * Reads the log lines of entries and control processes that say how requests ended and what became
- * of replicas.
+ * Reads the log lines of entries and control processes that record how requests ended, how replicas changed
+ * phase, how many instances were present and which instance incarnations ended.
  *
- * Lines of several processes may stand in one file, in any order, each with anything before its
- * JSON. What is no such line is passed over and counted.
+ * The input may mix lines of several processes in any order, and each line may have a prefix before its JSON.
+ * Other lines are skipped and counted.
  */
 import { Result, Schema } from "effect";
 
@@ -40,14 +40,14 @@
   reason: Schema.String,
 });
 
-const SizedGroups = Schema.Struct({
+const InstanceCounts = Schema.Struct({
   event: Schema.Literal("groups_sized"),
   time: Schema.String,
   service: Schema.String,
   instances: Schema.Record(Schema.String, Schema.Finite),
 });
 
-const EndedLife = Schema.Struct({
+const EndedIncarnation = Schema.Struct({
   event: Schema.Literal("life_ended"),
   time: Schema.String,
   instance: Schema.String,
@@ -55,52 +55,52 @@
   ground: Schema.String,
 });
 
-/** How a request ended at an entry. */
+/** A request that ended at an entry, with its outcome. */
 export type EndedRequest = typeof EndedRequest.Type;
-/** A replica that was formed, or moved to another phase. */
+/** A replica that was formed or moved to another phase. */
 export type ReplicaChange = typeof FormedReplica.Type | typeof MovedReplica.Type;
-/** Instances present, by fabric domain. */
-export type SizedGroups = typeof SizedGroups.Type;
+/** The number of instances present in each fabric domain of a service. */
+export type InstanceCounts = typeof InstanceCounts.Type;
 
-/** A life of an instance that the leader held for ended, and why. */
-export type EndedLife = typeof EndedLife.Type;
+/** An instance incarnation that the leader marked as ended, and the cause. */
+export type EndedIncarnation = typeof EndedIncarnation.Type;
 
-/** What was read, by time. */
+/** Decoded log lines, each kind sorted by time. */
 export interface DecisionLog {
   readonly requests: readonly EndedRequest[];
   readonly replicaChanges: readonly ReplicaChange[];
-  readonly sizings: readonly SizedGroups[];
-  readonly endedLives: readonly EndedLife[];
-  /** Lines that were passed over. */
-  readonly otherLines: number;
+  readonly instanceCounts: readonly InstanceCounts[];
+  readonly endedLives: readonly EndedIncarnation[];
+  /** Number of lines that were not decoded. */
+  readonly skippedLines: number;
 }
 
 const decodeLine = Schema.decodeUnknownResult(
-  Schema.Union([EndedRequest, FormedReplica, MovedReplica, SizedGroups, EndedLife]),
+  Schema.Union([EndedRequest, FormedReplica, MovedReplica, InstanceCounts, EndedIncarnation]),
 );
 
-/** Reads lines. */
+/** Decodes log lines. */
 export function readDecisionLog(lines: Iterable<string>): DecisionLog {
   const requests: EndedRequest[] = [];
   const replicaChanges: ReplicaChange[] = [];
-  const sizings: SizedGroups[] = [];
-  const endedLives: EndedLife[] = [];
-  let otherLines = 0;
+  const instanceCounts: InstanceCounts[] = [];
+  const endedIncarnations: EndedIncarnation[] = [];
+  let skippedLines = 0;
   for (const line of lines) {
     const decoded = decodeLine(parseLine(line));
-    if (Result.isFailure(decoded)) otherLines += 1;
+    if (Result.isFailure(decoded)) skippedLines += 1;
     else if (decoded.success.event === "request_ended") requests.push(decoded.success);
-    else if (decoded.success.event === "groups_sized") sizings.push(decoded.success);
-    else if (decoded.success.event === "life_ended") endedLives.push(decoded.success);
+    else if (decoded.success.event === "groups_sized") instanceCounts.push(decoded.success);
+    else if (decoded.success.event === "life_ended") endedIncarnations.push(decoded.success);
     else replicaChanges.push(decoded.success);
   }
   const byTime = (a: { readonly time: string }, b: { readonly time: string }) => (a.time < b.time ? -1 : 1);
   return {
     requests: requests.sort(byTime),
     replicaChanges: replicaChanges.sort(byTime),
-    sizings: sizings.sort(byTime),
-    endedLives: endedLives.sort(byTime),
-    otherLines,
+    instanceCounts: instanceCounts.sort(byTime),
+    endedLives: endedIncarnations.sort(byTime),
+    skippedLines,
   };
 }
 
@@ -110,7 +110,7 @@
   try {
     return JSON.parse(line.slice(start));
   } catch {
-    // Not a log line, or one that was cut: it is counted as passed over.
+    // The line is not JSON or was truncated; the caller counts it as skipped.
     return undefined;
   }
 }
--- a/src/explain/Explanation.ts
+++ b/src/explain/Explanation.ts
@@ -1,25 +1,25 @@
 /**
- * Where service was lost in the time of a decision log: by second and cause, by model, by failed
- * attempts, and in instances that served nobody. Pure.
+ * Reports the service lost during the time of a decision log: by second and cause, by model, by failed
+ * attempt, and as instances in no serving replica. All functions are pure.
  */
-import type { DecisionLog, EndedLife, EndedRequest } from "./DecisionLog";
+import type { DecisionLog, EndedIncarnation, EndedRequest } from "./DecisionLog";
 import { createIdleSpans, type IdleSpan } from "./idleInstances";
 import { getPercentile } from "./percentiles";
 
-/** What became of a request. */
-type Fate = "inTime" | "lateStart" | "lateGap" | "cut" | "refused";
+/** The outcome of a request, measured against its latency objectives. */
+type RequestResult = "inTime" | "lateStart" | "lateGap" | "cut" | "refused";
 
-/** Requests that arrived within one second. */
+/** Requests that arrived within the same second. */
 export interface SecondRow {
-  /** Wall time of its beginning, ISO 8601. */
+  /** Start of the second as wall-clock time, ISO 8601. */
   readonly at: string;
   readonly arrived: number;
-  readonly fates: Readonly<Record<Fate, number>>;
-  /** The commonest code or reason among those not answered in time. */
+  readonly fates: Readonly<Record<RequestResult, number>>;
+  /** The most frequent code or reason among the requests that were not answered in time. */
   readonly mainCause: string;
 }
 
-/** Seconds in a row in which less than half of what arrived was answered. */
+/** Consecutive seconds in which more than half of the requests that arrived were refused or cut. */
 export interface Blackout {
   readonly from: string;
   readonly seconds: number;
@@ -27,9 +27,11 @@
   readonly mainCause: string;
 }
 
-/** First events, or whole answers, of one model against their objective. */
+/**
+ * Times to the first event, or to the whole answer, of one model's requests, compared with their objective.
+ */
 export interface ModelRow {
-  /** "" for plain services. */
+  /** Empty for plain services. */
   readonly model: string;
   readonly answered: number;
   readonly lateShare: number;
@@ -40,31 +42,31 @@
   readonly cut: number;
 }
 
-/** Failed attempts of one kind. */
+/** Failed attempts with the same reason. */
 export interface AttemptRow {
   readonly reason: string;
   readonly count: number;
   readonly meanMs: number;
 }
 
-/** Everything that is told. */
+/** All tables of the report. */
 export interface Explanation {
   readonly seconds: readonly SecondRow[];
   readonly blackouts: readonly Blackout[];
   readonly models: readonly ModelRow[];
   readonly attempts: readonly AttemptRow[];
   readonly idle: readonly IdleSpan[];
-  /** Lives of instances that were held for ended, by time. */
-  readonly endedLives: readonly EndedLife[];
+  /** Instance incarnations that the leader marked as ended, sorted by time. */
+  readonly endedLives: readonly EndedIncarnation[];
 }
 
 const SECOND_MS = 1_000;
-/** Refusals that say something of the request and nothing of the service. */
-const CALLERS_FAULTS: ReadonlySet<string> = new Set(["no_route", "unknown_key", "caller_gone"]);
+/** Refusals caused by the request or its caller; they are not counted as lost service. */
+const CALLER_ERROR_CODES: ReadonlySet<string> = new Set(["no_route", "unknown_key", "caller_gone"]);
 
-/** Explains a log. */
+/** Creates the report of a decision log. */
 export function createExplanation(log: DecisionLog): Explanation {
-  const requests = log.requests.filter((request) => !CALLERS_FAULTS.has(request.code));
+  const requests = log.requests.filter((request) => !CALLER_ERROR_CODES.has(request.code));
   const seconds = createSeconds(requests);
   return {
     seconds,
@@ -76,7 +78,7 @@
   };
 }
 
-function getFate(request: EndedRequest): Fate {
+function getResult(request: EndedRequest): RequestResult {
   if (request.outcome !== "done") return request.outcome;
   if ((request.firstEventMs ?? request.took_ms) > request.objective_ms) return "lateStart";
   const isSlow = (request.longestGapMs ?? 0) > (request.gap_objective_ms ?? Number.POSITIVE_INFINITY);
@@ -86,11 +88,11 @@
 function getCause(request: EndedRequest): string {
   const reason = request.failures?.at(-1)?.reason;
   if (request.code !== "") return request.code;
-  return reason === undefined ? getFate(request) : simplify(reason);
+  return reason === undefined ? getResult(request) : replaceNumbers(reason);
 }
 
-/** Reasons that differ in figures alone are of one kind. */
-function simplify(reason: string): string {
+/** Replaces numbers, so that reasons that differ only in their figures are counted together. */
+function replaceNumbers(reason: string): string {
   return reason.replace(/\d+(\.\d+)*(:\d+)?/g, "N");
 }
 
@@ -102,12 +104,14 @@
     .sort(([a], [b]) => Number(a) - Number(b))
     .map(([second, arrived]) => {
       const fates = { inTime: 0, lateStart: 0, lateGap: 0, cut: 0, refused: 0 };
-      for (const request of arrived) fates[getFate(request)] += 1;
+      for (const request of arrived) fates[getResult(request)] += 1;
       return {
         at: new Date(Number(second) * SECOND_MS).toISOString(),
         arrived: arrived.length,
         fates,
-        mainCause: getCommonest(arrived.filter((request) => getFate(request) !== "inTime").map(getCause)),
+        mainCause: getMostFrequent(
+          arrived.filter((request) => getResult(request) !== "inTime").map(getCause),
+        ),
       };
     });
 }
@@ -119,22 +123,22 @@
     const lost = row.fates.refused + row.fates.cut;
     if (lost * 2 <= row.arrived) continue;
     const last = blackouts.at(-1);
-    const follows = i > 0 && last !== undefined && seconds[i - 1]!.at === getEnd(last);
-    causes = follows ? [...causes, row.mainCause] : [row.mainCause];
+    const isConsecutive = i > 0 && last !== undefined && seconds[i - 1]!.at === getLastSecond(last);
+    causes = isConsecutive ? [...causes, row.mainCause] : [row.mainCause];
     const blackout = {
-      from: follows ? last.from : row.at,
-      seconds: follows ? last.seconds + 1 : 1,
-      lost: follows ? last.lost + lost : lost,
-      mainCause: getCommonest(causes),
+      from: isConsecutive ? last.from : row.at,
+      seconds: isConsecutive ? last.seconds + 1 : 1,
+      lost: isConsecutive ? last.lost + lost : lost,
+      mainCause: getMostFrequent(causes),
     };
-    if (follows) blackouts.pop();
+    if (isConsecutive) blackouts.pop();
     blackouts.push(blackout);
   }
   return blackouts;
 }
 
-/** Gets the last second of a blackout. */
-function getEnd({ from, seconds }: Blackout): string {
+/** Gets the start of the last second of a blackout. */
+function getLastSecond({ from, seconds }: Blackout): string {
   return new Date(Date.parse(from) + (seconds - 1) * SECOND_MS).toISOString();
 }
 
@@ -144,7 +148,7 @@
     .map(([model, all]) => {
       const answered = all.filter((request) => request.outcome === "done");
       const times = answered.map((request) => request.firstEventMs ?? request.took_ms).sort((a, b) => a - b);
-      const late = answered.filter((request) => getFate(request) !== "inTime");
+      const late = answered.filter((request) => getResult(request) !== "inTime");
       return {
         model,
         answered: answered.length,
@@ -160,7 +164,7 @@
 
 function createAttempts(requests: readonly EndedRequest[]): AttemptRow[] {
   const failures = requests.flatMap((request) => request.failures ?? []);
-  return [...groupBy(failures, (failure) => simplify(failure.reason))]
+  return [...groupBy(failures, (failure) => replaceNumbers(failure.reason))]
     .map(([reason, all]) => ({
       reason,
       count: all.length,
@@ -169,7 +173,7 @@
     .sort((a, b) => b.count - a.count);
 }
 
-function getCommonest(values: readonly string[]): string {
+function getMostFrequent(values: readonly string[]): string {
   const counts = [...groupBy(values, (value) => value)].sort(([, a], [, b]) => b.length - a.length);
   return counts[0]?.[0] ?? "";
 }
--- a/src/explain/idleInstances.ts
+++ b/src/explain/idleInstances.ts
@@ -1,29 +1,29 @@
-/** Instances that were present and in no replica that served, over time. Pure. */
+/** Computes how many instances were present but in no serving replica, over time. All functions are pure. */
 import type { DecisionLog, ReplicaChange } from "./DecisionLog";
 
-/** A time in which the number of idle instances and serving replicas was the same. */
+/** A time span in which the number of idle instances and of serving replicas did not change. */
 export interface IdleSpan {
-  /** Wall time, ISO 8601. */
+  /** Start as wall-clock time, ISO 8601. */
   readonly from: string;
   readonly seconds: number;
   readonly present: number;
   readonly serving: number;
   readonly idle: number;
-  /** Serving replicas by model. */
+  /** Number of serving replicas by model. */
   readonly replicas: Readonly<Record<string, number>>;
-  /** Why replicas were given up since the span before. */
+  /** Reasons of the replicas that began to retire since the previous span. */
   readonly reasons: readonly string[];
 }
 
-interface KnownReplica {
+interface ReplicaState {
   readonly model: string;
   readonly size: number;
   isServing: boolean;
 }
 
-/** What is known after each change. */
+/** Replicas and present instances after the changes applied so far. */
 class FleetState {
-  private readonly _replicas = new Map<string, KnownReplica>();
+  private readonly _replicas = new Map<string, ReplicaState>();
   private readonly _present = new Map<string, number>();
   reasons: string[] = [];
 
@@ -38,9 +38,9 @@
       this._replicas.set(replica, { model, size: instances.length, isServing: false });
       return;
     }
-    const known = this._replicas.get(change.replica);
-    if (known === undefined) return;
-    known.isServing = change.phase === "SERVING";
+    const replica = this._replicas.get(change.replica);
+    if (replica === undefined) return;
+    replica.isServing = change.phase === "SERVING";
     if (change.phase === "RETIRING") this.reasons.push(change.reason);
   }
 
@@ -64,9 +64,9 @@
   }
 }
 
-/** Makes one span of each time between two changes that are a tenth of a second apart or more. */
-export function createIdleSpans({ replicaChanges, sizings }: DecisionLog): IdleSpan[] {
-  const changes = [...replicaChanges, ...sizings].sort((a, b) => (a.time < b.time ? -1 : 1));
+/** Creates a span for each interval between two consecutive changes that lasts at least 0.1 s. */
+export function createIdleSpans({ replicaChanges, instanceCounts }: DecisionLog): IdleSpan[] {
+  const changes = [...replicaChanges, ...instanceCounts].sort((a, b) => (a.time < b.time ? -1 : 1));
   const state = new FleetState();
   const spans: IdleSpan[] = [];
   for (const [i, change] of changes.entries()) {
@@ -80,5 +80,5 @@
   return spans;
 }
 
-/** Shorter spans are steps of one repair. */
+/** Shorter spans lie between the steps of a single repair. */
 const MIN_SPAN_S = 0.1;
--- a/src/metrics/BoundedLog.ts
+++ b/src/metrics/BoundedLog.ts
@@ -1,24 +1,24 @@
 /**
- * A log that never holds its process up.
+ * A log that does not block its process.
  *
- * Lines are written in the background. A reader that stalls costs lines beyond a bound,
- * never requests; how many were lost is told with the next line that gets through.
+ * Lines are written in the background. If the reader stalls, lines beyond a size limit are dropped and
+ * requests are not delayed. The number of dropped lines is logged once lines can be written again.
  */
 import { type DestinationStream, type Logger, pino } from "pino";
 import type { LogLevel } from "./logger";
 import type { Metrics } from "./Metrics";
 
-/** Lines that no reader takes are kept up to so many bytes. */
-const MAX_WAITING_BYTES = 1_000_000;
+/** Maximum size of buffered lines, bytes; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 1_000_000;
 const REPORT_MS = 1_000;
 
-/** Where a log goes, as far as its lines may be lost. */
+/** A log destination that may drop lines. */
 export interface LossyDestination extends DestinationStream {
   on(name: "drop", listener: (line: string) => void): unknown;
   flushSync(): void;
 }
 
-/** A process's log. */
+/** The log of a process, written without blocking. */
 export class BoundedLog {
   readonly logger: Logger;
   private readonly _destination: LossyDestination;
@@ -27,14 +27,14 @@
   private _dropped = 0;
 
   /**
-   * @param process - Kind and name of the process, on every line.
-   * @param destination - By default standard output.
+   * @param process - Role and name of the process, added to every line.
+   * @param destination - Standard output by default.
    */
   constructor(
     level: LogLevel,
     process: { readonly role: string; readonly name: string },
     metrics: Metrics,
-    destination: LossyDestination = pino.destination({ dest: 1, sync: false, maxLength: MAX_WAITING_BYTES }),
+    destination: LossyDestination = pino.destination({ dest: 1, sync: false, maxLength: MAX_BUFFERED_BYTES }),
   ) {
     this._metrics = metrics;
     this._destination = destination;
@@ -46,13 +46,13 @@
     this._timer = setInterval(() => this._report(), REPORT_MS).unref();
   }
 
-  /** Writes what waits; for the end of the process only, since it may block. */
+  /** Flushes buffered lines. Call it only when the process ends, since it may block. */
   close(): void {
     clearInterval(this._timer);
     try {
       this._destination.flushSync();
     } catch {
-      // Nobody reads any more.
+      // The reader has closed its end of the pipe.
     }
   }
 
--- a/src/metrics/CallLoad.ts
+++ b/src/metrics/CallLoad.ts
@@ -1,71 +1,73 @@
 /**
- * Which calls a process was asked, and what they came to.
+ * Statistics of the calls that a process received, by call and outcome.
  *
- * A process that is late does work for callers that have gone: that shows here and nowhere else.
+ * An overloaded process also executes calls whose callers have already disconnected. Only these statistics
+ * show that.
  */
 import type { Metrics } from "./Metrics";
 
-/** What calls of one kind came to within some time. */
-export interface CallFigures {
+/** Statistics of one kind of call since they were last taken. */
+export interface CallStats {
   readonly begun: number;
   readonly failed: number;
-  /** Whose caller had gone before there was an answer. */
+  /** Number of calls whose caller disconnected before an answer. */
   readonly gone: number;
-  /** From their arrival to their answer, or its beginning, all together; milliseconds. */
+  /**
+   * Total time from the arrival of each call to its answer, or to the first message of a streamed answer,
+   * milliseconds.
+   */
   readonly tookMs: number;
 }
 
-/** How a call ended. */
-export type CallEnd = "answered" | "failed" | "gone";
+/** The outcome of a call; `gone` means that its caller disconnected first. */
+export type CallOutcome = "answered" | "failed" | "gone";
 
-const NONE: CallFigures = { begun: 0, failed: 0, gone: 0, tookMs: 0 };
+const NO_CALLS: CallStats = { begun: 0, failed: 0, gone: 0, tookMs: 0 };
 
-/** The calls of one process. */
+/** Collects the call statistics of one process. */
 export class CallLoad {
   private readonly _metrics: Metrics;
-  private _figures = new Map<string, CallFigures>();
+  private _stats = new Map<string, CallStats>();
   private _sessions = 0;
 
-  /**
-   * @param metrics - Counts each call.
-   */
+  /** @param metrics - Receives a counter increment for each call and session. */
   constructor(metrics: Metrics) {
     this._metrics = metrics;
   }
 
-  /** Notes that a call has arrived. */
+  /** Records the arrival of a call. */
   addBegun(call: string): void {
-    const known = this._getFigures(call);
-    this._figures.set(call, { ...known, begun: known.begun + 1 });
+    const stats = this._getStats(call);
+    this._stats.set(call, { ...stats, begun: stats.begun + 1 });
   }
 
-  /** Notes what a call came to. */
-  addEnd(call: string, end: CallEnd, tookMs: number): void {
-    const known = this._getFigures(call);
-    this._figures.set(call, {
-      ...known,
-      failed: known.failed + Number(end === "failed"),
-      gone: known.gone + Number(end === "gone"),
-      tookMs: known.tookMs + tookMs,
+  /** Records the outcome of a call. */
+  addEnd(call: string, outcome: CallOutcome, tookMs: number): void {
+    const stats = this._getStats(call);
+    this._stats.set(call, {
+      ...stats,
+      failed: stats.failed + Number(outcome === "failed"),
+      gone: stats.gone + Number(outcome === "gone"),
+      tookMs: stats.tookMs + tookMs,
     });
-    this._metrics.increment("rpc_calls", 1, { call, outcome: end });
+    this._metrics.increment("rpc_calls", 1, { call, outcome });
   }
 
-  /** Notes that a peer has opened a session. */
+  /** Records that a peer opened a session. */
   addSession(): void {
     this._sessions += 1;
     this._metrics.increment("rpc_sessions", 1);
   }
 
-  /** Takes what was noted since it was taken last. */
-  take(): { readonly calls: Readonly<Record<string, CallFigures>>; readonly sessions: number } {
-    const taken = { calls: Object.fromEntries(this._figures), sessions: this._sessions };
-    this._figures = new Map();
+  /** Gets the statistics collected since the last call of this method, and resets them. */
+  take(): { readonly calls: Readonly<Record<string, CallStats>>; readonly sessions: number } {
+    const taken = { calls: Object.fromEntries(this._stats), sessions: this._sessions };
+    this._stats = new Map();
     this._sessions = 0;
     return taken;
   }
 
-  private _getFigures(call: string): CallFigures {
-    return this._figures.get(call) ?? NONE;
+  private _getStats(call: string): CallStats {
+    return this._stats.get(call) ?? NO_CALLS;
   }
 }
--- a/src/metrics/Metrics.ts
+++ b/src/metrics/Metrics.ts
@@ -1,7 +1,7 @@
-/** Metrics to a StatsD server, over UDP. */
+/** Metrics, and their export to a StatsD server over UDP. */
 import { StatsD } from "hot-shots";
 
-/** Every metric's name; `docs/METRICS.md` gives meaning and unit, checked by a test. */
+/** The names of all metrics. A test checks that `docs/METRICS.md` gives the meaning and unit of each. */
 export type MetricName =
   | "group_downtime_seconds"
   | "stranded_accelerator_seconds"
@@ -47,27 +47,27 @@
 /** Tags of a metric. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Where metrics go. */
+/** Receives metrics. */
 export interface Metrics {
   /** Adds to a counter. */
   increment(name: MetricName, value: number, tags?: MetricTags): void;
   /** Sets a gauge. */
   gauge(name: MetricName, value: number, tags?: MetricTags): void;
-  /** Notes a duration in milliseconds. */
+  /** Records a duration in milliseconds. */
   timing(name: MetricName, milliseconds: number, tags?: MetricTags): void;
-  /** Sends what is buffered and closes. */
+  /** Sends buffered metrics and closes. */
   close(): void;
 }
 
-/** Metrics that go nowhere. */
+/** Discards all metrics. */
 export class SilentMetrics implements Metrics {
-  /** Drops a counter. */
+  /** Discards the value. */
   increment(): void {}
-  /** Drops a gauge. */
+  /** Discards the value. */
   gauge(): void {}
-  /** Drops a duration. */
+  /** Discards the value. */
   timing(): void {}
-  /** Has nothing to close. */
+  /** Does nothing. */
   close(): void {}
 }
 
@@ -75,13 +75,13 @@
 const MAX_BUFFER_BYTES = 1_400;
 const FLUSH_MS = 1_000;
 
-/** Metrics to a StatsD server. */
+/** Sends metrics to a StatsD server. */
 export class StatsdMetrics implements Metrics {
   private readonly _client: StatsD;
 
   /**
-   * @param host - Numeric address of the server.
-   * @param globalTags - Tags of every metric of this process.
+   * @param host - IP address of the server.
+   * @param globalTags - Tags added to every metric of this process.
    */
   constructor(host: string, port: number, globalTags: MetricTags) {
     this._client = new StatsD({
@@ -91,7 +91,7 @@
       globalTags: { ...globalTags },
       maxBufferSize: MAX_BUFFER_BYTES,
       bufferFlushInterval: FLUSH_MS,
-      // An absent server costs metrics, never requests.
+      // If the server cannot be reached, metrics are lost and requests are not affected.
       errorHandler: () => {},
     });
   }
@@ -106,12 +106,12 @@
     this._client.gauge(name, value, tags === undefined ? undefined : { ...tags });
   }
 
-  /** Notes a duration in milliseconds. */
+  /** Records a duration in milliseconds. */
   timing(name: MetricName, milliseconds: number, tags?: MetricTags): void {
     this._client.timing(name, milliseconds, tags === undefined ? undefined : { ...tags });
   }
 
-  /** Sends what is buffered and closes. */
+  /** Sends buffered metrics and closes. */
   close(): void {
     this._client.close(() => {});
   }
--- a/src/metrics/TextMetrics.ts
+++ b/src/metrics/TextMetrics.ts
@@ -1,22 +1,20 @@
-/** Metrics to be fetched as text, in the form that Prometheus reads. */
+/** Metrics in the Prometheus text format, served over HTTP. */
 import { createServer, type Server } from "node:http";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { MetricName, Metrics, MetricTags } from "./Metrics";
 
 const PREFIX = "ploverstage_";
-/** Upper bounds of durations, milliseconds: from a plain service's answer to a long stream. */
+/** Upper bounds of histogram buckets, milliseconds: from the answer of a plain service to a long stream. */
 const BUCKETS_MS = [5, 10, 20, 50, 100, 150, 200, 300, 400, 600, 1_000, 2_000, 4_000, 8_000, 16_000];
 
-/** Metrics held in this process until they are fetched. */
+/** Collects metrics in memory until they are scraped. */
 export class TextMetrics implements Metrics {
   private readonly _registry = new Registry();
   private readonly _counters = new Map<MetricName, Counter>();
   private readonly _gauges = new Map<MetricName, Gauge>();
   private readonly _histograms = new Map<MetricName, Histogram>();
 
-  /**
-   * @param tags - Tags of every metric of this process.
-   */
+  /** @param tags - Tags added to every metric of this process. */
   constructor(tags: MetricTags) {
     this._registry.setDefaultLabels({ ...tags });
   }
@@ -41,7 +39,7 @@
     gauge.set({ ...tags }, value);
   }
 
-  /** Notes a duration in milliseconds. */
+  /** Records a duration in milliseconds. */
   timing(name: MetricName, milliseconds: number, tags: MetricTags = {}): void {
     let histogram = this._histograms.get(name);
     if (histogram === undefined) {
@@ -51,15 +49,18 @@
     histogram.observe({ ...tags }, milliseconds);
   }
 
-  /** Gets all metrics as text. */
+  /** Gets all metrics in the Prometheus text format. */
   getText(): Promise<string> {
     return this._registry.metrics();
   }
 
-  /** Has nothing to close. */
+  /** Does nothing. */
   close(): void {}
 
-  /** A metric bears the same tags at every call. */
+  /**
+   * Creates the options of a metric. Its label names are fixed by the first call, so later calls must pass
+   * the same tags.
+   */
   private _createOptions(name: string, help: string, tags: MetricTags) {
     return {
       name: `${PREFIX}${name}`,
@@ -70,7 +71,7 @@
   }
 }
 
-/** Starts a server that gives the metrics at any path. */
+/** Starts an HTTP server that returns the metrics at any path. */
 export async function startMetricsServer(metrics: TextMetrics, host: string, port: number): Promise<Server> {
   const server = createServer((_request, response) => {
     void metrics.getText().then((text) => {
--- a/src/metrics/WorkMeter.ts
+++ b/src/metrics/WorkMeter.ts
@@ -1,41 +1,41 @@
 /**
- * How long a process computes at a stretch, by kind of work.
+ * Measures how long a process computes without returning to the event loop, by kind of work.
  *
- * Nothing else of the process runs meanwhile: no heartbeat is sent, no vote is given.
+ * The process sends no heartbeats and answers no vote requests during that time.
  */
 import type { Clock } from "../clock";
 import type { Logger } from "./logger";
 import type { Metrics } from "./Metrics";
 
-/** Kinds of work that grow with the fleet. */
-export type Work = "replay" | "reports" | "plan" | "publish" | "update" | "parse";
+/** Kinds of work whose duration grows with the size of the fleet. */
+export type WorkKind = "replay" | "reports" | "plan" | "publish" | "update" | "parse";
 
-/** Work that took so long is logged, milliseconds: a heartbeat of the agreement is due after 100. */
+/**
+ * Work that takes at least this long is logged, milliseconds: the leader sends a consensus heartbeat every
+ * 100 ms.
+ */
 const SLOW_MS = 100;
 
-/** What a meter works with. */
+/** The dependencies of a meter. */
 export interface WorkMeterOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-/** Measures work. */
+/** Measures work, exports its duration as a metric and logs slow work. */
 export class WorkMeter {
   private readonly _options: WorkMeterOptions;
 
-  /**
-   * @param options - Clock, log and metrics.
-   */
   constructor(options: WorkMeterOptions) {
     this._options = options;
   }
 
   /**
-   * Runs and measures work that waits for nothing.
-   * @param items - How much there is of what the work grows with.
+   * Runs and measures synchronous work.
+   * @param items - Number of items processed, which the duration grows with.
    */
-  measure<R>(work: Work, items: number, action: () => R): R {
+  measure<R>(work: WorkKind, items: number, action: () => R): R {
     const startedAt = this._options.clock.getMonotonicMs();
     try {
       return action();
@@ -44,8 +44,8 @@
     }
   }
 
-  /** Adds work that the caller timed, in milliseconds. */
-  addWork(work: Work, items: number, milliseconds: number): void {
+  /** Records work that the caller measured, in milliseconds. */
+  addWork(work: WorkKind, items: number, milliseconds: number): void {
     const { logger, metrics } = this._options;
     metrics.timing("control_work_ms", milliseconds, { work });
     if (milliseconds < SLOW_MS) return;
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,7 +1,7 @@
 /** Logs and metrics. */
 export { BoundedLog, type LossyDestination } from "./BoundedLog";
-export { type CallEnd, type CallFigures, CallLoad } from "./CallLoad";
+export { CallLoad, type CallOutcome, type CallStats } from "./CallLoad";
 export { createLogger, type Logger, type LogLevel } from "./logger";
 export { type MetricName, type Metrics, type MetricTags, SilentMetrics, StatsdMetrics } from "./Metrics";
 export { startMetricsServer, TextMetrics } from "./TextMetrics";
-export { type Work, WorkMeter, type WorkMeterOptions } from "./WorkMeter";
+export { type WorkKind, WorkMeter, type WorkMeterOptions } from "./WorkMeter";
--- a/src/metrics/logger.ts
+++ b/src/metrics/logger.ts
@@ -1,14 +1,14 @@
-/** The log of a process. */
+/** Creates the logger of a process. */
 import { type Logger, pino } from "pino";
 
 export type { Logger };
 
-/** Levels of logs, least first. */
+/** Log levels, the most verbose first. */
 export type LogLevel = "debug" | "info" | "warn" | "error" | "silent";
 
 /**
- * Makes the logger of a process: JSON lines on standard output.
- * @param process - Kind and name of the process, on every line.
+ * Creates a logger that writes JSON lines to standard output.
+ * @param process - Role and name of the process, added to every line.
  */
 export function createLogger(
   level: LogLevel,
--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -35,7 +35,7 @@
 /** One generation; it goes on for a while without its reader, so that it can be resumed. */
 interface Run {
   readonly body: GenerateBody;
-  made: number;
+  sentTokens: number;
   isCancelled: boolean;
 }
 
@@ -72,9 +72,9 @@
   private readonly _runs = new Map<string, Run>();
   private _server: Server | undefined;
   private _order: OrderBody | undefined;
-  private _loaded = "";
+  private _loadedModel = "";
   private _readyAt = 0;
-  private _running = 0;
+  private _runningCount = 0;
 
   private constructor(options: EngineStandinOptions) {
     this._options = options;
@@ -107,7 +107,7 @@
   private _route(url: string, response: ServerResponse, body: string): void | Promise<void> {
     const path = url.split("?")[0];
     if (path === "/v1/state") return this._sendState(response);
-    if (path === "/v1/orders") return this._takeOrder(response, JSON.parse(body));
+    if (path === "/v1/orders") return this._acceptOrder(response, JSON.parse(body));
     if (path === "/v1/generate") return this._generate(response, JSON.parse(body));
     if (path === "/v1/resume") return this._resume(response, JSON.parse(body));
     if (path === "/v1/cancel") return this._cancel(response, JSON.parse(body));
@@ -133,18 +133,18 @@
       model_version: this._order?.model_version ?? "",
       adapters: this._order?.adapters ?? [],
       ready: this._isReady(),
-      load: { running: this._running, waiting: 0, pending_tokens: this._running * 10, kv_used: 0 },
+      load: { running: this._runningCount, waiting: 0, pending_tokens: this._runningCount * 10, kv_used: 0 },
     });
   }
 
-  private _takeOrder(response: ServerResponse, order: OrderBody): void {
+  private _acceptOrder(response: ServerResponse, order: OrderBody): void {
     if ((this._options.checksOrders ?? true) && order.epoch < this.epoch) {
       sendJson(response, 409, { error: `epoch ${order.epoch} is older than ${this.epoch}` });
       return;
     }
     const model = `${order.model}@${order.model_version}`;
-    const loadMs = model === this._loaded ? 0 : (this._options.loadMs ?? 0);
-    this._loaded = model;
+    const loadMs = model === this._loadedModel ? 0 : (this._options.loadMs ?? 0);
+    this._loadedModel = model;
     this._order = order;
     this.epoch = order.epoch;
     this._readyAt = performance.now() + loadMs;
@@ -157,13 +157,14 @@
     }
     const isStale = (this._options.checksOrders ?? true) && body.epoch !== this.epoch;
     if (!this._isReady() || isStale) return sendJson(response, 409, { error: "not in this epoch" });
-    if (this._running >= (this._options.capacity ?? 1_000)) return sendJson(response, 503, { error: "full" });
+    if (this._runningCount >= (this._options.capacity ?? 1_000))
+      return sendJson(response, 503, { error: "full" });
     this.ran.push(body.request_id);
     if (this.faults.losesAnswers) {
       response.destroy();
       return;
     }
-    const run: Run = { body, made: 0, isCancelled: false };
+    const run: Run = { body, sentTokens: 0, isCancelled: false };
     if (!this.faults.forgets) this._runs.set(body.request_id, run);
     await this._stream(response, run, 0);
   }
@@ -182,7 +183,7 @@
   }
 
   private async _stream(response: ServerResponse, run: Run, offset: number): Promise<void> {
-    this._running += 1;
+    this._runningCount += 1;
     response.writeHead(200, { "content-type": "application/x-ndjson" });
     response.flushHeaders();
     const total = Math.min(run.body.max_tokens, 1_000);
@@ -194,11 +195,11 @@
         break;
       }
       this._writeFrame(response, run, i, total);
-      run.made = i + 1;
+      run.sentTokens = i + 1;
     }
     response.end();
-    this._running -= 1;
-    if (run.made === total) this._runs.delete(run.body.request_id);
+    this._runningCount -= 1;
+    if (run.sentTokens === total) this._runs.delete(run.body.request_id);
   }
 
   private _writeFrame(response: ServerResponse, run: Run, i: number, total: number): void {
--- a/test/explain/explain.test.ts
+++ b/test/explain/explain.test.ts
@@ -9,13 +9,13 @@
 
 const START_MS = Date.parse("2030-01-01T00:00:00.000Z");
 
-function createLine(atMs: number, fields: object): string {
+function createLogLine(atMs: number, fields: object): string {
   const time = new Date(START_MS + atMs).toISOString();
   return `  12.3 some-process ${JSON.stringify({ time, name: "p", ...fields })}`;
 }
 
-function createRequest(atMs: number, fields: object = {}): string {
-  return createLine(atMs + 10, {
+function createRequestLine(atMs: number, fields: object = {}): string {
+  return createLogLine(atMs + 10, {
     event: "request_ended",
     model: "m",
     outcome: "done",
@@ -33,13 +33,13 @@
   it("tells each request's fate by the second in which it arrived", () => {
     const { seconds } = createExplanation(
       readDecisionLog([
-        createRequest(1_000),
-        createRequest(1_100, { firstEventMs: 400 }),
-        createRequest(1_200, { longestGapMs: 900 }),
-        createRequest(1_300, { outcome: "cut" }),
-        createRequest(1_400, { outcome: "refused", code: "overloaded", firstEventMs: undefined }),
-        createRequest(1_500, { outcome: "refused", code: "unknown_key", firstEventMs: undefined }),
-        createRequest(2_000),
+        createRequestLine(1_000),
+        createRequestLine(1_100, { firstEventMs: 400 }),
+        createRequestLine(1_200, { longestGapMs: 900 }),
+        createRequestLine(1_300, { outcome: "cut" }),
+        createRequestLine(1_400, { outcome: "refused", code: "overloaded", firstEventMs: undefined }),
+        createRequestLine(1_500, { outcome: "refused", code: "unknown_key", firstEventMs: undefined }),
+        createRequestLine(2_000),
       ]),
     );
     expect(seconds).toHaveLength(2);
@@ -54,7 +54,7 @@
   it("names the lives of instances that were held for ended, and on what ground", () => {
     const life = { event: "life_ended", instance: "i-1", born: START_MS, ground: "newerLife" };
     const { endedLives } = createExplanation(
-      readDecisionLog([createLine(2_000, life), createRequest(1_000)]),
+      readDecisionLog([createLogLine(2_000, life), createRequestLine(1_000)]),
     );
     expect(endedLives).toMatchObject([{ instance: "i-1", born: START_MS, ground: "newerLife" }]);
   });
@@ -62,12 +62,12 @@
   it("joins seconds without service to blackouts with their cause", () => {
     const refused = { outcome: "refused", code: "no_declaration", firstEventMs: undefined };
     const lines = [0, 1, 2, 5].flatMap((second) => [
-      createRequest(second * 1_000, refused),
-      createRequest(second * 1_000 + 500, refused),
-      createRequest(second * 1_000 + 700),
+      createRequestLine(second * 1_000, refused),
+      createRequestLine(second * 1_000 + 500, refused),
+      createRequestLine(second * 1_000 + 700),
     ]);
     const { blackouts } = createExplanation(
-      readDecisionLog([...lines, createRequest(3_000), createRequest(4_000)]),
+      readDecisionLog([...lines, createRequestLine(3_000), createRequestLine(4_000)]),
     );
     expect(blackouts).toEqual([
       { from: "2030-01-01T00:00:00.000Z", seconds: 3, lost: 6, mainCause: "no_declaration" },
@@ -79,9 +79,9 @@
     const failures = [{ reason: "silent for 512 ms", tookMs: 600 }];
     const { models, attempts } = createExplanation(
       readDecisionLog([
-        ...[100, 200, 900].map((firstEventMs, i) => createRequest(i, { firstEventMs })),
-        createRequest(5, { model: "", firstEventMs: undefined, failures }),
-        createRequest(6, { failures: [{ reason: "silent for 733 ms", tookMs: 800 }] }),
+        ...[100, 200, 900].map((firstEventMs, i) => createRequestLine(i, { firstEventMs })),
+        createRequestLine(5, { model: "", firstEventMs: undefined, failures }),
+        createRequestLine(6, { failures: [{ reason: "silent for 733 ms", tookMs: 800 }] }),
       ]),
     );
     expect(models.map((row) => row.model)).toEqual(["", "m"]);
@@ -92,11 +92,11 @@
   it("counts instances that are present and in no serving replica", () => {
     const { idle } = createExplanation(
       readDecisionLog([
-        createLine(0, { event: "groups_sized", service: "s", instances: { d0: 4, d1: 3 } }),
-        createLine(1_000, { event: "replica_formed", replica: "m-1", model: "m", instances: ["a", "b"] }),
-        createLine(2_000, { event: "replica_moved", replica: "m-1", phase: "SERVING", reason: "whole" }),
-        createLine(5_000, { event: "replica_moved", replica: "m-1", phase: "RETIRING", reason: "lost" }),
-        createLine(6_000, { event: "replica_moved", replica: "m-1", phase: "RELEASED", reason: "free" }),
+        createLogLine(0, { event: "groups_sized", service: "s", instances: { d0: 4, d1: 3 } }),
+        createLogLine(1_000, { event: "replica_formed", replica: "m-1", model: "m", instances: ["a", "b"] }),
+        createLogLine(2_000, { event: "replica_moved", replica: "m-1", phase: "SERVING", reason: "whole" }),
+        createLogLine(5_000, { event: "replica_moved", replica: "m-1", phase: "RETIRING", reason: "lost" }),
+        createLogLine(6_000, { event: "replica_moved", replica: "m-1", phase: "RELEASED", reason: "free" }),
       ]),
     );
     expect(idle.map(({ seconds, idle: count, replicas }) => [seconds, count, replicas])).toEqual([
@@ -109,8 +109,8 @@
   });
 
   it("passes over what is no decision, and counts it", () => {
-    const log = readDecisionLog(["", "no json", "{", '{"event":"other"}', createRequest(0)]);
-    expect(log).toMatchObject({ otherLines: 4, requests: [{ model: "m" }] });
+    const log = readDecisionLog(["", "no json", "{", '{"event":"other"}', createRequestLine(0)]);
+    expect(log).toMatchObject({ skippedLines: 4, requests: [{ model: "m" }] });
   });
 });
 
--- a/test/platform/DirectoryCallers.ts
+++ b/test/platform/DirectoryCallers.ts
@@ -15,17 +15,17 @@
 const PATH = "/-/resolve?name=n&region=r&zone=zone-a";
 
 /** A question, and how often it has been tried in vain. */
-interface Question {
-  readonly first: number;
+interface Lookup {
+  readonly firstAddress: number;
   readonly failures: number;
 }
 
 /** Callers; a question that failed goes to the next directory before a new one begins, once around. */
 export class DirectoryCallers {
   private readonly _options: DirectoryCallersOptions;
-  private readonly _failed: Question[] = [];
-  private _next = 0;
-  private _due = 0;
+  private readonly _failedLookups: Lookup[] = [];
+  private _nextAddress = 0;
+  private _dueLookups = 0;
   private _timer: NodeJS.Timeout | undefined;
   private _answers = 0;
   private _failures = 0;
@@ -46,12 +46,12 @@
 
   /** Begins to ask. */
   start(): void {
-    let askedAt = performance.now();
+    let checkedAt = performance.now();
     this._timer = setInterval(() => {
       const now = performance.now();
-      this._due += ((now - askedAt) / MS_PER_S) * this._options.rate;
-      askedAt = now;
-      for (; this._due >= 1; this._due--) void this._ask();
+      this._dueLookups += ((now - checkedAt) / MS_PER_S) * this._options.rate;
+      checkedAt = now;
+      for (; this._dueLookups >= 1; this._dueLookups--) void this._lookUp();
     }, TICK_MS);
   }
 
@@ -60,16 +60,19 @@
     clearInterval(this._timer);
   }
 
-  private async _ask(): Promise<void> {
+  private async _lookUp(): Promise<void> {
     const { addresses } = this._options;
-    const { first, failures } = this._failed.shift() ?? { first: this._next++, failures: 0 };
-    const address = addresses[(first + failures) % addresses.length]!;
+    const { firstAddress, failures } = this._failedLookups.shift() ?? {
+      firstAddress: this._nextAddress++,
+      failures: 0,
+    };
+    const address = addresses[(firstAddress + failures) % addresses.length]!;
     const { status } = await callOnce({ address, path: PATH });
     if (status === OK) {
       this._answers += 1;
       return;
     }
     this._failures += 1;
-    if (failures + 1 < addresses.length) this._failed.push({ first, failures: failures + 1 });
+    if (failures + 1 < addresses.length) this._failedLookups.push({ firstAddress, failures: failures + 1 });
   }
 }
--- a/test/platform/KeptCallers.ts
+++ b/test/platform/KeptCallers.ts
@@ -3,7 +3,7 @@
 import { MODEL } from "./createConfig";
 
 /** What callers work with. */
-export interface KeptCallersOptions {
+export interface KeepAliveCallersOptions {
   /** host:port of an entry. */
   readonly address: string;
   /** Events of a whole stream. */
@@ -16,7 +16,7 @@
 }
 
 /** What became of one request. */
-export type CallEnd =
+export type CallOutcome =
   /** A success to its last event. */
   | "whole"
   /** An answer other than a success, whole. */
@@ -29,80 +29,80 @@
   | "unsent";
 
 /** One request, monotonic milliseconds. */
-export interface SeenRequest {
+export interface RequestRecord {
   readonly sentAt: number;
   readonly endedAt: number;
-  readonly end: CallEnd;
+  readonly outcome: CallOutcome;
   readonly status: number;
   /** What its caller's side of the connection said. */
   readonly reason: string;
-  readonly isOnKeptConnection: boolean;
+  readonly isReusedConnection: boolean;
 }
 
 const ROUTE_HOST = "127.0.0.1";
-const REFUSED_PAUSE_MS = 50;
+const REFUSAL_PAUSE_MS = 50;
 const DEADLINE_MS = 8_000;
 
 /** Callers, each with one connection of its own. */
 export class KeptCallers {
   /** Every request that has ended. */
-  readonly seen: SeenRequest[] = [];
-  private readonly _options: KeptCallersOptions;
-  private _isOver = false;
-  private _running: Promise<void>[] = [];
-  private _requests = 0;
+  readonly seen: RequestRecord[] = [];
+  private readonly _options: KeepAliveCallersOptions;
+  private _isStopped = false;
+  private _callers: Promise<void>[] = [];
+  private _requestCount = 0;
 
-  constructor(options: KeptCallersOptions) {
+  constructor(options: KeepAliveCallersOptions) {
     this._options = options;
   }
 
   /** Gets the requests that came to an end of some kind. */
-  getEnded(end: CallEnd): SeenRequest[] {
-    return this.seen.filter((request) => request.end === end);
+  getEnded(outcome: CallOutcome): RequestRecord[] {
+    return this.seen.filter((request) => request.outcome === outcome);
   }
 
   /** Gets how many requests came to an end of some kind, by what their callers saw of it. */
-  countEnds(...ends: readonly CallEnd[]): Record<string, number> {
+  countEnds(...outcomes: readonly CallOutcome[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { end, reason, status, isOnKeptConnection } of this.seen) {
-      if (!ends.includes(end)) continue;
-      const connection = isOnKeptConnection ? "kept" : "new";
-      const what = `${end} ${status} on a ${connection} connection: ${reason}`;
-      counts[what] = (counts[what] ?? 0) + 1;
+    for (const { outcome, reason, status, isReusedConnection } of this.seen) {
+      if (!outcomes.includes(outcome)) continue;
+      const connection = isReusedConnection ? "kept" : "new";
+      const label = `${outcome} ${status} on a ${connection} connection: ${reason}`;
+      counts[label] = (counts[label] ?? 0) + 1;
     }
     return counts;
   }
 
   /** Begins to call. */
   start(callers: number): void {
-    this._running = Array.from({ length: callers }, () => this._callUntilGone());
+    this._callers = Array.from({ length: callers }, () => this._callUntilDisconnected());
   }
 
   /** Waits until every caller has found nobody listening. */
   async waitUntilGone(): Promise<void> {
-    await Promise.all(this._running);
+    await Promise.all(this._callers);
   }
 
   /** Begins no more requests, and waits for those under way. */
   async stop(): Promise<void> {
-    this._isOver = true;
+    this._isStopped = true;
     await this.waitUntilGone();
   }
 
-  private async _callUntilGone(): Promise<void> {
+  private async _callUntilDisconnected(): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    while (!this._isOver) {
-      const seen = await this._call(agent);
-      this.seen.push(seen);
+    while (!this._isStopped) {
+      const record = await this._call(agent);
+      this.seen.push(record);
       const { returnMs, pauseMs: restMs = 0 } = this._options;
-      if (seen.end === "unsent" && returnMs === undefined) break;
-      const pauseMs = { refused: REFUSED_PAUSE_MS, unsent: returnMs }[seen.end as string] ?? restMs;
+      if (record.outcome === "unsent" && returnMs === undefined) break;
+      const pauseMs = { refused: REFUSAL_PAUSE_MS, unsent: returnMs }[record.outcome as string] ?? restMs;
       await new Promise((resolve) => setTimeout(resolve, pauseMs));
     }
     agent.destroy();
   }
 
-  private _call(agent: Agent): Promise<SeenRequest> {
+  private _call(agent: Agent): Promise<RequestRecord> {
     const { address, path = "/llm/draft", events } = this._options;
     const sentAt = performance.now();
     return new Promise((resolve) => {
@@ -113,28 +113,28 @@
           ...MODEL,
           // Every entry serves the routes of one host.
           host: ROUTE_HOST,
-          "x-ploverstage-request-id": `kept-${address}-${this._requests++}`,
+          "x-ploverstage-request-id": `kept-${address}-${this._requestCount++}`,
           "x-ploverstage-deadline-ms": String(DEADLINE_MS),
           "api-key": "k1",
         },
       });
-      const end = (kind: CallEnd, reason = "", status = 0) =>
+      const finish = (outcome: CallOutcome, reason = "", status = 0) =>
         resolve({
           sentAt,
           endedAt: performance.now(),
-          end: kind,
+          outcome,
           status,
           reason,
-          isOnKeptConnection: outgoing.reusedSocket,
+          isReusedConnection: outgoing.reusedSocket,
         });
       outgoing.on("error", (cause: NodeJS.ErrnoException) =>
-        end(cause.syscall === "connect" ? "unsent" : "unanswered", cause.message),
+        finish(cause.syscall === "connect" ? "unsent" : "unanswered", cause.message),
       );
       outgoing.on("response", (answer) => {
         const status = answer.statusCode ?? 0;
         void readAnswer(answer).then(({ body, isWhole, reason }) => {
-          if (status !== 200) end(isWhole ? "refused" : "cut", body, status);
-          else end(isWhole && body === createStream(events) ? "whole" : "cut", reason, status);
+          if (status !== 200) finish(isWhole ? "refused" : "cut", body, status);
+          else finish(isWhole && body === getStreamBody(events) ? "whole" : "cut", reason, status);
         });
       });
       outgoing.end("hello");
@@ -157,6 +157,6 @@
 }
 
 /** Gets the whole answer of a stream of so many events. */
-function createStream(events: number): string {
+function getStreamBody(events: number): string {
   return Array.from({ length: events }, (_, i) => `id: ${i + 1}\ndata: token\n\n`).join("");
 }
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -1,5 +1,5 @@
 /** An operator as the platform's pages describe it: sends versions, again until acknowledged, and reads back. */
-import { callOnce, type OneAnswer } from "./callOnce";
+import { type CallAnswer, callOnce } from "./callOnce";
 
 /** What an operator works with. */
 export interface OperatorOptions {
@@ -19,7 +19,7 @@
 }
 
 const OK = 200;
-const FIRST_BACKOFF_MS = 50;
+const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
 /** An operator. */
@@ -27,7 +27,7 @@
   /** Every order so far, the newest last. */
   readonly orders: SentOrder[] = [];
   private readonly _options: OperatorOptions;
-  private _next = 0;
+  private _nextAddress = 0;
   private _timer: NodeJS.Timeout | undefined;
   private _isStopped = false;
 
@@ -44,14 +44,14 @@
 
   /** Sends one version until it is acknowledged, then reads until it is read back. */
   async send(version: number): Promise<SentOrder> {
-    const order: SentOrder = { version, sentAt: Date.now() };
-    this.orders.push(order);
+    const sent: SentOrder = { version, sentAt: Date.now() };
+    this.orders.push(sent);
     const body = JSON.stringify(this._options.createDocument(version));
-    const isTaken = (answer: OneAnswer) => answer.status === OK;
-    if (await this._try("/-/Config.Put", isTaken, body)) order.acknowledgedAt = Date.now();
-    const isRead = (answer: OneAnswer) => answer.status === OK && getVersion(answer) >= version;
-    if (await this._try("/-/Config.Get", isRead)) order.readBackAt = Date.now();
-    return order;
+    const isTaken = (answer: CallAnswer) => answer.status === OK;
+    if (await this._callUntil("/-/Config.Put", isTaken, body)) sent.acknowledgedAt = Date.now();
+    const isRead = (answer: CallAnswer) => answer.status === OK && getVersion(answer) >= version;
+    if (await this._callUntil("/-/Config.Get", isRead)) sent.readBackAt = Date.now();
+    return sent;
   }
 
   /** Sends no more; what is under way is given up. */
@@ -61,10 +61,18 @@
   }
 
   /** Goes from one process to the next, each time after a longer pause, until a call came to something. */
-  private async _try(path: string, isDone: (answer: OneAnswer) => boolean, body?: string): Promise<boolean> {
+  private async _callUntil(
+    path: string,
+    isDone: (answer: CallAnswer) => boolean,
+    body?: string,
+  ): Promise<boolean> {
     const { addresses } = this._options;
-    for (let pauseMs = FIRST_BACKOFF_MS; !this._isStopped; pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2)) {
-      const address = addresses[this._next++ % addresses.length]!;
+    for (
+      let pauseMs = INITIAL_BACKOFF_MS;
+      !this._isStopped;
+      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2)
+    ) {
+      const address = addresses[this._nextAddress++ % addresses.length]!;
       if (isDone(await callOnce({ address, path, body }))) return true;
       await new Promise((resolve) => setTimeout(resolve, pauseMs));
     }
@@ -72,6 +80,6 @@
   }
 }
 
-function getVersion({ body }: OneAnswer): number {
+function getVersion({ body }: CallAnswer): number {
   return (JSON.parse(body) as { version: number }).version;
 }
--- a/test/platform/PlatformCluster.ts
+++ b/test/platform/PlatformCluster.ts
@@ -7,7 +7,7 @@
 import { getFreeAddresses } from "../support/ports";
 import { Throttle } from "../support/Throttle";
 import { renderTemplate } from "./renderTemplate";
-import { type StreamPace, type WorkerEvent, type WorkerOptions, WorkerStandin } from "./WorkerStandin";
+import { type StreamTiming, type WorkerEvent, type WorkerOptions, WorkerStandin } from "./WorkerStandin";
 
 const HEAP = process.env.PLOVERSTAGE_PLATFORM_HEAP ?? "dist/test/platform.blob";
 /** Arguments of Node as in the deploy file. */
@@ -65,7 +65,7 @@
   /** Whether workers are reached through relays that can fail. */
   readonly areWorkersRelayed?: boolean;
   /** How workers' streams run. */
-  readonly stream?: StreamPace;
+  readonly stream?: StreamTiming;
   /** Repeats in a window beyond the share of requests, of all entries together; 100 if not given. */
   readonly budgetExtra?: number;
   /** Time that a process has to stop, seconds; four if not given. */
@@ -94,7 +94,7 @@
   private readonly _folder = mkdtempSync(join(tmpdir(), "platform-"));
   private _ports: number[] = [];
   private _throttle: Throttle | ProcessorQuota | undefined;
-  private _requests = 0;
+  private _requestCount = 0;
   private _isStopping = false;
   private readonly _options: ClusterOptions;
   private readonly _controlIps: readonly string[];
@@ -182,10 +182,10 @@
       joinMs,
       stream,
       isRelayed: areWorkersRelayed,
-      getLives: (other) => this.workers.filter((candidate) => candidate.id === other),
+      getIncarnations: (other) => this.workers.filter((candidate) => candidate.id === other),
       onEvent: KEEPS_LOGS ? (event) => this._logEvent(event) : undefined,
       onCrashingRequest: () => this.crashingRequests.push(performance.now()),
-      onCrash: () => this._bringBack(worker),
+      onCrash: () => this._handleCrash(worker),
     });
     this.workers.push(worker);
     await worker.start();
@@ -221,7 +221,7 @@
       body,
       headers: {
         // fetch sets the host itself; the entry takes the port off.
-        "x-ploverstage-request-id": `call-${this._requests++}`,
+        "x-ploverstage-request-id": `call-${this._requestCount++}`,
         "x-ploverstage-deadline-ms": "5000",
         "api-key": "k1",
         ...headers,
@@ -243,7 +243,7 @@
   }
 
   /** Notes that a request crashed a worker, which comes back under another id if it is to. */
-  private _bringBack({ id, service, domain, staged }: WorkerStandin): void {
+  private _handleCrash({ id, service, domain, staged }: WorkerStandin): void {
     this.crashes.push(performance.now());
     const { returnMs } = this._options;
     if (returnMs === undefined) return;
--- a/test/platform/WatcherGroup.ts
+++ b/test/platform/WatcherGroup.ts
@@ -3,12 +3,12 @@
 import { FollowedView, orderByAffinity, ViewWatcher } from "../../src/registration";
 import { TransportPool } from "../../src/rpc";
 
-const SILENT = { info: () => {}, warn: () => {}, error: () => {} } as never;
+const SILENT_LOGGER = { info: () => {}, warn: () => {}, error: () => {} } as never;
 /** Entries don't come back all at the same moment. */
-const SPREAD_MS = 400;
+const START_SPREAD_MS = 400;
 
 /** A watcher and the view that it holds. */
-interface Watching {
+interface WatcherWithView {
   readonly watcher: ViewWatcher;
   readonly view: FollowedView;
 }
@@ -17,7 +17,7 @@
 export class WatcherGroup {
   private readonly _count: number;
   private readonly _seeds: readonly string[];
-  private _watching: readonly Watching[] = [];
+  private _watchers: readonly WatcherWithView[] = [];
   private readonly _timers = new Set<NodeJS.Timeout>();
 
   /**
@@ -30,9 +30,9 @@
 
   /** Starts all of them, knowing nothing. */
   start(): void {
-    this._watching = Array.from({ length: this._count }, (_, i) => this._create(i));
-    for (const [index, { watcher }] of this._watching.entries()) {
-      const timer = setTimeout(() => void watcher.run(), (SPREAD_MS * index) / this._count);
+    this._watchers = Array.from({ length: this._count }, (_, i) => this._create(i));
+    for (const [index, { watcher }] of this._watchers.entries()) {
+      const timer = setTimeout(() => void watcher.run(), (START_SPREAD_MS * index) / this._count);
       this._timers.add(timer);
     }
   }
@@ -41,17 +41,17 @@
   stop(): void {
     for (const timer of this._timers) clearTimeout(timer);
     this._timers.clear();
-    for (const { watcher } of this._watching) watcher.stop();
-    this._watching = [];
+    for (const { watcher } of this._watchers) watcher.stop();
+    this._watchers = [];
   }
 
   /** Gets the lowest term of a leader that any of them follows now; 0 while one follows none. */
   getLowestTerm(): number {
-    const terms = this._watching.map(({ watcher, view }) => (watcher.isConnected ? view.term : 0));
+    const terms = this._watchers.map(({ watcher, view }) => (watcher.isConnected ? view.term : 0));
     return terms.length === 0 ? 0 : Math.min(...terms);
   }
 
-  private _create(index: number): Watching {
+  private _create(index: number): WatcherWithView {
     const view = new FollowedView();
     const watcher = new ViewWatcher({
       watcherId: `bench-${index}`,
@@ -65,7 +65,7 @@
       transports: new TransportPool(undefined),
       view,
       clock: new SystemClock(),
-      logger: SILENT,
+      logger: SILENT_LOGGER,
       onChange: () => {},
       onDeclaration: () => {},
     });
--- a/test/platform/WorkerStandin.test.ts
+++ b/test/platform/WorkerStandin.test.ts
@@ -89,7 +89,7 @@
       domain: "d0",
       controls: [`127.0.0.1:${port}`],
       isRelayed: true,
-      getLives: (id) => (id === "llm-0" ? [worker] : []),
+      getIncarnations: (id) => (id === "llm-0" ? [worker] : []),
     });
     await worker.start();
     const post = (path: string, body: object) =>
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -24,7 +24,7 @@
   /** Models that its host holds. */
   readonly staged?: readonly string[];
   /** Gets all lives of a worker by its id. */
-  readonly getLives?: (id: string) => readonly WorkerStandin[];
+  readonly getIncarnations?: (id: string) => readonly WorkerStandin[];
   /** Called with what it does: orders that it takes, and its end. */
   readonly onEvent?: (event: WorkerEvent) => void;
   /** Called when a request that crashes workers reaches it, whether it runs it or not. */
@@ -32,11 +32,11 @@
   /** Called after a request has crashed it. */
   readonly onCrash?: () => void;
   /** How its streams run; five events 10 ms apart if not given. */
-  readonly stream?: StreamPace;
+  readonly stream?: StreamTiming;
 }
 
 /** How many events a stream has, and the pause between two of them, milliseconds. */
-export interface StreamPace {
+export interface StreamTiming {
   readonly events: number;
   readonly eventMs: number;
 }
@@ -71,13 +71,13 @@
 
 const REPORT_MS = 150;
 const JOIN_MS = 20;
-const STREAM_PACE: StreamPace = { events: 5, eventMs: 10 };
+const STREAM_TIMING: StreamTiming = { events: 5, eventMs: 10 };
 /** A worker whose streams stand still looks again after this time. */
-const STILL_CHECK_MS = 10;
-const ENDLESS_PIECE = Buffer.alloc(65_536, "x");
+const PAUSE_CHECK_MS = 10;
+const ENDLESS_CHUNK = Buffer.alloc(65_536, "x");
 /** A head without one of its members is broken after this time. */
-const STALL_MS = 500;
-const STALL_CHECK_MS = 50;
+const BREAK_DELAY_MS = 500;
+const BREAK_CHECK_MS = 50;
 
 /** One worker. */
 export class WorkerStandin {
@@ -99,20 +99,20 @@
   private readonly _born: number;
   private _staged: readonly string[];
   private _sequence: number;
-  private _target: string | undefined;
+  private _reportTarget: string | undefined;
   /** Workers start with any control process. */
-  private _next: number | undefined;
-  private _timer: NodeJS.Timeout | undefined;
+  private _nextControl: number | undefined;
+  private _reportTimer: NodeJS.Timeout | undefined;
   private _port = 0;
-  private _reports = true;
+  private _isReporting = true;
   private _breakTimer: NodeJS.Timeout | undefined;
   private _hasEnded = false;
-  private _stillUntil = 0;
+  private _pausedUntil = 0;
   /** What it sends without end, if it does. */
   endless: EndlessKind | undefined;
   /** Streams that it runs now. */
-  private _streams = 0;
-  private _endlessAnswers = 0;
+  private _streamCount = 0;
+  private _endlessCount = 0;
 
   constructor(options: WorkerOptions) {
     this.id = options.id;
@@ -137,7 +137,7 @@
 
   /** Gets whether it reports itself as ready. */
   get isRunning(): boolean {
-    return this._reports;
+    return this._isReporting;
   }
 
   /** Starts serving and reporting. */
@@ -145,8 +145,8 @@
     await new Promise<void>((resolve) => this._server.listen(0, "127.0.0.1", resolve));
     this._port = (this._server.address() as AddressInfo).port;
     if (this._options.isRelayed === true) this._relay = await Relay.start(`127.0.0.1:${this._port}`);
-    void this._reportAndGoOn();
-    this._breakTimer = setInterval(() => this._breakIfLost(), STALL_CHECK_MS).unref();
+    void this._reportPeriodically();
+    this._breakTimer = setInterval(() => this._breakIfMemberLost(), BREAK_CHECK_MS).unref();
   }
 
   /** Gets the relay before it, if it has one. */
@@ -166,22 +166,22 @@
 
   /** Gets how many requests it has answered without end. */
   get endlessCount(): number {
-    return this._endlessAnswers;
+    return this._endlessCount;
   }
 
   /** Gets how many streams it runs now. */
   get streamCount(): number {
-    return this._streams;
+    return this._streamCount;
   }
 
   /** Its streams stand still for some time, milliseconds, and go on by themselves. */
   standStill(milliseconds: number): void {
-    this._stillUntil = performance.now() + milliseconds;
+    this._pausedUntil = performance.now() + milliseconds;
   }
 
   /** Ends without a word, as a crash does. */
   crash(): void {
-    this._tell("crash");
+    this._notify("crash");
     this._hasEnded = true;
     clearInterval(this._breakTimer);
     this._stopReports();
@@ -192,33 +192,36 @@
 
   /** Says that it leaves; resolves with whether that was acknowledged. */
   async drain(): Promise<boolean> {
-    this._tell("drain");
+    this._notify("drain");
     this._stopReports();
     return this._report("draining");
   }
 
-  private _tell(event: string, group?: string): void {
+  private _notify(event: string, group?: string): void {
     const place = this._place;
     const before = place === undefined ? undefined : `${place.name} ${place.state}`;
     this._options.onEvent?.({ worker: this.id, event, group, before });
   }
 
-  private async _reportAndGoOn(): Promise<void> {
-    clearTimeout(this._timer);
+  private async _reportPeriodically(): Promise<void> {
+    clearTimeout(this._reportTimer);
     await this._report("ready");
-    clearTimeout(this._timer);
+    clearTimeout(this._reportTimer);
     // It may have crashed or begun to leave while its report was on the way.
-    if (!this._reports) return;
-    this._timer = setTimeout(() => void this._reportAndGoOn(), this._options.reportMs ?? REPORT_MS);
+    if (!this._isReporting) return;
+    this._reportTimer = setTimeout(
+      () => void this._reportPeriodically(),
+      this._options.reportMs ?? REPORT_MS,
+    );
   }
 
   private _reportChange(): void {
-    if (this._reports) void this._reportAndGoOn();
+    if (this._isReporting) void this._reportPeriodically();
   }
 
   private _stopReports(): void {
-    this._reports = false;
-    clearTimeout(this._timer);
+    this._isReporting = false;
+    clearTimeout(this._reportTimer);
   }
 
   private async _report(state: string): Promise<boolean> {
@@ -236,23 +239,25 @@
       models: this._staged.map((name) => ({ name, version: 1, adapters: [] })),
       ...(domain === "" ? {} : { domain, staged: this._staged, group: this._describePlace() }),
     });
-    this._next ??= Math.floor(Math.random() * controls.length);
-    const address = this._target ?? controls[this._next++ % controls.length]!;
+    this._nextControl ??= Math.floor(Math.random() * controls.length);
+    const address = this._reportTarget ?? controls[this._nextControl++ % controls.length]!;
     const url = `http://${address}/-/Instances.Heartbeat/${this.id}`;
     try {
       const answer = await fetch(url, { method: "POST", body, signal: AbortSignal.timeout(1_000) });
-      this._target = answer.ok ? ((await answer.json()) as { beatTarget?: string }).beatTarget : undefined;
+      this._reportTarget = answer.ok
+        ? ((await answer.json()) as { beatTarget?: string }).beatTarget
+        : undefined;
       return answer.ok;
     } catch {
-      this._target = undefined;
+      this._reportTarget = undefined;
       return false;
     }
   }
 
   private _describePlace() {
     if (this._place === undefined) return undefined;
-    const { members: _, lostAt: __, ...told } = this._place;
-    return told;
+    const { members: _, lostAt: __, ...reported } = this._place;
+    return reported;
   }
 
   private async _handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -263,7 +268,8 @@
       response.writeHead(421, { "x-ploverstage-instance-id": this.id }).end();
     } else if (request.url === "/-/report")
       response.end(JSON.stringify({ seqNo: this._sequence, born: this._born }));
-    else if (request.url === "/-/order") this._order(JSON.parse(Buffer.concat(chunks).toString()), response);
+    else if (request.url === "/-/order")
+      this._executeOrder(JSON.parse(Buffer.concat(chunks).toString()), response);
     else {
       const body = Buffer.concat(chunks).toString();
       if (body === CRASHING_BODY) this._options.onCrashingRequest?.();
@@ -277,12 +283,12 @@
     this._options.onCrash?.();
   }
 
-  private _order(
+  private _executeOrder(
     order: { op: string; group: string; epoch: number; model: string; members: string[] },
     response: ServerResponse,
   ): void {
     const { _place: place } = this;
-    this._tell(order.op, order.group);
+    this._notify(order.op, order.group);
     const isOwn = place !== undefined && place.name === order.group && place.epoch === order.epoch;
     if (order.op === "join") {
       if (this._place !== undefined && order.epoch < this._place.epoch)
@@ -299,33 +305,37 @@
   }
 
   /** Checks whether it may take requests as the head of a group. */
-  takesRequestsOf(group: string, epoch: number): boolean {
+  isServingHeadOf(group: string, epoch: number): boolean {
     const { _place: place } = this;
     if (this._hasEnded || place?.name !== group || place.epoch !== epoch) return false;
     return place.state === "open" || place.state === "closing";
   }
 
   /** A head that has lost a member stands still, then breaks. */
-  private _breakIfLost(): void {
+  private _breakIfMemberLost(): void {
     const { _place: place } = this;
     if (place === undefined || place.rank !== 0 || place.state === "joining") return;
-    const { getLives } = this._options;
-    if (getLives === undefined) return;
+    const { getIncarnations } = this._options;
+    if (getIncarnations === undefined) return;
     const isLost = (id: string) => {
-      const wasThere = getLives(id).some((life) => life.wasReadyIn(place.name, place.epoch));
-      return wasThere && !getLives(id).some((life) => life.isIn(place.name, place.epoch));
+      const wasThere = getIncarnations(id).some((incarnation) =>
+        incarnation.wasReadyIn(place.name, place.epoch),
+      );
+      return (
+        wasThere && !getIncarnations(id).some((incarnation) => incarnation.isIn(place.name, place.epoch))
+      );
     };
     if (!place.members.some(isLost)) return;
     place.lostAt ??= performance.now();
-    if (performance.now() - place.lostAt < STALL_MS || place.state === "broken") return;
-    this._tell("break", place.name);
+    if (performance.now() - place.lostAt < BREAK_DELAY_MS || place.state === "broken") return;
+    this._notify("break", place.name);
     place.state = "broken";
     this._reportChange();
   }
 
   private _join(order: { group: string; epoch: number; model: string; members: string[] }): void {
     const { _place: before } = this;
-    if (before !== undefined && before.name !== order.group && this._mayBeServed(before)) {
+    if (before !== undefined && before.name !== order.group && this._hasServingHead(before)) {
       this.wrongJoins.push(`${this.id} joined ${order.group} while ${before.name} was open`);
     }
     const place: Place = {
@@ -344,9 +354,9 @@
     }, this._options.joinMs ?? JOIN_MS);
   }
 
-  private _mayBeServed({ name, epoch, members }: Place): boolean {
-    const heads = this._options.getLives?.(members[0]!) ?? [this];
-    return heads.some((head) => head.takesRequestsOf(name, epoch));
+  private _hasServingHead({ name, epoch, members }: Place): boolean {
+    const heads = this._options.getIncarnations?.(members[0]!) ?? [this];
+    return heads.some((head) => head.isServingHeadOf(name, epoch));
   }
 
   private _serve(request: IncomingMessage, body: string, response: ServerResponse): void {
@@ -354,12 +364,12 @@
     if (!isOpen) return void response.writeHead(421, { "x-ploverstage-instance-id": this.id }).end();
     const id = String(request.headers["x-ploverstage-request-id"]);
     this.ran.push(id);
-    this._checkGroup(id);
+    this._recordPartialRun(id);
     if (body === CRASHING_BODY) setTimeout(() => this._crashByRequest(), CRASH_MS);
     const headers = { "x-ploverstage-request-id": id, "x-ploverstage-response-seal": `seal-${id}` };
     if (this.endless !== undefined) {
-      this._endlessAnswers += 1;
-      sendWithoutEnd(this.endless, headers, response);
+      this._endlessCount += 1;
+      sendEndless(this.endless, headers, response);
       return;
     }
     if (this._options.domain === "") {
@@ -370,19 +380,21 @@
     }
     response.writeHead(200, { ...headers, "content-type": "text/event-stream" });
     if (body === CRASHING_BODY) return void response.flushHeaders();
-    this._streams += 1;
+    this._streamCount += 1;
     response.once("close", () => {
-      this._streams -= 1;
+      this._streamCount -= 1;
     });
     this._stream(Number(request.headers["last-event-id"] ?? 0), response);
   }
 
-  private _checkGroup(requestId: string): void {
+  private _recordPartialRun(requestId: string): void {
     const { _place: place } = this;
-    const { getLives } = this._options;
-    if (place === undefined || getLives === undefined) return;
+    const { getIncarnations } = this._options;
+    if (place === undefined || getIncarnations === undefined) return;
     const { name, epoch, members } = place;
-    const missing = members.filter((id) => !getLives(id).some((life) => life.wasReadyIn(name, epoch)));
+    const missing = members.filter(
+      (id) => !getIncarnations(id).some((incarnation) => incarnation.wasReadyIn(name, epoch)),
+    );
     if (missing.length > 0) {
       this.partialRuns.push(`${requestId} ran in ${name} without ${missing.join(", ")}`);
     }
@@ -390,9 +402,9 @@
 
   private _stream(last: number, response: ServerResponse): void {
     if (response.destroyed) return;
-    const { events, eventMs } = this._options.stream ?? STREAM_PACE;
-    if (performance.now() < this._stillUntil) {
-      setTimeout(() => this._stream(last, response), STILL_CHECK_MS);
+    const { events, eventMs } = this._options.stream ?? STREAM_TIMING;
+    if (performance.now() < this._pausedUntil) {
+      setTimeout(() => this._stream(last, response), PAUSE_CHECK_MS);
       return;
     }
     if (last >= events) {
@@ -405,15 +417,15 @@
 }
 
 /** Sends bytes that are no answer until the other side closes. */
-function sendWithoutEnd(
+function sendEndless(
   kind: EndlessKind,
   headers: Readonly<Record<string, string>>,
   response: ServerResponse,
 ): void {
   const { socket } = response;
   if (socket === null) return;
-  let piece: string | Buffer = ENDLESS_PIECE;
-  if (kind === "informational") piece = "HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n".repeat(100);
+  let chunk: string | Buffer = ENDLESS_CHUNK;
+  if (kind === "informational") chunk = "HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n".repeat(100);
   else if (kind === "head") socket.write("HTTP/1.1 200 OK\r\nx-long: ");
   else {
     response.writeHead(200, {
@@ -425,7 +437,7 @@
   const isInBody = kind === "event" || kind === "body";
   const sendMore = () => {
     while (!socket.destroyed) {
-      if (isInBody ? response.write(piece) : socket.write(piece)) continue;
+      if (isInBody ? response.write(chunk) : socket.write(chunk)) continue;
       return;
     }
   };
--- a/test/platform/oddReports.ts
+++ b/test/platform/oddReports.ts
@@ -1,6 +1,6 @@
 /** Reports that another writer made, as any control process may be sent them. */
 
-const SOUND = {
+const VALID = {
   service: "llm",
   address: "127.0.0.1:9",
   zone: "zone-a",
@@ -12,18 +12,18 @@
   born: 1,
 };
 const GROUP = { name: "g", epoch: 1, rank: 0, state: "ready" };
-const ODD: readonly string[] = [
-  { ...SOUND, slots: -1 },
-  { ...SOUND, slots: 1.5 },
-  { ...SOUND, slots: 1e12 },
-  { ...SOUND, group: { ...GROUP, rank: -1 } },
-  { ...SOUND, group: { ...GROUP, state: "dancing" } },
-  { ...SOUND, state: "sleeping" },
-  { ...SOUND, address: "999.1.1.1:99999" },
-  { ...SOUND, seqNo: 1e300 },
-  { ...SOUND, born: "yesterday" },
-  { ...SOUND, zone: "" },
-  { ...SOUND, service: "\ud800" },
+const INVALID: readonly string[] = [
+  { ...VALID, slots: -1 },
+  { ...VALID, slots: 1.5 },
+  { ...VALID, slots: 1e12 },
+  { ...VALID, group: { ...GROUP, rank: -1 } },
+  { ...VALID, group: { ...GROUP, state: "dancing" } },
+  { ...VALID, state: "sleeping" },
+  { ...VALID, address: "999.1.1.1:99999" },
+  { ...VALID, seqNo: 1e300 },
+  { ...VALID, born: "yesterday" },
+  { ...VALID, zone: "" },
+  { ...VALID, service: "\ud800" },
   { service: "llm" },
 ].map((report) => JSON.stringify(report));
 
@@ -32,7 +32,7 @@
  * @returns Their statuses; 0 where there was no answer.
  */
 export function sendOddReports(control: string, workerId: string): Promise<number[]> {
-  const bodies = [...ODD, "no JSON", ""];
+  const bodies = [...INVALID, "no JSON", ""];
   return Promise.all(
     bodies.map(async (body) => {
       const url = `http://${control}/-/Instances.Heartbeat/${workerId}`;
--- a/test/platform/playLosses.ts
+++ b/test/platform/playLosses.ts
@@ -6,21 +6,21 @@
 import { WatcherGroup } from "./WatcherGroup";
 
 const CONTROLS = 5;
-const FOUNDERS = 3;
+const SEEDS = 3;
 const WORKERS = 96;
 const WATCHERS = 36;
 const REPLICA_SIZE = 4;
 const REPORT_MS = 1_200;
 /** Tries at the directory a second. */
-const QUESTIONS = 100;
-const ORDER_GAP_MS = 1_500;
-const SETTLE_MS = 6_000;
-const OFF_MS = 1_000;
-const ON_MS = 3_000;
+const LOOKUPS_PER_S = 100;
+const VERSION_INTERVAL_MS = 1_500;
+const FIRST_RUN_MS = 6_000;
+const POWER_OFF_MS = 1_000;
+const POWER_ON_MS = 3_000;
 /** As the users' sites have it. */
 export const CONTACT_MS = 4_000;
 export const ACKNOWLEDGEMENT_MS = 5_000;
-const LOADS = { loadsPerS: 1_000, loads_at_once: 1_000 } as const;
+const LOAD_LIMITS = { loadsPerS: 1_000, loads_at_once: 1_000 } as const;
 
 /** What an order came to, milliseconds; endless for what never was. */
 export interface OrderWait {
@@ -30,7 +30,7 @@
 }
 
 /** What orders came to. */
-export interface LossOutcome {
+export interface PowerLossResult {
   /** Of one that was sent before the first loss. */
   readonly before: OrderWait;
   /** Of those that were sent after the second loss, the first one first. */
@@ -41,31 +41,34 @@
  * Plays it once.
  * @param share - Part of a core that each control process may use.
  */
-export async function playLosses(share: number): Promise<LossOutcome> {
+export async function playLosses(share: number): Promise<PowerLossResult> {
   const cluster = await PlatformCluster.start(WORKERS, {
     controls: CONTROLS,
-    seeds: FOUNDERS,
+    seeds: SEEDS,
     controlQuota: share,
     reportMs: REPORT_MS,
   });
-  const watchers = new WatcherGroup(WATCHERS, cluster.rpcAddresses.slice(0, FOUNDERS));
+  const watchers = new WatcherGroup(WATCHERS, cluster.rpcAddresses.slice(0, SEEDS));
   const directories = cluster.controls.map((_, i) => cluster.getDirectory(i));
-  const callers = new DirectoryCallers({ addresses: directories, rate: QUESTIONS });
+  const callers = new DirectoryCallers({ addresses: directories, rate: LOOKUPS_PER_S });
   const operator = new OperatorStandin({ addresses: cluster.controlAddresses, createDocument });
   try {
     watchers.start();
     await operator.send(1);
     callers.start();
-    operator.start(2, ORDER_GAP_MS);
-    await pause(SETTLE_MS);
+    operator.start(2, VERSION_INTERVAL_MS);
+    await pause(FIRST_RUN_MS);
     await losePower(cluster, watchers);
-    await pause(ON_MS);
+    await pause(POWER_ON_MS);
     await losePower(cluster);
-    const onAt = Date.now();
+    const powerOnAt = Date.now();
     await pause(CONTACT_MS + ACKNOWLEDGEMENT_MS);
-    const calm = operator.orders[1]!;
-    const after = operator.orders.filter(({ sentAt }) => sentAt >= onAt);
-    return { before: getWait(calm, calm.sentAt), after: after.map((order) => getWait(order, onAt)) };
+    const first = operator.orders[1]!;
+    const after = operator.orders.filter(({ sentAt }) => sentAt >= powerOnAt);
+    return {
+      before: getDelays(first, first.sentAt),
+      after: after.map((order) => getDelays(order, powerOnAt)),
+    };
   } finally {
     operator.stop();
     callers.stop();
@@ -74,7 +77,7 @@
   }
 }
 
-function getWait({ acknowledgedAt, readBackAt }: SentOrder, since: number): OrderWait {
+function getDelays({ acknowledgedAt, readBackAt }: SentOrder, since: number): OrderWait {
   return {
     acknowledgedMs: (acknowledgedAt ?? Number.POSITIVE_INFINITY) - since,
     readBackMs: (readBackAt ?? Number.POSITIVE_INFINITY) - since,
@@ -85,7 +88,7 @@
 async function losePower(cluster: PlatformCluster, watchers?: WatcherGroup): Promise<void> {
   watchers?.stop();
   await Promise.all(cluster.controls.map((control) => control.kill()));
-  await pause(OFF_MS);
+  await pause(POWER_OFF_MS);
   for (const control of cluster.controls) control.start();
   watchers?.start();
 }
@@ -94,7 +97,7 @@
   const config = createConfig(version);
   const [llm, app] = config.services;
   const models = [{ ...llm!.engine!.models[0]!, size: REPLICA_SIZE }];
-  return { ...config, services: [{ ...llm!, engine: { ...llm!.engine!, ...LOADS, models } }, app] };
+  return { ...config, services: [{ ...llm!, engine: { ...llm!.engine!, ...LOAD_LIMITS, models } }, app] };
 }
 
 function pause(milliseconds: number): Promise<void> {
