--- a/scripts/bundlePlatform.mjs
+++ b/scripts/bundlePlatform.mjs
@@ -1,10 +1,10 @@
 /**
- * Bundles the platform's program into a folder, and keeps its heap with all modules loaded beside
- * it: node scripts/bundlePlatform.mjs DIR.
+ * Bundles the platform program into a folder and creates its startup snapshot, a V8 heap with all modules
+ * loaded, next to it. Usage: node scripts/bundlePlatform.mjs DIR.
  *
- * A process that starts from the heap needs hardly more processor time than Node alone; from the
- * bundle it takes 0.14 s more (252 and 107 ms until an entry listens, medians of five starts), which is
- * 0.7 s on a fifth of a core, after every start.
+ * A process that starts from the snapshot needs hardly more processor time than Node alone. Starting from the
+ * bundle takes 0.14 s more (252 against 107 ms until an entry listens, medians of five starts), which is 0.7
+ * s on a fifth of a core, at every start.
  */
 import { execFileSync } from "node:child_process";
 import { copyFileSync, mkdirSync } from "node:fs";
@@ -12,13 +12,18 @@
 import { join } from "node:path";
 import { build } from "esbuild";
 
-/** Node takes a heap only with the options that it was kept with: as in deploy/system.toml. */
-const NODE_OPTIONS = ["--max-old-space-size=200", "--min-semi-space-size=4", "--single-threaded-gc"];
-/** The library for calls to C, for this kind of machine. */
-const KIND = `${process.platform}-${process.arch}`;
-const NATIVE_LIBRARY = `node_modules/@koromix/koffi-${KIND}/${KIND.replace("-", "_")}/koffi.node`;
-/** Modules of Node 20 that can't be loaded while a heap is made; they are loaded at their first use. */
-const LATE_MODULES = ["http", "https", "http2", "dgram", "module", "perf_hooks", "worker_threads"];
+/**
+ * Node loads a snapshot only with the options that it was created with, which are those of
+ * deploy/system.toml.
+ */
+const SNAPSHOT_OPTIONS = ["--max-old-space-size=200", "--min-semi-space-size=4", "--single-threaded-gc"];
+/**
+ * Operating system and processor architecture, as in the package names of koffi, the library for calls to C.
+ */
+const PLATFORM_ARCH = `${process.platform}-${process.arch}`;
+const NATIVE_LIBRARY = `node_modules/@koromix/koffi-${PLATFORM_ARCH}/${PLATFORM_ARCH.replace("-", "_")}/koffi.node`;
+/** Modules that Node 20 cannot load while it creates a snapshot; they are loaded on first use. */
+const DEFERRED_MODULES = ["http", "https", "http2", "dgram", "module", "perf_hooks", "worker_threads"];
 
 const [folder] = process.argv.slice(2);
 if (folder === undefined) throw new Error("usage: bundlePlatform.mjs DIR");
@@ -34,23 +39,23 @@
   logLevel: "warning",
   legalComments: "none",
   inject: ["src/rpc/bundledHeaders.ts"],
-  plugins: [{ name: "late-modules", setup: addLateModules }],
+  plugins: [{ name: "late-modules", setup: addDeferredModules }],
 });
-// Native code can't be bundled: it is opened at its first use from beside the program.
+// Native code cannot be bundled: the program loads it on first use from its own folder.
 copyFileSync(NATIVE_LIBRARY, join(folder, "koffi.node"));
-const blob = join(folder, "platform.blob");
-execFileSync(process.execPath, [...NODE_OPTIONS, "--snapshot-blob", blob, "--build-snapshot", bundle], {
+const snapshot = join(folder, "platform.blob");
+execFileSync(process.execPath, [...SNAPSHOT_OPTIONS, "--snapshot-blob", snapshot, "--build-snapshot", bundle], {
   stdio: "inherit",
 });
 
-/** Replaces late modules by objects whose members load the real one. */
-function addLateModules(context) {
-  const filter = new RegExp(`^(node:)?(${LATE_MODULES.join("|")})$`);
+/** Replaces deferred modules by objects whose members load the real module. */
+function addDeferredModules(context) {
+  const filter = new RegExp(`^(node:)?(${DEFERRED_MODULES.join("|")})$`);
   context.onResolve({ filter }, ({ path }) => ({ path: path.replace(/^node:/, ""), namespace: "late" }));
-  context.onLoad({ filter: /.*/, namespace: "late" }, ({ path }) => ({ contents: createLateModule(path) }));
+  context.onLoad({ filter: /.*/, namespace: "late" }, ({ path }) => ({ contents: createDeferredModule(path) }));
 }
 
-function createLateModule(name) {
+function createDeferredModule(name) {
   const members = Object.keys(createRequire(import.meta.url)(`node:${name}`));
   const getters = members.map(
     (member) => `  get ${JSON.stringify(member)}() { return load()[${JSON.stringify(member)}]; },`,
--- a/scripts/callOnce.mjs
+++ b/scripts/callOnce.mjs
@@ -1,7 +1,8 @@
-// Asks an entry for its addresses, streams one answer, calls one service, prints both.
-const [first] = process.argv.slice(2);
+// Gets the addresses of the entries from one entry, streams an answer, calls a service, and prints the
+// results.
+const [entryAddress] = process.argv.slice(2);
 const headers = { "ploverstage-organisation": "caisse-atlas", "ploverstage-kind": "draft" };
-const { addresses } = await (await fetch(`http://${first}/v1/addresses`)).json();
+const { addresses } = await (await fetch(`http://${entryAddress}/v1/addresses`)).json();
 console.log(`addresses: ${addresses.map((entry) => entry.address).join(", ")}`);
 const base = `http://${addresses[0].address}`;
 const body = {
@@ -32,7 +33,9 @@
 console.log(`  by ${service.headers.get("ploverstage-replica")}`);
 if (!isWhole || service.status !== 200) process.exit(1);
 
-/** A refusal says when to come back; replicas need a moment to form. */
+/**
+ * Repeats the request after the delay of each refusal, for up to 60 s, since replicas take some time to form.
+ */
 async function callUntilServed() {
   const endAt = Date.now() + 60_000;
   for (;;) {
--- a/scripts/capacityPage.mjs
+++ b/scripts/capacityPage.mjs
@@ -1,12 +1,12 @@
-// Writes the tables of docs/CAPACITY.md from bench/capacity.json.
-// With --check it only says whether the page is what the figures give.
+// Writes the tables of docs/CAPACITY.md from the figures in bench/capacity.json. With --check it changes
+// nothing, and fails if the page is out of date.
 import { readFileSync, writeFileSync } from "node:fs";
 
 const PAGE = "docs/CAPACITY.md";
 const figures = JSON.parse(readFileSync("bench/capacity.json", "utf8"));
-const at = (name) => figures[name].value;
+const getValue = (name) => figures[name].value;
 
-/** The target of letter 1. */
+/** Target load of the system, and the budgets of an entry for control. */
 const TARGET = {
   entries: 460,
   instances: 12_000,
@@ -19,7 +19,7 @@
   memoryMb: 64,
   bytesPerSecond: 4_096,
 };
-/** Choices of the design at the target, argued for in docs/DESIGN.md. */
+/** Design choices at the target load; docs/DESIGN.md gives their reasons. */
 const DESIGN = {
   votersPerCell: 3,
   renewSeconds: 2,
@@ -28,67 +28,67 @@
   claimShare: 0.01,
   claimRetentionSeconds: 86_400,
 };
-/** Probes a second that the bench's configuration makes of each engine. */
+/** Rate at which the bench probes each engine, per second. */
 const BENCH_PROBES_PER_SECOND = 10;
 
 const entriesPerRegion = TARGET.entries / TARGET.regions;
 const instancesPerRegion = TARGET.instances / TARGET.regions;
-const probeUs = { control: (at("control_cpu_engine") * 1e6) / BENCH_PROBES_PER_SECOND, entry: (at("entry_cpu_engine") * 1e6) / BENCH_PROBES_PER_SECOND };
+const probeUs = { control: (getValue("control_cpu_engine") * 1e6) / BENCH_PROBES_PER_SECOND, entry: (getValue("entry_cpu_engine") * 1e6) / BENCH_PROBES_PER_SECOND };
 const watchedPerEntry = (instancesPerRegion * DESIGN.probersPerInstance) / entriesPerRegion;
 const probesPerEntry = watchedPerEntry / DESIGN.probeSeconds;
 const renewalsPerCell = entriesPerRegion / DESIGN.renewSeconds;
-const renewalUs = at("renewal_cpu") + at("renewal_cpu_engine") * instancesPerRegion;
+const renewalUs = getValue("renewal_cpu") + getValue("renewal_cpu_engine") * instancesPerRegion;
 const claimsPerCell = (TARGET.requests / TARGET.regions) * DESIGN.claimShare;
 const changesPerSecond = TARGET.changesPerDay / 86_400;
 
-function format(value, digits = 3) {
+function formatNumber(value, digits = 3) {
   if (value === 0) return "0";
   return Number(value.toPrecision(digits)).toLocaleString("en", { maximumFractionDigits: 6 });
 }
 
-function verdict(value, budget) {
-  return value <= budget ? "within" : `**misses** (${format(value / budget, 2)} times)`;
+function compareToLimit(value, budget) {
+  return value <= budget ? "within" : `**misses** (${formatNumber(value / budget, 2)} times)`;
 }
 
-function table(head, rows) {
+function createTable(head, rows) {
   return [head, head.map(() => "---"), ...rows].map((row) => `| ${row.join(" | ")} |`).join("\n");
 }
 
-const slopes = table(
+const slopes = createTable(
   ["figure", "value", "unit"],
-  Object.entries(figures).map(([name, { value, unit }]) => [`\`${name}\``, format(value, 4), unit]),
+  Object.entries(figures).map(([name, { value, unit }]) => [`\`${name}\``, formatNumber(value, 4), unit]),
 );
 
 const entryCpu = (probesPerEntry * probeUs.entry + (renewalUs / DESIGN.renewSeconds) * 0.5) / 1e6;
-const entryBytes = probesPerEntry * at("probe_bytes") + at("renewal_bytes") / DESIGN.renewSeconds + changesPerSecond * at("configuration_patch");
-const entryMb = at("entry_resident") + at("entry_resident_engine") * watchedPerEntry;
-const entryTable = table(
+const entryBytes = probesPerEntry * getValue("probe_bytes") + getValue("renewal_bytes") / DESIGN.renewSeconds + changesPerSecond * getValue("configuration_patch");
+const entryMb = getValue("entry_resident") + getValue("entry_resident_engine") * watchedPerEntry;
+const entryTable = createTable(
   ["an entry, for control", "at the target", "budget", "", "carried by"],
   [
-    ["processor, cores", format(entryCpu), TARGET.cpuCore, verdict(entryCpu, TARGET.cpuCore), `${format(probesPerEntry)} probes/s of a subset of ${format(watchedPerEntry)} instances, a renewal every ${DESIGN.renewSeconds} s`],
-    ["messages, bytes/s", format(entryBytes), TARGET.bytesPerSecond, verdict(entryBytes, TARGET.bytesPerSecond), "probes, above all; a configuration change travels as its difference"],
-    ["memory, MB", format(entryMb), TARGET.memoryMb, verdict(entryMb, TARGET.memoryMb), "Node at rest with these libraries; the slope in instances"],
+    ["processor, cores", formatNumber(entryCpu), TARGET.cpuCore, compareToLimit(entryCpu, TARGET.cpuCore), `${formatNumber(probesPerEntry)} probes/s of a subset of ${formatNumber(watchedPerEntry)} instances, a renewal every ${DESIGN.renewSeconds} s`],
+    ["messages, bytes/s", formatNumber(entryBytes), TARGET.bytesPerSecond, compareToLimit(entryBytes, TARGET.bytesPerSecond), "probes, above all; a configuration change travels as its difference"],
+    ["memory, MB", formatNumber(entryMb), TARGET.memoryMb, compareToLimit(entryMb, TARGET.memoryMb), "Node at rest with these libraries; the slope in instances"],
   ],
 );
 
-const requestCores = ((TARGET.requests / TARGET.entries) * at("request_cpu") + (TARGET.tokens / TARGET.entries) * at("token_cpu")) / 1e6;
-const dataTable = table(
+const requestCores = ((TARGET.requests / TARGET.entries) * getValue("request_cpu") + (TARGET.tokens / TARGET.entries) * getValue("token_cpu")) / 1e6;
+const dataTable = createTable(
   ["an entry, for requests", "at the target", "limit", "", "carried by"],
-  [["processor, cores", format(requestCores), 1, verdict(requestCores, 1), `${format(TARGET.requests / TARGET.entries)} requests/s and ${format(TARGET.tokens / TARGET.entries)} tokens/s a node`]],
+  [["processor, cores", formatNumber(requestCores), 1, compareToLimit(requestCores, 1), `${formatNumber(TARGET.requests / TARGET.entries)} requests/s and ${formatNumber(TARGET.tokens / TARGET.entries)} tokens/s a node`]],
 );
 
-const leaderCpu = at("control_idle_cpu") + (renewalsPerCell * renewalUs + claimsPerCell * at("claim_cpu") + (instancesPerRegion / DESIGN.probeSeconds) * probeUs.control + changesPerSecond * at("change_cpu")) / 1e6;
+const leaderCpu = getValue("control_idle_cpu") + (renewalsPerCell * renewalUs + claimsPerCell * getValue("claim_cpu") + (instancesPerRegion / DESIGN.probeSeconds) * probeUs.control + changesPerSecond * getValue("change_cpu")) / 1e6;
 const claims = claimsPerCell * DESIGN.claimRetentionSeconds;
-const leaderMb = at("control_resident") + at("control_resident_engine") * instancesPerRegion + (claims * at("claim_memory")) / 1e6;
-const cellTable = table(
+const leaderMb = getValue("control_resident") + getValue("control_resident_engine") * instancesPerRegion + (claims * getValue("claim_memory")) / 1e6;
+const cellTable = createTable(
   ["the leader of a region's cell", "at the target", "limit", "", "carried by"],
   [
-    ["processor, cores", format(leaderCpu), 1, verdict(leaderCpu, 1), `${format(renewalsPerCell)} renewals/s, ${format(claimsPerCell)} claims/s, ${format(instancesPerRegion / DESIGN.probeSeconds)} probes/s`],
-    ["of that, probes", format(((instancesPerRegion / DESIGN.probeSeconds) * probeUs.control) / 1e6), 1, "", "to be spread over entries, which report transitions only"],
-    ["memory, MB", format(leaderMb), 8_000, verdict(leaderMb, 8_000), `${format(claims)} retained claims of ${format(at("claim_memory"))} bytes`],
-    ["log, bytes/s", format(claimsPerCell * at("claim_disk")), 1e7, "", "one sync for all that wait"],
-    ["a plan, ms", format((at("plan_repair_12000") * instancesPerRegion) / 12_000), 200, "", "one pure run a step over the cell's instances"],
-    ["control instances", TARGET.regions * DESIGN.votersPerCell + 1, TARGET.controlInstances, verdict(TARGET.regions * DESIGN.votersPerCell + 1, TARGET.controlInstances), `${DESIGN.votersPerCell} voters a region; the configuration's root is one voter of each cell, with one spare`],
+    ["processor, cores", formatNumber(leaderCpu), 1, compareToLimit(leaderCpu, 1), `${formatNumber(renewalsPerCell)} renewals/s, ${formatNumber(claimsPerCell)} claims/s, ${formatNumber(instancesPerRegion / DESIGN.probeSeconds)} probes/s`],
+    ["of that, probes", formatNumber(((instancesPerRegion / DESIGN.probeSeconds) * probeUs.control) / 1e6), 1, "", "to be spread over entries, which report transitions only"],
+    ["memory, MB", formatNumber(leaderMb), 8_000, compareToLimit(leaderMb, 8_000), `${formatNumber(claims)} retained claims of ${formatNumber(getValue("claim_memory"))} bytes`],
+    ["log, bytes/s", formatNumber(claimsPerCell * getValue("claim_disk")), 1e7, "", "one sync for all that wait"],
+    ["a plan, ms", formatNumber((getValue("plan_repair_12000") * instancesPerRegion) / 12_000), 200, "", "one pure run a step over the cell's instances"],
+    ["control instances", TARGET.regions * DESIGN.votersPerCell + 1, TARGET.controlInstances, compareToLimit(TARGET.regions * DESIGN.votersPerCell + 1, TARGET.controlInstances), `${DESIGN.votersPerCell} voters a region; the configuration's root is one voter of each cell, with one spare`],
   ],
 );
 
@@ -100,7 +100,7 @@
 }
 if (process.argv.includes("--check")) {
   if (page !== before) {
-    console.error(`${PAGE} is not what bench/capacity.json gives; run node scripts/capacityPage.mjs`);
+    console.error(`${PAGE} does not match bench/capacity.json; run node scripts/capacityPage.mjs`);
     process.exit(1);
   }
 } else writeFileSync(PAGE, page);
--- a/scripts/freePorts.mjs
+++ b/scripts/freePorts.mjs
@@ -1,4 +1,4 @@
-// Prints as many free loopback ports as asked for, each from the operating system.
+// Prints the given number of free loopback ports, chosen by the operating system.
 import { createServer } from "node:net";
 
 const servers = await Promise.all(
--- a/scripts/waitFor.mjs
+++ b/scripts/waitFor.mjs
@@ -1,4 +1,4 @@
-// Waits until a URL answers 200, for a minute at the most.
+// Waits until a URL answers with status 200, for one minute at most.
 const [url] = process.argv.slice(2);
 const endAt = Date.now() + 60_000;
 for (;;) {
--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -1,18 +1,20 @@
-/** A small engine: speaks the engines' protocol and makes up its tokens. */
+/**
+ * A stand-in for an inference engine. It implements the engine protocol and generates deterministic tokens.
+ */
 import type { Server, ServerResponse } from "node:http";
 import { sendJson, startServer, stopServer } from "./http";
 
-/** How a stand-in behaves. */
+/** Options of an engine stand-in. */
 export interface EngineStandinOptions {
   readonly id: string;
   readonly port?: number;
-  /** Time to load a model. */
+  /** Time to load a model, milliseconds. */
   readonly loadMs?: number;
-  /** Time between tokens. */
+  /** Time between two tokens, milliseconds. */
   readonly tokenMs?: number;
-  /** Whether it refuses an older epoch. */
+  /** Whether it rejects orders of an older epoch and requests of any other epoch; true by default. */
   readonly checksOrders?: boolean;
-  /** Requests that it takes at once. */
+  /** Maximum number of concurrent requests; 1,000 by default. */
   readonly capacity?: number;
 }
 
@@ -32,38 +34,38 @@
   readonly adapters: readonly string[];
 }
 
-/** One generation; it goes on for a while without its reader, so that it can be resumed. */
+/** One generation. It stays available after its stream is cut, so that a client can resume it. */
 interface Run {
   readonly body: GenerateBody;
   sentTokens: number;
   isCancelled: boolean;
 }
 
-/** What it does wrong, for tests. */
-export interface Faults {
-  /** Breaks the connection after so many tokens of a stream, once. */
+/** Faults that a test injects. */
+export interface EngineFaults {
+  /** Closes the connection once, before the token at this offset. */
   cutAfter?: number;
-  /** Accepts a generation, runs it, and closes without an answer. */
+  /** Accepts a generation, then closes the connection without an answer. */
   losesAnswers?: boolean;
-  /** Refuses generations with this status. */
+  /** Status with which generations are refused. */
   refusesWith?: number;
-  /** Sends a frame of another request at this token. */
+  /** Offset at which a frame carries the id of another request. */
   foreignAt?: number;
   /** Sends each frame twice. */
   doubles?: boolean;
-  /** Forgets runs, so that nothing can be resumed. */
+  /** Does not store runs, so that no generation can be resumed. */
   forgets?: boolean;
-  /** Answers no state question. */
+  /** Closes the connection instead of answering state requests. */
   isSilent?: boolean;
 }
 
-/** A running stand-in. */
+/** An HTTP server that behaves as an engine. */
 export class EngineStandin {
-  /** What it does wrong. */
-  readonly faults: Faults = {};
-  /** Requests that it ran, in order, doubles included. */
+  /** Injected faults. */
+  readonly faults: EngineFaults = {};
+  /** Ids of the generations that it accepted, in order, with repeats. */
   readonly ran: string[] = [];
-  /** Requests that were cancelled. */
+  /** Ids of the requests that were cancelled. */
   readonly cancelled: string[] = [];
   readonly id: string;
   address = "";
@@ -93,13 +95,13 @@
     return standin;
   }
 
-  /** Stops, cutting all connections. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     if (this._server !== undefined) await stopServer(this._server);
     this._server = undefined;
   }
 
-  /** Gets the text that a whole answer to a prompt has. */
+  /** Gets the text of a complete answer to a prompt. */
   static getAnswer(prompt: string, tokens: number): string {
     return Array.from({ length: tokens }, (_, i) => getToken(prompt, i)).join("");
   }
@@ -217,7 +219,7 @@
   }
 }
 
-/** Tokens tell whose prompt they answer, so that a mix-up shows. */
+/** Creates a token that contains the end of its prompt, so that tests detect tokens of another request. */
 function getToken(prompt: string, i: number): string {
   return `${prompt.trim().slice(-12)}#${i} `;
 }
--- a/standin/PlatformStandin.ts
+++ b/standin/PlatformStandin.ts
@@ -1,8 +1,8 @@
-/** A small platform: lists the instances that it is told of. */
+/** A stand-in for a platform, which lists the instances that tests or processes register. */
 import type { Server } from "node:http";
 import { sendJson, startServer, stopServer } from "./http";
 
-/** A listed instance, as the platform's protocol writes it. */
+/** An instance in the form of the platform protocol. */
 export interface ListedInstance {
   readonly id: string;
   readonly address: string;
@@ -14,9 +14,9 @@
   readonly checks_orders: boolean;
 }
 
-/** A running stand-in. */
+/** An HTTP server that behaves as a platform. */
 export class PlatformStandin {
-  /** What it lists. */
+  /** Instances that it lists. */
   instances: ListedInstance[] = [];
   address = "";
   private _server: Server | undefined;
@@ -28,7 +28,7 @@
       if (request.url === "/v1/instances" && request.method === "GET") {
         return sendJson(response, 200, { instances: standin.instances });
       }
-      // The stand-in alone has this: processes of a quickstart tell it of themselves.
+      // Only the stand-in accepts registrations; the processes of the quickstart register themselves here.
       if (request.url === "/v1/instances" && request.method === "POST") {
         standin.instances.push(JSON.parse(body));
         return sendJson(response, 200, {});
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Stops, cutting all connections. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     if (this._server !== undefined) await stopServer(this._server);
     this._server = undefined;
--- a/standin/ServiceStandin.ts
+++ b/standin/ServiceStandin.ts
@@ -1,16 +1,16 @@
-/** A small plain service: echoes its calls and counts them. */
+/** A stand-in for a plain service, which echoes its calls and records them. */
 import type { Server } from "node:http";
 import { sendJson, startServer, stopServer } from "./http";
 
-/** A running stand-in. */
+/** An HTTP server that behaves as a plain service. */
 export class ServiceStandin {
-  /** Calls that it ran: method, path and body. */
+  /** Calls that it executed: method, path and body. */
   readonly ran: string[] = [];
   readonly id: string;
   address = "";
-  /** Runs a call, then closes without an answer. */
+  /** Whether it executes calls and then closes the connection without an answer. */
   losesAnswers = false;
-  /** Breaks off in the middle of an answer. */
+  /** Whether it closes the connection in the middle of an answer. */
   cutsAnswers = false;
   private _server: Server | undefined;
 
@@ -39,7 +39,7 @@
     return standin;
   }
 
-  /** Stops, cutting all connections. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     if (this._server !== undefined) await stopServer(this._server);
     this._server = undefined;
--- a/standin/http.ts
+++ b/standin/http.ts
@@ -1,15 +1,15 @@
-/** What the stand-ins share: a JSON server on loopback. */
+/** A JSON server on the loopback interface, shared by the stand-ins. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** Answers one request. */
+/** Answers a request. */
 export type Handler = (
   request: IncomingMessage,
   response: ServerResponse,
   body: string,
 ) => void | Promise<void>;
 
-/** Starts a server; port 0 takes a free one. */
+/** Starts a server on a port; port 0 selects a free one. */
 export async function startServer(handler: Handler, port = 0): Promise<{ server: Server; address: string }> {
   const server = createServer({ keepAliveTimeout: 60_000 }, async (request, response) => {
     const chunks: Buffer[] = [];
@@ -26,7 +26,7 @@
   response.end(JSON.stringify(body));
 }
 
-/** Closes a server and its connections. */
+/** Closes a server and all its connections. */
 export async function stopServer(server: Server): Promise<void> {
   const closed = new Promise<void>((resolve) => server.close(() => resolve()));
   server.closeAllConnections();
--- a/standin/main.ts
+++ b/standin/main.ts
@@ -1,4 +1,4 @@
-/** Runs one stand-in as a process: `platform PORT`, `engine|service PORT ID PLATFORM DOMAIN`. */
+/** Runs a stand-in as a process. Arguments: `platform PORT`, or `engine|service PORT ID PLATFORM DOMAIN`. */
 import { request } from "node:http";
 import { EngineStandin } from "./EngineStandin";
 import { type ListedInstance, PlatformStandin } from "./PlatformStandin";
--- a/test/explain/explain.test.ts
+++ b/test/explain/explain.test.ts
@@ -29,8 +29,8 @@
   });
 }
 
-describe("an explanation of a decision log", () => {
-  it("tells each request's fate by the second in which it arrived", () => {
+describe("createExplanation", () => {
+  it("counts requests by outcome and by the second of their arrival", () => {
     const { seconds } = createExplanation(
       readDecisionLog([
         createRequestLine(1_000),
@@ -51,7 +51,7 @@
     expect(seconds[1]!.fates.inTime).toBe(1);
   });
 
-  it("names the lives of instances that were held for ended, and on what ground", () => {
+  it("lists ended instance incarnations with their cause", () => {
     const life = { event: "life_ended", instance: "i-1", born: START_MS, ground: "newerLife" };
     const { endedLives } = createExplanation(
       readDecisionLog([createLogLine(2_000, life), createRequestLine(1_000)]),
@@ -59,7 +59,7 @@
     expect(endedLives).toMatchObject([{ instance: "i-1", born: START_MS, ground: "newerLife" }]);
   });
 
-  it("joins seconds without service to blackouts with their cause", () => {
+  it("joins consecutive seconds without service to a blackout with its cause", () => {
     const refused = { outcome: "refused", code: "no_declaration", firstEventMs: undefined };
     const lines = [0, 1, 2, 5].flatMap((second) => [
       createRequestLine(second * 1_000, refused),
@@ -75,21 +75,21 @@
     ]);
   });
 
-  it("measures first events by model, and failed attempts by reason whatever their figures", () => {
-    const failures = [{ reason: "silent for 512 ms", tookMs: 600 }];
+  it("measures first events by model, and counts failed attempts by reason without numbers", () => {
+    const failures = [{ reason: "no data for 512 ms", tookMs: 600 }];
     const { models, attempts } = createExplanation(
       readDecisionLog([
         ...[100, 200, 900].map((firstEventMs, i) => createRequestLine(i, { firstEventMs })),
         createRequestLine(5, { model: "", firstEventMs: undefined, failures }),
-        createRequestLine(6, { failures: [{ reason: "silent for 733 ms", tookMs: 800 }] }),
+        createRequestLine(6, { failures: [{ reason: "no data for 733 ms", tookMs: 800 }] }),
       ]),
     );
     expect(models.map((row) => row.model)).toEqual(["", "m"]);
     expect(models[1]).toMatchObject({ answered: 4, lateShare: 0.25, p50Ms: 200, p99Ms: 900 });
-    expect(attempts).toEqual([{ reason: "silent for N ms", count: 2, meanMs: 700 }]);
+    expect(attempts).toEqual([{ reason: "no data for N ms", count: 2, meanMs: 700 }]);
   });
 
-  it("counts instances that are present and in no serving replica", () => {
+  it("counts instances that are present but in no serving replica", () => {
     const { idle } = createExplanation(
       readDecisionLog([
         createLogLine(0, { event: "groups_sized", service: "s", instances: { d0: 4, d1: 3 } }),
@@ -108,7 +108,7 @@
     expect(idle.at(-1)?.reasons).toEqual(["lost"]);
   });
 
-  it("passes over what is no decision, and counts it", () => {
+  it("skips and counts lines that are not decisions", () => {
     const log = readDecisionLog(["", "no json", "{", '{"event":"other"}', createRequestLine(0)]);
     expect(log).toMatchObject({ skippedLines: 4, requests: [{ model: "m" }] });
   });
@@ -123,14 +123,16 @@
     rmSync(folder, { recursive: true, force: true });
   });
 
-  it("reads what a gateway wrote", async () => {
+  it("reads the log of a gateway", async () => {
     folder = mkdtempSync(join(tmpdir(), "explain-"));
     harness = await GatewayHarness.start([notRun, streamEvents([1, 2], "whole")], {
       kind: "stream",
       isResumable: true,
     });
     await harness.call();
-    await waitUntil("it is logged", () => harness.logLines.some((line) => line.includes("request_ended")));
+    await waitUntil("the end of the request is logged", () =>
+      harness.logLines.some((line) => line.includes("request_ended")),
+    );
     const file = join(folder, "entry.log");
     writeFileSync(file, harness.logLines.join(""));
     const text = execFileSync(process.execPath, ["dist/test/ploverstage.cjs", "explain", "--json", file], {
--- a/test/metrics/BoundedLog.test.ts
+++ b/test/metrics/BoundedLog.test.ts
@@ -2,7 +2,7 @@
 import { BoundedLog, type LossyDestination, TextMetrics } from "../../src/metrics";
 import { waitUntil } from "../support/waitUntil";
 
-/** A destination whose reader takes nothing while it is stalled. */
+/** A destination that drops lines while its reader is stalled. */
 class StallingReader implements LossyDestination {
   readonly lines: string[] = [];
   isStalled = false;
@@ -22,7 +22,7 @@
 }
 
 describe("BoundedLog", () => {
-  it("tells how many lines were lost, in the log and in the metrics", async () => {
+  it("reports the number of dropped lines in the log and in the metrics", async () => {
     const reader = new StallingReader();
     const metrics = new TextMetrics({ role: "entry", name: "test" });
     const log = new BoundedLog("info", { role: "entry", name: "test" }, metrics, reader);
@@ -30,7 +30,7 @@
     reader.isStalled = true;
     for (let i = 0; i < 5; i++) log.logger.info({ event: "lost" });
     reader.isStalled = false;
-    await waitUntil("the loss is told", () => reader.lines.length === 2);
+    await waitUntil("the dropped lines are reported", () => reader.lines.length === 2);
     expect(JSON.parse(reader.lines[1]!)).toMatchObject({
       event: "log_lines_dropped",
       lines: 5,
@@ -41,8 +41,8 @@
   });
 });
 
-describe("TextMetrics", () => {
-  it("gives counters, gauges and histograms as text", async () => {
+describe("PrometheusMetrics", () => {
+  it("returns counters, gauges and histograms as text", async () => {
     const metrics = new TextMetrics({ role: "entry", name: "e1" });
     metrics.increment("gateway_requests", 2, { kind: "stream", outcome: "done", code: "" });
     metrics.increment("gateway_requests", 1, { kind: "stream", outcome: "refused", code: "no_target" });
--- a/test/metrics/CallLoad.test.ts
+++ b/test/metrics/CallLoad.test.ts
@@ -2,7 +2,7 @@
 import { CallLoad } from "../../src/metrics";
 
 describe("CallLoad", () => {
-  it("tells by kind what calls came to, each once, and counts them", () => {
+  it("returns the outcomes of each kind of call once, and exports them as metrics", () => {
     const counted: string[] = [];
     const increment = (name: string, _value: number, tags?: object) =>
       counted.push([name, ...Object.values(tags ?? {})].join(" "));
--- a/test/metrics/WorkMeter.test.ts
+++ b/test/metrics/WorkMeter.test.ts
@@ -18,7 +18,7 @@
     });
   });
 
-  it("counts all work by its kind, and tells of what took long", async () => {
+  it("exports all work by kind, and logs slow work", async () => {
     const result = meter.measure("plan", 222, () => {
       now += 99;
       return "planned";
@@ -31,7 +31,7 @@
     expect(text).toMatch(/control_work_ms_sum\{.*work="plan".*\} 99/);
   });
 
-  it("measures work that fails as well", () => {
+  it("also measures work that throws", () => {
     const fail = () => {
       now += 250;
       throw new Error("it is damaged");
--- a/test/platform/DirectoryCallers.ts
+++ b/test/platform/DirectoryCallers.ts
@@ -1,11 +1,11 @@
-/** Callers that ask the directory at a rate, each over a connection of its own. */
+/** Callers that query the directory at a fixed rate, each call over its own connection. */
 import { callOnce } from "./callOnce";
 
-/** What callers work with. */
+/** Options of the callers. */
 export interface DirectoryCallersOptions {
-  /** host:port of directories. */
+  /** Addresses of directories, host:port. */
   readonly addresses: readonly string[];
-  /** Tries a second of all callers together. */
+  /** Attempts per second of all callers together. */
   readonly rate: number;
 }
 
@@ -14,13 +14,16 @@
 const MS_PER_S = 1_000;
 const PATH = "/-/resolve?name=n&region=r&zone=zone-a";
 
-/** A question, and how often it has been tried in vain. */
+/** A lookup: the index of the first directory that it is sent to, and the number of failed attempts. */
 interface Lookup {
   readonly firstAddress: number;
   readonly failures: number;
 }
 
-/** Callers; a question that failed goes to the next directory before a new one begins, once around. */
+/**
+ * Queries directories. A failed lookup is repeated at the next directory before a new lookup starts, until
+ * each directory was tried once.
+ */
 export class DirectoryCallers {
   private readonly _options: DirectoryCallersOptions;
   private readonly _failedLookups: Lookup[] = [];
@@ -34,17 +37,17 @@
     this._options = options;
   }
 
-  /** Gets how many tries were answered. */
+  /** Gets the number of attempts that were answered. */
   get answers(): number {
     return this._answers;
   }
 
-  /** Gets how many tries failed, or had no answer in time. */
+  /** Gets the number of attempts that failed or timed out. */
   get failures(): number {
     return this._failures;
   }
 
-  /** Begins to ask. */
+  /** Starts the lookups. */
   start(): void {
     let checkedAt = performance.now();
     this._timer = setInterval(() => {
@@ -55,7 +58,7 @@
     }, TICK_MS);
   }
 
-  /** Asks no more. */
+  /** Starts no further lookups. */
   stop(): void {
     clearInterval(this._timer);
   }
--- a/test/platform/KeptCallers.ts
+++ b/test/platform/KeptCallers.ts
@@ -1,40 +1,43 @@
-/** Callers that use their connections again and again until the process behind them is gone. */
+/** Callers that reuse their keep-alive connections until the entry accepts no further connection. */
 import { Agent, type IncomingMessage, request } from "node:http";
 import { MODEL } from "./createConfig";
 
-/** What callers work with. */
+/** Options of the callers. */
 export interface KeepAliveCallersOptions {
-  /** host:port of an entry. */
+  /** Address of an entry, host:port. */
   readonly address: string;
-  /** Events of a whole stream. */
+  /** Number of events of a complete stream. */
   readonly events: number;
   /** Pause of a caller between two requests, milliseconds. */
   readonly pauseMs?: number;
   readonly path?: string;
-  /** How long a caller that found no one listening stays away, milliseconds; for good if not given. */
+  /**
+   * Pause of a caller after its connection was refused, milliseconds; a caller without this option stops
+   * then.
+   */
   readonly returnMs?: number;
 }
 
-/** What became of one request. */
+/** The outcome of a request. */
 export type CallOutcome =
-  /** A success to its last event. */
+  /** A successful answer with all of its events. */
   | "whole"
-  /** An answer other than a success, whole. */
+  /** A complete answer with an error status. */
   | "refused"
-  /** An answer that began and ended before its end, or with events missing or doubled. */
+  /** An answer that was truncated, or whose events were missing or duplicated. */
   | "cut"
-  /** Its connection ended without an answer. */
+  /** The connection ended before an answer began. */
   | "unanswered"
-  /** No connection came up. */
+  /** The connection could not be opened. */
   | "unsent";
 
-/** One request, monotonic milliseconds. */
+/** A request that has ended; times are monotonic milliseconds. */
 export interface RequestRecord {
   readonly sentAt: number;
   readonly endedAt: number;
   readonly outcome: CallOutcome;
   readonly status: number;
-  /** What its caller's side of the connection said. */
+  /** Error message of the connection, or the body of an error answer. */
   readonly reason: string;
   readonly isReusedConnection: boolean;
 }
@@ -43,9 +46,9 @@
 const REFUSAL_PAUSE_MS = 50;
 const DEADLINE_MS = 8_000;
 
-/** Callers, each with one connection of its own. */
+/** Callers that each use one connection. */
 export class KeptCallers {
-  /** Every request that has ended. */
+  /** All requests that have ended. */
   readonly seen: RequestRecord[] = [];
   private readonly _options: KeepAliveCallersOptions;
   private _isStopped = false;
@@ -56,12 +59,12 @@
     this._options = options;
   }
 
-  /** Gets the requests that came to an end of some kind. */
+  /** Gets the requests with an outcome. */
   getEnded(outcome: CallOutcome): RequestRecord[] {
     return this.seen.filter((request) => request.outcome === outcome);
   }
 
-  /** Gets how many requests came to an end of some kind, by what their callers saw of it. */
+  /** Counts the requests with any of the given outcomes, by outcome, status, connection and reason. */
   countEnds(...outcomes: readonly CallOutcome[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { outcome, reason, status, isReusedConnection } of this.seen) {
@@ -73,17 +76,17 @@
     return counts;
   }
 
-  /** Begins to call. */
+  /** Starts the callers. */
   start(callers: number): void {
     this._callers = Array.from({ length: callers }, () => this._callUntilDisconnected());
   }
 
-  /** Waits until every caller has found nobody listening. */
+  /** Waits until the connection of every caller was refused. */
   async waitUntilGone(): Promise<void> {
     await Promise.all(this._callers);
   }
 
-  /** Begins no more requests, and waits for those under way. */
+  /** Starts no further requests, and waits for those in flight. */
   async stop(): Promise<void> {
     this._isStopped = true;
     await this.waitUntilGone();
@@ -111,7 +114,7 @@
         agent,
         headers: {
           ...MODEL,
-          // Every entry serves the routes of one host.
+          // All entries serve the routes of a single host.
           host: ROUTE_HOST,
           "x-ploverstage-request-id": `kept-${address}-${this._requestCount++}`,
           "x-ploverstage-deadline-ms": String(DEADLINE_MS),
@@ -156,7 +159,7 @@
   });
 }
 
-/** Gets the whole answer of a stream of so many events. */
+/** Gets the complete body of a stream with this number of events. */
 function getStreamBody(events: number): string {
   return Array.from({ length: events }, (_, i) => `id: ${i + 1}\ndata: token\n\n`).join("");
 }
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -1,20 +1,23 @@
-/** An operator as the platform's pages describe it: sends versions, again until acknowledged, and reads back. */
+/**
+ * A stand-in for an operator, according to the platform's documentation: sends a version of the configuration
+ * until it is acknowledged, then reads it back.
+ */
 import { type CallAnswer, callOnce } from "./callOnce";
 
-/** What an operator works with. */
+/** Options of an operator. */
 export interface OperatorOptions {
-  /** host:port of control processes. */
+  /** Addresses of control processes, host:port. */
   readonly addresses: readonly string[];
-  /** Makes a whole configuration of a version. */
+  /** Creates the complete configuration of a version. */
   readonly createDocument: (version: number) => object;
 }
 
-/** A version and what became of it, Unix milliseconds. */
+/** A version that was sent; times are Unix milliseconds. */
 export interface SentOrder {
   readonly version: number;
   readonly sentAt: number;
   acknowledgedAt?: number;
-  /** When it, or a later one, was read. */
+  /** When this version or a later one was read back. */
   readBackAt?: number;
 }
 
@@ -22,9 +25,9 @@
 const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
-/** An operator. */
+/** Sends versions of the configuration to control processes. */
 export class OperatorStandin {
-  /** Every order so far, the newest last. */
+  /** All versions sent so far, the newest last. */
   readonly orders: SentOrder[] = [];
   private readonly _options: OperatorOptions;
   private _nextAddress = 0;
@@ -35,14 +38,14 @@
     this._options = options;
   }
 
-  /** Sends a version now and a newer one after each gap, whatever becomes of those before. */
+  /** Sends a version now and a newer one after each interval, without waiting for earlier versions. */
   start(version: number, gapMs: number): void {
     let next = version;
     void this.send(next++);
     this._timer = setInterval(() => void this.send(next++), gapMs);
   }
 
-  /** Sends one version until it is acknowledged, then reads until it is read back. */
+  /** Sends a version until it is acknowledged, then reads the configuration until it has this version. */
   async send(version: number): Promise<SentOrder> {
     const sent: SentOrder = { version, sentAt: Date.now() };
     this.orders.push(sent);
@@ -54,13 +57,13 @@
     return sent;
   }
 
-  /** Sends no more; what is under way is given up. */
+  /** Sends no further versions and abandons pending calls. */
   stop(): void {
     this._isStopped = true;
     clearInterval(this._timer);
   }
 
-  /** Goes from one process to the next, each time after a longer pause, until a call came to something. */
+  /** Calls the control processes in turn, with an increasing pause, until an answer meets the condition. */
   private async _callUntil(
     path: string,
     isDone: (answer: CallAnswer) => boolean,
--- a/test/platform/PlatformCluster.ts
+++ b/test/platform/PlatformCluster.ts
@@ -1,4 +1,6 @@
-/** The system as it runs on the platform: real processes, with workers in this one. */
+/**
+ * Runs the system as on the platform: control and entry processes, with worker stand-ins in the test process.
+ */
 import { appendFileSync, mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -10,7 +12,7 @@
 import { type StreamTiming, type WorkerEvent, type WorkerOptions, WorkerStandin } from "./WorkerStandin";
 
 const HEAP = process.env.PLOVERSTAGE_PLATFORM_HEAP ?? "dist/test/platform.blob";
-/** Arguments of Node as in the deploy file. */
+/** Arguments of Node as in the deployment file. */
 const PROGRAM = [
   "--max-old-space-size=200",
   "--min-semi-space-size=4",
@@ -25,61 +27,66 @@
 const DEFAULT_CONTROLS = 3;
 const DEFAULT_GRACE_S = 4;
 const DEFAULT_BUDGET_EXTRA = 100;
-/** Folders with logs are left behind for whoever wants to read them. */
+/** Whether the folder with the logs is kept for inspection. */
 const KEEPS_LOGS = process.env.PLOVERSTAGE_KEEP_LOGS !== undefined;
-/** A dead worker is missed after some reports of this length. */
+/** Report interval of workers by default; control detects a lost worker after several missed reports. */
 const HEARTBEAT_MS = 400;
 
-/** A caller's view of an answer. */
+/** An answer as a caller receives it. */
 export interface PlatformAnswer {
   readonly status: number;
   readonly body: string;
-  /** When to come back, seconds, where that is said. */
+  /** Value of the Retry-After header, seconds; `undefined` if there was none. */
   readonly retryAfterS: number | undefined;
 }
 
-/** What a system is started with. */
+/** Options of a cluster. */
 export interface ClusterOptions {
-  /** How often workers report, milliseconds; control is told the same. */
+  /** Report interval of workers, also set at control, milliseconds. */
   readonly reportMs?: number;
-  /** How long workers take to join, milliseconds. */
+  /** Time that a worker takes to join a group, milliseconds. */
   readonly joinMs?: number;
-  /** Entries, nine at most; one if not given. */
+  /** Number of entries, nine at most; one by default. */
   readonly entries?: number;
-  /** A worker that a request crashed starts again after this time, milliseconds, under another id. */
+  /** Delay after which a worker that a request crashed is replaced under another id, milliseconds. */
   readonly returnMs?: number;
-  /** Control processes, all of them voters; three if not given. */
+  /** Number of control processes, all of them voters; three by default. */
   readonly controls?: number;
-  /** Control processes that every process is told of, the first ones; all if not given. */
+  /** Number of control processes in the seed list of every process, the first ones; all by default. */
   readonly seeds?: number;
-  /** Part of a core that each control process has from its start on; a whole one if not given. */
+  /** Share of a core that each control process gets from its start; a whole core by default. */
   readonly controlShare?: number;
-  /** Part of a core that each control process may use from its start on, however full this machine is. */
+  /**
+   * Share of a core that each control process may use from its start, regardless of the load of the machine.
+   */
   readonly controlQuota?: number;
-  /** How many reports the first workers have sent already. */
+  /** Sequence number of the last report that the first workers have sent already. */
   readonly firstReportCount?: number;
-  /** A defect on purpose: no worker tells when it started. */
+  /** Injects a defect: workers do not report their start times. */
   readonly hidesStarts?: boolean;
-  /** Workers of a fabric domain; all are in one if not given. */
+  /** Number of workers in a fabric domain; all workers are in one domain by default. */
   readonly domainSize?: number;
-  /** Whether workers are reached through relays that can fail. */
+  /** Whether workers are reached through TCP relays that can fail. */
   readonly areWorkersRelayed?: boolean;
-  /** How workers' streams run. */
+  /** Timing of the workers' streams. */
   readonly stream?: StreamTiming;
-  /** Repeats in a window beyond the share of requests, of all entries together; 100 if not given. */
+  /**
+   * Retries allowed in a window in addition to the share of requests, for all entries together; 100 by
+   * default.
+   */
   readonly budgetExtra?: number;
-  /** Time that a process has to stop, seconds; four if not given. */
+  /** Time for a process to stop, seconds; four by default. */
   readonly graceS?: number;
 }
 
-/** What a client sends, and where. */
+/** Entry and body of a client's call. */
 export interface PlatformCall {
-  /** Number of the entry; the first one if not given. */
+  /** Index of the entry; the first one by default. */
   readonly entry?: number;
   readonly body?: string;
 }
 
-/** How a worker starts. */
+/** The state of a worker at its start. */
 export type WorkerInit = Pick<WorkerOptions, "born" | "reportCount" | "staged">;
 
 /** A running system. */
@@ -87,7 +94,7 @@
   readonly controls: ProcessHandle[] = [];
   readonly workers: WorkerStandin[] = [];
   readonly entries: ProcessHandle[] = [];
-  /** When requests that crash workers reached one, monotonic milliseconds. */
+  /** When requests that crash workers arrived at a worker, monotonic milliseconds. */
   readonly crashingRequests: number[] = [];
   /** When requests crashed workers, monotonic milliseconds. */
   readonly crashes: number[] = [];
@@ -105,7 +112,10 @@
     this._controlIps = Array.from({ length: count }, (_, i) => `127.0.0.${FIRST_CONTROL_IP + i}`);
   }
 
-  /** Starts control processes, an entry, and workers: one plain, the others for replicas. */
+  /**
+   * Starts control processes, entries and workers: one worker of a plain service and the given number of
+   * engines.
+   */
   static async start(engines: number, options: ClusterOptions = {}): Promise<PlatformCluster> {
     const cluster = new PlatformCluster(options);
     const addresses = await getFreeAddresses(6);
@@ -127,44 +137,44 @@
     return cluster;
   }
 
-  /** Gets the addresses at which operators and workers reach control. */
+  /** Gets the addresses at which control processes accept calls of operators and workers. */
   get controlAddresses(): string[] {
     return this._controlIps.map((ip) => `${ip}:${this._ports[1]}`);
   }
 
-  /** Gets the addresses at which control processes reach each other and entries reach them. */
+  /** Gets the addresses at which control processes accept calls of each other and of entries. */
   get rpcAddresses(): string[] {
     return this._controlIps.map((ip) => `${ip}:${this._ports[0]}`);
   }
 
-  /** Gets the first entry's process. */
+  /** Gets the process of the first entry. */
   get entry(): ProcessHandle {
     return this.entries[0]!;
   }
 
-  /** Gets the entry's metrics as text. */
+  /** Gets the metrics of the first entry in the Prometheus text format. */
   async getMetrics(): Promise<string> {
     return (await fetch(`http://127.0.0.1:${this._ports[5]}/metrics`)).text();
   }
 
-  /** Gets the address at which callers reach an entry. */
+  /** Gets the address at which an entry accepts calls. */
   getEntryAddress(index: number): string {
     return `${getEntryIp(index)}:${this._ports[3]}`;
   }
 
-  /** Gets the directory's address at one control process. */
+  /** Gets the address of the directory at a control process. */
   getDirectory(index: number): string {
     return `${this._controlIps[index]}:${this._ports[2]}`;
   }
 
-  /** Ends a worker without a word; the next one starts under its id, at another port of its host. */
+  /** Crashes a worker and starts its next incarnation under the same id, on another port. */
   async restartWorker(worker: WorkerStandin, init: WorkerInit = {}): Promise<WorkerStandin> {
     worker.crash();
     const { service, domain } = worker;
     return this.addWorker(worker.id, service, domain, { staged: worker.staged, ...init });
   }
 
-  /** Starts one more worker. */
+  /** Starts another worker. */
   async addWorker(
     id: string,
     service: string,
@@ -192,7 +202,7 @@
     return worker;
   }
 
-  /** Sends a configuration to one control process; gives the status. */
+  /** Sends a configuration to a control process and returns the status of its answer. */
   async putConfig(index: number, document: unknown): Promise<number> {
     const answer = await fetch(`http://${this.controlAddresses[index]}/-/Config.Put`, {
       method: "POST",
@@ -202,7 +212,7 @@
     return answer.status;
   }
 
-  /** Reads the configuration back at one control process. */
+  /** Reads the configuration from a control process. */
   async getConfig(index: number): Promise<{ status: number; body: string }> {
     const answer = await fetch(`http://${this.controlAddresses[index]}/-/Config.Get`, {
       signal: AbortSignal.timeout(5_000),
@@ -220,7 +230,7 @@
       method: "POST",
       body,
       headers: {
-        // fetch sets the host itself; the entry takes the port off.
+        // fetch sets the Host header itself; the entry ignores its port.
         "x-ploverstage-request-id": `call-${this._requestCount++}`,
         "x-ploverstage-deadline-ms": "5000",
         "api-key": "k1",
@@ -233,7 +243,7 @@
     return { status: answer.status, body: await answer.text(), retryAfterS };
   }
 
-  /** Ends what it started. */
+  /** Stops all workers and processes. */
   async stop(): Promise<void> {
     this._throttle?.stop();
     this._isStopping = true;
@@ -242,7 +252,10 @@
     if (!KEEPS_LOGS) rmSync(this._folder, { recursive: true, force: true });
   }
 
-  /** Notes that a request crashed a worker, which comes back under another id if it is to. */
+  /**
+   * Records that a request crashed a worker, and starts its replacement under another id if the cluster does
+   * so.
+   */
   private _handleCrash({ id, service, domain, staged }: WorkerStandin): void {
     this.crashes.push(performance.now());
     const { returnMs } = this._options;
@@ -253,7 +266,7 @@
     }, returnMs).unref();
   }
 
-  /** What workers did stands beside the processes' logs, with times of the same clock. */
+  /** Writes what workers did to a log in the folder of the processes' logs, with times of the same clock. */
   private _logEvent(event: WorkerEvent): void {
     const line = JSON.stringify({ time: new Date().toISOString(), ...event });
     appendFileSync(join(this._folder, "workers.log"), `${line}\n`);
@@ -290,14 +303,14 @@
       },
     };
     const file = join(this._folder, `${name}.toml`);
-    // The deployment's port for metrics is fixed; this machine's may be taken.
+    // The deployment uses a fixed port for metrics, which may be in use on this machine.
     const text = renderTemplate(TEMPLATE, fields).replace(":9464", `:${this._ports[5]}`);
     writeFileSync(file, text);
     return new ProcessHandle(name, [...PROGRAM, role, file], join(this._folder, `${name}.log`));
   }
 }
 
-/** Gets the address of an entry; clients name it as their host. */
+/** Gets the IP address of an entry, which clients send as their Host. */
 export function getEntryIp(index: number): string {
   return `127.0.0.${FIRST_ENTRY_IP + index}`;
 }
--- a/test/platform/WatcherGroup.ts
+++ b/test/platform/WatcherGroup.ts
@@ -1,13 +1,13 @@
-/** Watchers that are to control as entries of their own, and lose power and come back together. */
+/** View watchers that connect to control as separate entries, and that lose power and restart together. */
 import { SystemClock } from "../../src/clock";
 import { FollowedView, orderByAffinity, ViewWatcher } from "../../src/registration";
 import { TransportPool } from "../../src/rpc";
 
 const SILENT_LOGGER = { info: () => {}, warn: () => {}, error: () => {} } as never;
-/** Entries don't come back all at the same moment. */
+/** Entries do not restart at the same moment; their starts are spread over this time. */
 const START_SPREAD_MS = 400;
 
-/** A watcher and the view that it holds. */
+/** A watcher and the view that it follows. */
 interface WatcherWithView {
   readonly watcher: ViewWatcher;
   readonly view: FollowedView;
@@ -20,15 +20,13 @@
   private _watchers: readonly WatcherWithView[] = [];
   private readonly _timers = new Set<NodeJS.Timeout>();
 
-  /**
-   * @param seeds - host:port of control processes that each of them is told of.
-   */
+  /** @param seeds - Addresses of control processes, host:port, that each watcher gets. */
   constructor(count: number, seeds: readonly string[]) {
     this._count = count;
     this._seeds = seeds;
   }
 
-  /** Starts all of them, knowing nothing. */
+  /** Starts all watchers with empty views. */
   start(): void {
     this._watchers = Array.from({ length: this._count }, (_, i) => this._create(i));
     for (const [index, { watcher }] of this._watchers.entries()) {
@@ -37,7 +35,7 @@
     }
   }
 
-  /** Ends all of them without a word. */
+  /** Stops all watchers without notifying control. */
   stop(): void {
     for (const timer of this._timers) clearTimeout(timer);
     this._timers.clear();
@@ -45,7 +43,7 @@
     this._watchers = [];
   }
 
-  /** Gets the lowest term of a leader that any of them follows now; 0 while one follows none. */
+  /** Gets the lowest term among the leaders that the watchers follow; 0 if any watcher is not connected. */
   getLowestTerm(): number {
     const terms = this._watchers.map(({ watcher, view }) => (watcher.isConnected ? view.term : 0));
     return terms.length === 0 ? 0 : Math.min(...terms);
--- a/test/platform/WorkerStandin.test.ts
+++ b/test/platform/WorkerStandin.test.ts
@@ -4,7 +4,7 @@
 import { waitUntil } from "../support/waitUntil";
 import { WorkerStandin } from "./WorkerStandin";
 
-describe("the stand-in of a worker", () => {
+describe("WorkerStandin", () => {
   let control: Server;
   let answers: (() => void)[] = [];
   let reports = 0;
@@ -33,35 +33,37 @@
       controls: [`127.0.0.1:${port}`],
     });
     await worker.start();
-    await waitUntil("its first report is on the way", () => answers.length === 1);
+    await waitUntil("the first report has arrived", () => answers.length === 1);
     return worker;
   }
 
-  it("reports no more after a crash, also when a report was on the way", async () => {
+  it("sends no reports after a crash, even if a report was in flight", async () => {
     const worker = await startWorker();
     worker.crash();
     answers[0]!();
-    // Two of its reports would have been due by the end of a further exchange of that length.
+    // The crashed worker would send two more reports while the other worker sends three.
     const other = await startOther();
-    await waitUntil("another one reported three times", () => other.count() === 3);
+    await waitUntil("the other worker has reported three times", () => other.count() === 3);
     other.stop();
     expect(reports - other.count()).toBe(1);
   });
 
-  it("says nothing after it said that it leaves", async () => {
+  it("sends no reports after it reported that it drains", async () => {
     const worker = await startWorker();
     const drained = worker.drain();
-    await waitUntil("both reports are there", () => answers.length === 2);
+    await waitUntil("both reports have arrived", () => answers.length === 2);
     for (const answer of answers) answer();
     expect(await drained).toBe(true);
     const other = await startOther();
-    await waitUntil("another one reported three times", () => other.count() === 3);
+    await waitUntil("the other worker has reported three times", () => other.count() === 3);
     other.stop();
     worker.crash();
     expect(reports - other.count()).toBe(2);
   });
 
-  /** A second worker at the same control: its reports tell how much time went by. */
+  /**
+   * Starts a second worker at the same control process; the number of its reports measures the elapsed time.
+   */
   async function startOther(): Promise<{ count: () => number; stop: () => void }> {
     let own = 0;
     control.removeAllListeners("request");
@@ -81,7 +83,7 @@
     return { count: () => own, stop: () => other.crash() };
   }
 
-  it("tells of a request that ran in a group of which a member was never ready", async () => {
+  it("records a request that it ran in a group with a member that was never ready", async () => {
     const { port } = control.address() as AddressInfo;
     const worker = new WorkerStandin({
       id: "llm-0",
@@ -96,7 +98,7 @@
       fetch(`http://${worker.relay!.address}${path}`, { method: "POST", body: JSON.stringify(body) });
     const place = { group: "g", epoch: 1 };
     await post("/-/order", { op: "join", ...place, model: "M", members: ["llm-0", "llm-1"] });
-    await waitUntil("it is ready", () => worker.place?.state === "ready");
+    await waitUntil("the worker is ready", () => worker.place?.state === "ready");
     await post("/-/order", { op: "open", ...place });
     await (await post("/llm/x", {})).text();
     expect(worker.partialRuns).toHaveLength(1);
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -1,61 +1,70 @@
-/** A worker as the platform's pages describe it: reports itself, takes orders, serves. */
+/**
+ * A stand-in for a worker, according to the platform's documentation: reports its state, executes orders and
+ * serves requests.
+ */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import { Relay } from "../support/Relay";
 
-/** What a worker is started with. */
+/** Options of a worker. */
 export interface WorkerOptions {
   readonly id: string;
   readonly service: string;
-  /** "" for a plain service. */
+  /** Fabric domain; empty for a plain service. */
   readonly domain: string;
-  /** Addresses of control, any of which takes reports. */
+  /** Addresses of control processes; any of them accepts reports. */
   readonly controls: readonly string[];
-  /** How often it reports, milliseconds; it does so as well once its place has changed. */
+  /** Report interval, milliseconds; a worker also reports each change of its place in a group. */
   readonly reportMs?: number;
-  /** How long it takes to join, milliseconds. */
+  /** Time to join a group, milliseconds. */
   readonly joinMs?: number;
-  /** Whether entries and control reach it through a relay that can fail. */
+  /** Whether entries and control reach it through a TCP relay that can fail. */
   readonly isRelayed?: boolean;
-  /** When this life of it started, Unix milliseconds; now if not given; it does not tell it if 0. */
+  /**
+   * Start time of this incarnation, Unix milliseconds; the current time by default. 0 leaves it out of
+   * reports.
+   */
   readonly born?: number;
-  /** How many reports it has sent, as one that has run for long. */
+  /** Sequence number of its last report, for a worker that has run for a long time. */
   readonly reportCount?: number;
-  /** Models that its host holds. */
+  /** Models that are staged on its host. */
   readonly staged?: readonly string[];
-  /** Gets all lives of a worker by its id. */
+  /** Gets all incarnations of the worker with an id. */
   readonly getIncarnations?: (id: string) => readonly WorkerStandin[];
-  /** Called with what it does: orders that it takes, and its end. */
+  /** Called for each order that it receives, and when it breaks, drains or crashes. */
   readonly onEvent?: (event: WorkerEvent) => void;
-  /** Called when a request that crashes workers reaches it, whether it runs it or not. */
+  /** Called when a request that crashes workers arrives, even if the worker does not run it. */
   readonly onCrashingRequest?: () => void;
-  /** Called after a request has crashed it. */
+  /** Called after a request crashed the worker. */
   readonly onCrash?: () => void;
-  /** How its streams run; five events 10 ms apart if not given. */
+  /** Timing of its streams; five events 10 ms apart by default. */
   readonly stream?: StreamTiming;
 }
 
-/** How many events a stream has, and the pause between two of them, milliseconds. */
+/** Number of events of a stream and the pause between two events, milliseconds. */
 export interface StreamTiming {
   readonly events: number;
   readonly eventMs: number;
 }
 
-/** What a worker sends without end in place of an answer. */
+/** Part of an HTTP response that a worker sends endlessly. */
 export type EndlessKind = "event" | "body" | "head" | "informational";
 
-/** A request with this body crashes each worker that runs it. */
+/** Body of a request that crashes each worker that runs it. */
 export const CRASHING_BODY = "a body that crashes workers";
-/** It does so a moment after its run began, before anything of an answer but its head. */
+/**
+ * Delay of the crash after the start of the request, milliseconds; only the response head has been sent by
+ * then.
+ */
 const CRASH_MS = 45;
 
-/** Something that a worker did. */
+/** An action of a worker. */
 export interface WorkerEvent {
   readonly worker: string;
-  /** An order's name, or what happened without one. */
+  /** The operation of an order, or `crash`, `drain` or `break`. */
   readonly event: string;
   readonly group?: string | undefined;
-  /** Place before it. */
+  /** Group and state of the worker before the action. */
   readonly before?: string | undefined;
 }
 
@@ -64,7 +73,7 @@
   readonly epoch: number;
   readonly rank: number;
   readonly members: readonly string[];
-  /** As a head: when it was first seen without one of its members. */
+  /** When the head of the group first found a member missing, monotonic milliseconds. */
   lostAt?: number;
   state: "joining" | "ready" | "open" | "closing" | "broken";
 }
@@ -72,23 +81,23 @@
 const REPORT_MS = 150;
 const JOIN_MS = 20;
 const STREAM_TIMING: StreamTiming = { events: 5, eventMs: 10 };
-/** A worker whose streams stand still looks again after this time. */
+/** Interval at which a paused stream checks whether it may continue. */
 const PAUSE_CHECK_MS = 10;
 const ENDLESS_CHUNK = Buffer.alloc(65_536, "x");
-/** A head without one of its members is broken after this time. */
+/** Time after which the head of a group with a missing member reports the group as broken. */
 const BREAK_DELAY_MS = 500;
 const BREAK_CHECK_MS = 50;
 
-/** One worker. */
+/** A worker that runs in the test process. */
 export class WorkerStandin {
   readonly id: string;
   readonly service: string;
   readonly domain: string;
-  /** Ids of requests that it ran, in order. */
+  /** Ids of the requests that it ran, in order. */
   readonly ran: string[] = [];
-  /** Joins of another group that it took while the head of its group took requests. */
+  /** Violations: joins of another group while a head of the previous group accepted requests. */
   readonly wrongJoins: string[] = [];
-  /** Requests that it ran as the head of a group of which a member had never been ready. */
+  /** Violations: requests that it ran in a group with a member that was never ready. */
   readonly partialRuns: string[] = [];
   /** Groups and epochs in which it was ready. */
   private readonly _readyIn = new Set<string>();
@@ -100,7 +109,7 @@
   private _staged: readonly string[];
   private _sequence: number;
   private _reportTarget: string | undefined;
-  /** Workers start with any control process. */
+  /** Index of the next control process to report to; the first one is chosen at random. */
   private _nextControl: number | undefined;
   private _reportTimer: NodeJS.Timeout | undefined;
   private _port = 0;
@@ -108,9 +117,9 @@
   private _breakTimer: NodeJS.Timeout | undefined;
   private _hasEnded = false;
   private _pausedUntil = 0;
-  /** What it sends without end, if it does. */
+  /** What it sends endlessly instead of an answer; `undefined` for normal answers. */
   endless: EndlessKind | undefined;
-  /** Streams that it runs now. */
+  /** Number of streams in progress. */
   private _streamCount = 0;
   private _endlessCount = 0;
 
@@ -130,17 +139,17 @@
     return this._place;
   }
 
-  /** Gets the models that its host holds. */
+  /** Gets the models that are staged on its host. */
   get staged(): readonly string[] {
     return this._staged;
   }
 
-  /** Gets whether it reports itself as ready. */
+  /** Checks whether it still sends reports as a ready worker. */
   get isRunning(): boolean {
     return this._isReporting;
   }
 
-  /** Starts serving and reporting. */
+  /** Starts to serve and to report. */
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(0, "127.0.0.1", resolve));
     this._port = (this._server.address() as AddressInfo).port;
@@ -149,37 +158,37 @@
     this._breakTimer = setInterval(() => this._breakIfMemberLost(), BREAK_CHECK_MS).unref();
   }
 
-  /** Gets the relay before it, if it has one. */
+  /** Gets the TCP relay in front of it, if it has one. */
   get relay(): Relay | undefined {
     return this._relay;
   }
 
-  /** Checks whether it has ever been ready in an epoch of a group. */
+  /** Checks whether it was ever ready in an epoch of a group. */
   wasReadyIn(group: string, epoch: number): boolean {
     return this._readyIn.has(`${group}/${epoch}`);
   }
 
-  /** Checks whether it runs and has its place in a group. */
+  /** Checks whether it runs and has a place in an epoch of a group. */
   isIn(group: string, epoch: number): boolean {
     return !this._hasEnded && this._place?.name === group && this._place.epoch === epoch;
   }
 
-  /** Gets how many requests it has answered without end. */
+  /** Gets the number of requests that it answered endlessly. */
   get endlessCount(): number {
     return this._endlessCount;
   }
 
-  /** Gets how many streams it runs now. */
+  /** Gets the number of streams in progress. */
   get streamCount(): number {
     return this._streamCount;
   }
 
-  /** Its streams stand still for some time, milliseconds, and go on by themselves. */
+  /** Pauses its streams for some time, milliseconds. */
   standStill(milliseconds: number): void {
     this._pausedUntil = performance.now() + milliseconds;
   }
 
-  /** Ends without a word, as a crash does. */
+  /** Ends without notifying control, as a crash does. */
   crash(): void {
     this._notify("crash");
     this._hasEnded = true;
@@ -190,7 +199,10 @@
     this._server.close();
   }
 
-  /** Says that it leaves; resolves with whether that was acknowledged. */
+  /**
+   * Reports that it drains.
+   * @returns Whether the report was acknowledged.
+   */
   async drain(): Promise<boolean> {
     this._notify("drain");
     this._stopReports();
@@ -207,7 +219,7 @@
     clearTimeout(this._reportTimer);
     await this._report("ready");
     clearTimeout(this._reportTimer);
-    // It may have crashed or begun to leave while its report was on the way.
+    // The worker may have crashed or begun to drain while its report was in flight.
     if (!this._isReporting) return;
     this._reportTimer = setTimeout(
       () => void this._reportPeriodically(),
@@ -304,26 +316,25 @@
     if (order.op !== "join") this._reportChange();
   }
 
-  /** Checks whether it may take requests as the head of a group. */
+  /** Checks whether it accepts requests as the head of a group. */
   isServingHeadOf(group: string, epoch: number): boolean {
     const { _place: place } = this;
     if (this._hasEnded || place?.name !== group || place.epoch !== epoch) return false;
     return place.state === "open" || place.state === "closing";
   }
 
-  /** A head that has lost a member stands still, then breaks. */
+  /**
+   * Marks the group as broken if this worker is its head and a member has been missing for longer than the
+   * delay.
+   */
   private _breakIfMemberLost(): void {
     const { _place: place } = this;
     if (place === undefined || place.rank !== 0 || place.state === "joining") return;
     const { getIncarnations } = this._options;
     if (getIncarnations === undefined) return;
     const isLost = (id: string) => {
-      const wasThere = getIncarnations(id).some((incarnation) =>
-        incarnation.wasReadyIn(place.name, place.epoch),
-      );
-      return (
-        wasThere && !getIncarnations(id).some((incarnation) => incarnation.isIn(place.name, place.epoch))
-      );
+      const wasThere = getIncarnations(id).some((worker) => worker.wasReadyIn(place.name, place.epoch));
+      return wasThere && !getIncarnations(id).some((worker) => worker.isIn(place.name, place.epoch));
     };
     if (!place.members.some(isLost)) return;
     place.lostAt ??= performance.now();
@@ -393,7 +404,7 @@
     if (place === undefined || getIncarnations === undefined) return;
     const { name, epoch, members } = place;
     const missing = members.filter(
-      (id) => !getIncarnations(id).some((incarnation) => incarnation.wasReadyIn(name, epoch)),
+      (id) => !getIncarnations(id).some((worker) => worker.wasReadyIn(name, epoch)),
     );
     if (missing.length > 0) {
       this.partialRuns.push(`${requestId} ran in ${name} without ${missing.join(", ")}`);
@@ -416,7 +427,7 @@
   }
 }
 
-/** Sends bytes that are no answer until the other side closes. */
+/** Sends endless data of a kind until the client closes the connection. */
 function sendEndless(
   kind: EndlessKind,
   headers: Readonly<Record<string, string>>,
--- a/test/platform/callOnce.ts
+++ b/test/platform/callOnce.ts
@@ -1,27 +1,28 @@
-/** One call over a connection of its own, as callers make it that hold none. */
+/** A call over a new connection, as made by callers that keep no connection open. */
 import { request } from "node:http";
 
-/** A try without an answer for so long goes to the next process. */
+/** An attempt that is not answered within this time ends, and the caller continues with the next process. */
 export const ATTEMPT_TIMEOUT_MS = 1_000;
 
-/** What came of a call; status 0 for none. */
+/** The answer of a call; status 0 if there was none. */
 export interface CallAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** What is sent. */
+/** Options of a call. */
 export interface CallOptions {
   readonly address: string;
   readonly path: string;
-  /** Sent with POST; a GET without it. */
+  /** Body of a POST request; without it, the request is a GET. */
   readonly body?: string;
 }
 
 const NO_ANSWER: CallAnswer = { status: 0, body: "" };
 
 /**
- * Calls; a process without power answers nothing, so that a refused connection takes as long as silence.
+ * Makes a call. A refused connection takes the whole timeout, like a process without power, which does not
+ * answer at all.
  */
 export function callOnce({ address, path, body }: CallOptions): Promise<CallAnswer> {
   return new Promise((resolve) => {
@@ -43,7 +44,7 @@
       answer.on("error", () => finish(NO_ANSWER));
     });
     outgoing.on("error", (cause: NodeJS.ErrnoException) => {
-      // Refused: the timer tells of it, as it does where nothing answers.
+      // For a refused connection the timer ends the call, as for a process that does not answer.
       if (cause.code !== "ECONNREFUSED") finish(NO_ANSWER);
     });
     outgoing.end(body);
--- a/test/platform/createConfig.ts
+++ b/test/platform/createConfig.ts
@@ -1,4 +1,4 @@
-/** The platform's configuration as tests over whole systems use it. */
+/** The platform configuration that system tests use. */
 
 const ENGINE = {
   slots: 4,
@@ -7,7 +7,7 @@
   loads_at_once: 10,
 };
 
-/** Makes a configuration with a stream route, a plain one that may not be repeated, and a tenant. */
+/** Creates a configuration with a streaming route, a non-idempotent route and a tenant. */
 export function createConfig(version: number, changes: object = {}) {
   const base = {
     host: "127.0.0.1",
@@ -49,5 +49,5 @@
 
 /** Headers of a call to the model. */
 export const MODEL = { "x-ploverstage-model": "Model1" };
-/** The whole answer of a worker's stream. */
+/** The complete answer of a worker's stream. */
 export const STREAM = [1, 2, 3, 4, 5].map((id) => `id: ${id}\ndata: token\n\n`).join("");
--- a/test/platform/oddReports.ts
+++ b/test/platform/oddReports.ts
@@ -1,4 +1,4 @@
-/** Reports that another writer made, as any control process may be sent them. */
+/** Invalid reports, as a faulty client may send them to any control process. */
 
 const VALID = {
   service: "llm",
@@ -28,8 +28,8 @@
 ].map((report) => JSON.stringify(report));
 
 /**
- * Sends every kind of odd report to a control process, in the name of a worker.
- * @returns Their statuses; 0 where there was no answer.
+ * Sends each kind of invalid report to a control process under a worker's id.
+ * @returns The status of each answer; 0 if there was none.
  */
 export function sendOddReports(control: string, workerId: string): Promise<number[]> {
   const bodies = [...INVALID, "no JSON", ""];
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -98,26 +98,29 @@
     expect(declaration.organisations).toEqual([{ name: "t", keys: ["k"], priority: 1 }]);
   });
 
-  it("ignores fields that it does not know, and needs no keys without tenants", () => {
+  it("ignores unknown fields, and reads no organisations if there are no tenants", () => {
     const { tenants: _, ...rest } = CONFIG;
     expect(format.parse(encode({ ...rest, later: { any: 1 } })).organisations).toBeUndefined();
   });
 
   it.each([
-    ["cut short", encode(JSON.stringify(CONFIG).slice(0, -5))],
-    ["not text", Uint8Array.from([0xff, 0xfe, 0x7b])],
+    ["truncated", encode(JSON.stringify(CONFIG).slice(0, -5))],
+    ["not valid UTF-8", Uint8Array.from([0xff, 0xfe, 0x7b])],
     ["without a version", encode({ ...CONFIG, version: undefined })],
     ["of version 0", encode({ ...CONFIG, version: 0 })],
     [
-      "with a route of no known kind",
+      "with a route of an unknown type",
       encode({ ...CONFIG, routes: [{ ...CONFIG.routes[1], routeType: "any" }] }),
     ],
-    ["with a route to nowhere", encode({ ...CONFIG, routes: [{ ...CONFIG.routes[1], service: undefined }] })],
-  ])("refuses a configuration that is %s", (_name, document) => {
+    [
+      "with a route without a service",
+      encode({ ...CONFIG, routes: [{ ...CONFIG.routes[1], service: undefined }] }),
+    ],
+  ])("rejects a configuration that is %s", (_name, document) => {
     expect(() => format.parse(document)).toThrowError(InvalidDeclaration);
   });
 
-  it("takes or refuses whatever it is given, and fails in no other way", () => {
+  it("accepts any input or throws InvalidDeclaration", () => {
     const anyPatch = fc.dictionary(
       fc.constantFrom("version", "routes", "services", "limits", "tenants"),
       fc.jsonValue(),
@@ -154,7 +157,7 @@
     ).toBe(true);
   });
 
-  it("takes or refuses whatever it is given, and fails in no other way", () => {
+  it("accepts any input or throws InvalidReport", () => {
     const anyPatch = fc.dictionary(fc.constantFrom(...Object.keys(HEARTBEAT)), fc.jsonValue());
     const property = fc.property(
       fc.oneof(
@@ -166,7 +169,7 @@
           const report = readHeartbeat("i", text);
           expect(report.instanceId).toBe("i");
           checkReport(report);
-          // What passes can be told to other processes.
+          // Every accepted report can be encoded for other processes without a change.
           expect(fromBinary(InstanceReportSchema, toBinary(InstanceReportSchema, report))).toEqual(report);
         } catch (cause) {
           expect(cause).toBeInstanceOf(InvalidReport);
@@ -176,7 +179,7 @@
     fc.assert(property, { seed: 20_261_202, numRuns: 5_000 });
   });
 
-  it("refuses what another writer would say, though nothing is made of it", () => {
+  it("rejects invalid values in fields that it does not use", () => {
     const odd = [
       { state: "sleeping" },
       { state: "" },
@@ -192,7 +195,7 @@
     }
   });
 
-  it("reads when an instance started, of whatever it says of itself", () => {
+  it("reads the start time from heartbeats, deregistrations and reports", () => {
     const born = 1_786_000_000_123;
     expect(readHeartbeat("i", JSON.stringify({ ...HEARTBEAT, born })).born).toBe(born);
     expect(readHeartbeat("i", JSON.stringify(HEARTBEAT)).born).toBe(0);
@@ -207,7 +210,7 @@
 describe("PlatformDialect", () => {
   const dialect = new PlatformDialect();
 
-  it("shows no key to a worker and takes no header of the system's from a caller", () => {
+  it("forwards neither API keys nor forged system headers to a worker", () => {
     const raw = [
       "Api-Key",
       "k",
@@ -233,7 +236,7 @@
     expect(text).toContain("x-ploverstage-deadline-ms\n99");
   });
 
-  it("reads what can't be read as not said", () => {
+  it("treats unreadable headers as missing", () => {
     const call = dialect.readCall({
       "x-ploverstage-deadline-ms": "soon",
       "x-ploverstage-token-count": "a,b",
@@ -241,7 +244,7 @@
     expect(call).toMatchObject({ waitMs: undefined, promptTokens: 0, answerTokens: 0, model: "" });
   });
 
-  it("takes a success only with the worker's seal, its own id and no encoding", () => {
+  it("accepts a success only with the worker's seal, the request's id and no content encoding", () => {
     const call = dialect.readCall({ "x-ploverstage-request-id": "r" });
     const sealed = { "x-ploverstage-response-seal": "s", "x-ploverstage-request-id": "r" };
     const read = (status: number, headers: object) =>
@@ -256,8 +259,8 @@
   });
 });
 
-describe("the platform's names", () => {
-  it("stand in platform/ only", () => {
+describe("the platform folder", () => {
+  it("contains all names of the platform's protocol", () => {
     const files = execFileSync("git", ["ls-files", "--", "src", "standin", "bench"], { encoding: "utf8" })
       .trim()
       .split("\n");
@@ -267,7 +270,7 @@
     expect(naming).toEqual([]);
   });
 
-  it("need no more than a small folder", () => {
+  it("has fewer than 700 lines in total", () => {
     const files = execFileSync("git", ["ls-files", "--", "platform"], { encoding: "utf8" })
       .trim()
       .split("\n");
--- a/test/platform/playLosses.ts
+++ b/test/platform/playLosses.ts
@@ -1,4 +1,7 @@
-/** Control on small cores that loses power twice, the first time together with those who watch it. */
+/**
+ * Control processes with a small processor share that lose power twice, the first time together with their
+ * watchers.
+ */
 import { createConfig } from "./createConfig";
 import { DirectoryCallers } from "./DirectoryCallers";
 import { OperatorStandin, type SentOrder } from "./OperatorStandin";
@@ -11,35 +14,40 @@
 const WATCHERS = 36;
 const REPLICA_SIZE = 4;
 const REPORT_MS = 1_200;
-/** Tries at the directory a second. */
+/** Directory lookups per second. */
 const LOOKUPS_PER_S = 100;
 const VERSION_INTERVAL_MS = 1_500;
 const FIRST_RUN_MS = 6_000;
 const POWER_OFF_MS = 1_000;
 const POWER_ON_MS = 3_000;
-/** As the users' sites have it. */
+/**
+ * Time for processes to regain contact after power returns, and then to acknowledge a version, milliseconds;
+ * the values of the users' sites.
+ */
 export const CONTACT_MS = 4_000;
 export const ACKNOWLEDGEMENT_MS = 5_000;
 const LOAD_LIMITS = { loadsPerS: 1_000, loads_at_once: 1_000 } as const;
 
-/** What an order came to, milliseconds; endless for what never was. */
+/** Times until a version was acknowledged and read back, milliseconds; infinite if it never was. */
 export interface OrderWait {
-  /** Since power came back; of an order in calm since it was sent. */
+  /**
+   * Measured from the return of power, or from the sending of a version that was sent before the first loss.
+   */
   readonly acknowledgedMs: number;
   readonly readBackMs: number;
 }
 
-/** What orders came to. */
+/** The results of a run. */
 export interface PowerLossResult {
-  /** Of one that was sent before the first loss. */
+  /** A version that was sent before the first loss. */
   readonly before: OrderWait;
-  /** Of those that were sent after the second loss, the first one first. */
+  /** Versions that were sent after the second loss, the earliest first. */
   readonly after: readonly OrderWait[];
 }
 
 /**
- * Plays it once.
- * @param share - Part of a core that each control process may use.
+ * Runs the two power losses once.
+ * @param share - Share of a core that each control process may use.
  */
 export async function playLosses(share: number): Promise<PowerLossResult> {
   const cluster = await PlatformCluster.start(WORKERS, {
@@ -84,7 +92,7 @@
   };
 }
 
-/** Control loses power for a while, and watchers with it if they are given. */
+/** Cuts power from control, and from the given watchers, for 1 s. */
 async function losePower(cluster: PlatformCluster, watchers?: WatcherGroup): Promise<void> {
   watchers?.stop();
   await Promise.all(cluster.controls.map((control) => control.kill()));
--- a/test/platform/renderTemplate.ts
+++ b/test/platform/renderTemplate.ts
@@ -1,6 +1,9 @@
-/** Fills the settings template as the platform's pages say: `{{a.b}}`, `{{#a}}..{{/a}}`, `{{.}}`, `{{,}}`. */
+/**
+ * Renders the settings template in the platform's template syntax: `{{a.b}}`, `{{#a}}..{{/a}}`, `{{.}}`,
+ * `{{,}}`.
+ */
 
-/** Values by name. */
+/** Template values by name. */
 export type Fields = { readonly [name: string]: unknown };
 
 /** Renders a template. */
