--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -104,7 +104,7 @@
   });
 
   it.each([
-    ["truncated", encode(JSON.stringify(CONFIG).slice(0, -5))],
+    ["truncated JSON", encode(JSON.stringify(CONFIG).slice(0, -5))],
     ["not valid UTF-8", Uint8Array.from([0xff, 0xfe, 0x7b])],
     ["without a version", encode({ ...CONFIG, version: undefined })],
     ["of version 0", encode({ ...CONFIG, version: 0 })],
