--- a/src/metrics/CallLoad.ts
+++ b/src/metrics/CallLoad.ts
@@ -1,8 +1,8 @@
 /**
  * Statistics of the calls that a process received, by call and outcome.
  *
- * An overloaded process also executes calls whose callers have already disconnected. Only these statistics
- * show that.
+ * An overloaded process also executes calls whose callers have already disconnected. No other metric shows
+ * that work.
  */
 import type { Metrics } from "./Metrics";
 
--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -158,7 +158,8 @@
       return sendJson(response, this.faults.refusesWith, { error: "refused" });
     }
     const isStale = (this._options.checksOrders ?? true) && body.epoch !== this.epoch;
-    if (!this._isReady() || isStale) return sendJson(response, 409, { error: "not in this epoch" });
+    if (!this._isReady() || isStale)
+      return sendJson(response, 409, { error: "the instance is not ready in this epoch" });
     if (this._runningCount >= (this._options.capacity ?? 1_000))
       return sendJson(response, 503, { error: "full" });
     this.ran.push(body.request_id);
--- a/test/explain/explain.test.ts
+++ b/test/explain/explain.test.ts
@@ -59,7 +59,7 @@
     expect(endedLives).toMatchObject([{ instance: "i-1", born: START_MS, ground: "newerLife" }]);
   });
 
-  it("joins consecutive seconds without service to a blackout with its cause", () => {
+  it("merges consecutive seconds without service into one blackout with its cause", () => {
     const refused = { outcome: "refused", code: "no_declaration", firstEventMs: undefined };
     const lines = [0, 1, 2, 5].flatMap((second) => [
       createRequestLine(second * 1_000, refused),
--- a/test/metrics/WorkMeter.test.ts
+++ b/test/metrics/WorkMeter.test.ts
@@ -34,9 +34,9 @@
   it("also measures work that throws", () => {
     const fail = () => {
       now += 250;
-      throw new Error("it is damaged");
+      throw new Error("parse failed");
     };
-    expect(() => meter.measure("parse", 9, fail)).toThrow("it is damaged");
+    expect(() => meter.measure("parse", 9, fail)).toThrow("parse failed");
     expect(lines).toEqual([{ event: "work_slow", work: "parse", items: 9, ms: 250 }]);
   });
 });
--- a/test/platform/PlatformCluster.ts
+++ b/test/platform/PlatformCluster.ts
@@ -52,7 +52,7 @@
   readonly returnMs?: number;
   /** Number of control processes, all of them voters; three by default. */
   readonly controls?: number;
-  /** Number of control processes in the seed list of every process, the first ones; all by default. */
+  /** Number of control processes in the seed list of every process, counted from the first; all by default. */
   readonly seeds?: number;
   /** Share of a core that each control process gets from its start; a whole core by default. */
   readonly controlShare?: number;
@@ -94,9 +94,9 @@
   readonly controls: ProcessHandle[] = [];
   readonly workers: WorkerStandin[] = [];
   readonly entries: ProcessHandle[] = [];
-  /** When requests that crash workers arrived at a worker, monotonic milliseconds. */
+  /** Times at which requests that crash workers arrived at a worker, monotonic milliseconds. */
   readonly crashingRequests: number[] = [];
-  /** When requests crashed workers, monotonic milliseconds. */
+  /** Times at which requests crashed workers, monotonic milliseconds. */
   readonly crashes: number[] = [];
   private readonly _folder = mkdtempSync(join(tmpdir(), "platform-"));
   private _ports: number[] = [];
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -53,7 +53,7 @@
 /** Body of a request that crashes each worker that runs it. */
 export const CRASHING_BODY = "a body that crashes workers";
 /**
- * Delay of the crash after the start of the request, milliseconds; only the response head has been sent by
+ * Delay of the crash after the start of the request, milliseconds. At most the response head has been sent by
  * then.
  */
 const CRASH_MS = 45;
