--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -45,7 +45,7 @@
 export interface EngineFaults {
   /** Closes the connection once, before the token at this offset. */
   cutAfter?: number;
-  /** Accepts a generation, then closes the connection without an answer. */
+  /** Accepts a generation and records it as run, then closes the connection without an answer. */
   losesAnswers?: boolean;
   /** Status with which generations are refused. */
   refusesWith?: number;
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -50,10 +50,10 @@
     const sent: SentOrder = { version, sentAt: Date.now() };
     this.orders.push(sent);
     const body = JSON.stringify(this._options.createDocument(version));
-    const isTaken = (answer: CallAnswer) => answer.status === OK;
-    if (await this._callUntil("/-/Config.Put", isTaken, body)) sent.acknowledgedAt = Date.now();
-    const isRead = (answer: CallAnswer) => answer.status === OK && getVersion(answer) >= version;
-    if (await this._callUntil("/-/Config.Get", isRead)) sent.readBackAt = Date.now();
+    const isAcknowledged = (answer: CallAnswer) => answer.status === OK;
+    if (await this._callUntil("/-/Config.Put", isAcknowledged, body)) sent.acknowledgedAt = Date.now();
+    const isReadBack = (answer: CallAnswer) => answer.status === OK && getVersion(answer) >= version;
+    if (await this._callUntil("/-/Config.Get", isReadBack)) sent.readBackAt = Date.now();
     return sent;
   }
 
--- a/test/platform/playLosses.ts
+++ b/test/platform/playLosses.ts
@@ -75,7 +75,7 @@
     const after = operator.orders.filter(({ sentAt }) => sentAt >= powerOnAt);
     return {
       before: getDelays(first, first.sentAt),
-      after: after.map((order) => getDelays(order, powerOnAt)),
+      after: after.map((version) => getDelays(version, powerOnAt)),
     };
   } finally {
     operator.stop();
