--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -37,7 +37,7 @@
 }
 
 async function runControl(file: string): Promise<void> {
-  const signals = ProcessSignals.takeOver(process);
+  const signals = ProcessSignals.install(process);
   const settings = await readControlSettings(file);
   const secrets = {
     cluster: await readSecret(settings.secrets.clusterFile),
@@ -60,7 +60,7 @@
 }
 
 async function runEntry(file: string): Promise<void> {
-  const signals = ProcessSignals.takeOver(process);
+  const signals = ProcessSignals.install(process);
   const settings = await readEntrySettings(file);
   const clusterSecret = await readSecret(settings.secrets.clusterFile);
   const orderSecret = await readSecret(settings.secrets.orderFile);
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -164,7 +164,7 @@
   confirmCause(content: RequestContent): void {
     const crashes = [1, 2, 3].map((depth) => ({ life: `elsewhere-${depth}`, depth }));
     const record = create(CrashRecordSchema, { digest: getRequestDigest(content), crashes });
-    this.ledger.addAgreed(0, [record]);
+    this.ledger.addCommitted(0, [record]);
     this._gateway.withdrawConfirmedCauses();
   }
 
--- a/test/support/createLife.ts
+++ b/test/support/createLife.ts
@@ -1,6 +1,6 @@
-import type { Life } from "../../src/ids";
+import type { Incarnation } from "../../src/ids";
 
 /** Makes a life of an instance; without a start it is one that does not tell it. */
-export function createLife(instanceId: string, born = 0): Life {
+export function createLife(instanceId: string, born = 0): Incarnation {
   return { instanceId, born };
 }
