--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -1,18 +1,20 @@
-/** A small engine: speaks the engines' protocol and makes up its tokens. */
+/**
+ * A stand-in for an inference engine. It implements the engine protocol and generates deterministic tokens.
+ */
 import type { Server, ServerResponse } from "node:http";
 import { sendJson, startServer, stopServer } from "./http";
 
-/** How a stand-in behaves. */
+/** Options of an engine stand-in. */
 export interface EngineStandinOptions {
   readonly id: string;
   readonly port?: number;
-  /** Time to load a model. */
+  /** Time to load a model, milliseconds. */
   readonly loadMs?: number;
-  /** Time between tokens. */
+  /** Time between two tokens, milliseconds. */
   readonly tokenMs?: number;
-  /** Whether it refuses an older epoch. */
+  /** Whether it rejects orders of an older epoch and requests of any other epoch; true by default. */
   readonly checksOrders?: boolean;
-  /** Requests that it takes at once. */
+  /** Maximum number of concurrent requests; 1,000 by default. */
   readonly capacity?: number;
 }
 
@@ -32,38 +34,38 @@
   readonly adapters: readonly string[];
 }
 
-/** One generation; it goes on for a while without its reader, so that it can be resumed. */
+/** One generation. It stays available after its stream is cut, so that a client can resume it. */
 interface Run {
   readonly body: GenerateBody;
-  made: number;
+  sentTokens: number;
   isCancelled: boolean;
 }
 
-/** What it does wrong, for tests. */
-export interface Faults {
-  /** Breaks the connection after so many tokens of a stream, once. */
+/** Faults that a test injects. */
+export interface EngineFaults {
+  /** Closes the connection once, before the token at this offset. */
   cutAfter?: number;
-  /** Accepts a generation, runs it, and closes without an answer. */
+  /** Accepts a generation and records it as run, then closes the connection without an answer. */
   losesAnswers?: boolean;
-  /** Refuses generations with this status. */
+  /** Status with which generations are refused. */
   refusesWith?: number;
-  /** Sends a frame of another request at this token. */
+  /** Offset at which a frame carries the id of another request. */
   foreignAt?: number;
   /** Sends each frame twice. */
   doubles?: boolean;
-  /** Forgets runs, so that nothing can be resumed. */
+  /** Does not store runs, so that no generation can be resumed. */
   forgets?: boolean;
-  /** Answers no state question. */
+  /** Closes the connection instead of answering state requests. */
   isSilent?: boolean;
 }
 
-/** A running stand-in. */
+/** An HTTP server that behaves as an engine. */
 export class EngineStandin {
-  /** What it does wrong. */
-  readonly faults: Faults = {};
-  /** Requests that it ran, in order, doubles included. */
+  /** Injected faults. */
+  readonly faults: EngineFaults = {};
+  /** Ids of the generations that it accepted, in order, with repeats. */
   readonly ran: string[] = [];
-  /** Requests that were cancelled. */
+  /** Ids of the requests that were cancelled. */
   readonly cancelled: string[] = [];
   readonly id: string;
   address = "";
@@ -72,9 +74,9 @@
   private readonly _runs = new Map<string, Run>();
   private _server: Server | undefined;
   private _order: OrderBody | undefined;
-  private _loaded = "";
+  private _loadedModel = "";
   private _readyAt = 0;
-  private _running = 0;
+  private _runningCount = 0;
 
   private constructor(options: EngineStandinOptions) {
     this._options = options;
@@ -93,13 +95,13 @@
     return standin;
   }
 
-  /** Stops, cutting all connections. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     if (this._server !== undefined) await stopServer(this._server);
     this._server = undefined;
   }
 
-  /** Gets the text that a whole answer to a prompt has. */
+  /** Gets the text of a complete answer to a prompt. */
   static getAnswer(prompt: string, tokens: number): string {
     return Array.from({ length: tokens }, (_, i) => getToken(prompt, i)).join("");
   }
@@ -107,7 +109,7 @@
   private _route(url: string, response: ServerResponse, body: string): void | Promise<void> {
     const path = url.split("?")[0];
     if (path === "/v1/state") return this._sendState(response);
-    if (path === "/v1/orders") return this._takeOrder(response, JSON.parse(body));
+    if (path === "/v1/orders") return this._acceptOrder(response, JSON.parse(body));
     if (path === "/v1/generate") return this._generate(response, JSON.parse(body));
     if (path === "/v1/resume") return this._resume(response, JSON.parse(body));
     if (path === "/v1/cancel") return this._cancel(response, JSON.parse(body));
@@ -133,18 +135,18 @@
       model_version: this._order?.model_version ?? "",
       adapters: this._order?.adapters ?? [],
       ready: this._isReady(),
-      load: { running: this._running, waiting: 0, pending_tokens: this._running * 10, kv_used: 0 },
+      load: { running: this._runningCount, waiting: 0, pending_tokens: this._runningCount * 10, kv_used: 0 },
     });
   }
 
-  private _takeOrder(response: ServerResponse, order: OrderBody): void {
+  private _acceptOrder(response: ServerResponse, order: OrderBody): void {
     if ((this._options.checksOrders ?? true) && order.epoch < this.epoch) {
       sendJson(response, 409, { error: `epoch ${order.epoch} is older than ${this.epoch}` });
       return;
     }
     const model = `${order.model}@${order.model_version}`;
-    const loadMs = model === this._loaded ? 0 : (this._options.loadMs ?? 0);
-    this._loaded = model;
+    const loadMs = model === this._loadedModel ? 0 : (this._options.loadMs ?? 0);
+    this._loadedModel = model;
     this._order = order;
     this.epoch = order.epoch;
     this._readyAt = performance.now() + loadMs;
@@ -156,14 +158,16 @@
       return sendJson(response, this.faults.refusesWith, { error: "refused" });
     }
     const isStale = (this._options.checksOrders ?? true) && body.epoch !== this.epoch;
-    if (!this._isReady() || isStale) return sendJson(response, 409, { error: "not in this epoch" });
-    if (this._running >= (this._options.capacity ?? 1_000)) return sendJson(response, 503, { error: "full" });
+    if (!this._isReady() || isStale)
+      return sendJson(response, 409, { error: "the instance is not ready in this epoch" });
+    if (this._runningCount >= (this._options.capacity ?? 1_000))
+      return sendJson(response, 503, { error: "full" });
     this.ran.push(body.request_id);
     if (this.faults.losesAnswers) {
       response.destroy();
       return;
     }
-    const run: Run = { body, made: 0, isCancelled: false };
+    const run: Run = { body, sentTokens: 0, isCancelled: false };
     if (!this.faults.forgets) this._runs.set(body.request_id, run);
     await this._stream(response, run, 0);
   }
@@ -182,7 +186,7 @@
   }
 
   private async _stream(response: ServerResponse, run: Run, offset: number): Promise<void> {
-    this._running += 1;
+    this._runningCount += 1;
     response.writeHead(200, { "content-type": "application/x-ndjson" });
     response.flushHeaders();
     const total = Math.min(run.body.max_tokens, 1_000);
@@ -194,11 +198,11 @@
         break;
       }
       this._writeFrame(response, run, i, total);
-      run.made = i + 1;
+      run.sentTokens = i + 1;
     }
     response.end();
-    this._running -= 1;
-    if (run.made === total) this._runs.delete(run.body.request_id);
+    this._runningCount -= 1;
+    if (run.sentTokens === total) this._runs.delete(run.body.request_id);
   }
 
   private _writeFrame(response: ServerResponse, run: Run, i: number, total: number): void {
@@ -216,7 +220,7 @@
   }
 }
 
-/** Tokens tell whose prompt they answer, so that a mix-up shows. */
+/** Creates a token that contains the end of its prompt, so that tests detect tokens of another request. */
 function getToken(prompt: string, i: number): string {
   return `${prompt.trim().slice(-12)}#${i} `;
 }
--- a/test/platform/DirectoryCallers.ts
+++ b/test/platform/DirectoryCallers.ts
@@ -1,11 +1,11 @@
-/** Callers that ask the directory at a rate, each over a connection of its own. */
+/** Callers that query the directory at a fixed rate, each call over its own connection. */
 import { callOnce } from "./callOnce";
 
-/** What callers work with. */
+/** Options of the callers. */
 export interface DirectoryCallersOptions {
-  /** host:port of directories. */
+  /** Addresses of directories, host:port. */
   readonly addresses: readonly string[];
-  /** Tries a second of all callers together. */
+  /** Attempts per second of all callers together. */
   readonly rate: number;
 }
 
@@ -14,18 +14,21 @@
 const MS_PER_S = 1_000;
 const PATH = "/-/resolve?name=n&region=r&zone=zone-a";
 
-/** A question, and how often it has been tried in vain. */
-interface Question {
-  readonly first: number;
+/** A lookup: the index of the first directory that it is sent to, and the number of failed attempts. */
+interface Lookup {
+  readonly firstAddress: number;
   readonly failures: number;
 }
 
-/** Callers; a question that failed goes to the next directory before a new one begins, once around. */
+/**
+ * Queries directories. A failed lookup is repeated at the next directory before a new lookup starts, until
+ * each directory was tried once.
+ */
 export class DirectoryCallers {
   private readonly _options: DirectoryCallersOptions;
-  private readonly _failed: Question[] = [];
-  private _next = 0;
-  private _due = 0;
+  private readonly _failedLookups: Lookup[] = [];
+  private _nextAddress = 0;
+  private _dueLookups = 0;
   private _timer: NodeJS.Timeout | undefined;
   private _answers = 0;
   private _failures = 0;
@@ -34,42 +37,45 @@
     this._options = options;
   }
 
-  /** Gets how many tries were answered. */
+  /** Gets the number of attempts that were answered. */
   get answers(): number {
     return this._answers;
   }
 
-  /** Gets how many tries failed, or had no answer in time. */
+  /** Gets the number of attempts that failed or timed out. */
   get failures(): number {
     return this._failures;
   }
 
-  /** Begins to ask. */
+  /** Starts the lookups. */
   start(): void {
-    let askedAt = performance.now();
+    let checkedAt = performance.now();
     this._timer = setInterval(() => {
       const now = performance.now();
-      this._due += ((now - askedAt) / MS_PER_S) * this._options.rate;
-      askedAt = now;
-      for (; this._due >= 1; this._due--) void this._ask();
+      this._dueLookups += ((now - checkedAt) / MS_PER_S) * this._options.rate;
+      checkedAt = now;
+      for (; this._dueLookups >= 1; this._dueLookups--) void this._lookUp();
     }, TICK_MS);
   }
 
-  /** Asks no more. */
+  /** Starts no further lookups. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  private async _ask(): Promise<void> {
+  private async _lookUp(): Promise<void> {
     const { addresses } = this._options;
-    const { first, failures } = this._failed.shift() ?? { first: this._next++, failures: 0 };
-    const address = addresses[(first + failures) % addresses.length]!;
+    const { firstAddress, failures } = this._failedLookups.shift() ?? {
+      firstAddress: this._nextAddress++,
+      failures: 0,
+    };
+    const address = addresses[(firstAddress + failures) % addresses.length]!;
     const { status } = await callOnce({ address, path: PATH });
     if (status === OK) {
       this._answers += 1;
       return;
     }
     this._failures += 1;
-    if (failures + 1 < addresses.length) this._failed.push({ first, failures: failures + 1 });
+    if (failures + 1 < addresses.length) this._failedLookups.push({ firstAddress, failures: failures + 1 });
   }
 }
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -1,33 +1,36 @@
-/** An operator as the platform's pages describe it: sends versions, again until acknowledged, and reads back. */
-import { callOnce, type OneAnswer } from "./callOnce";
+/**
+ * A stand-in for an operator, according to the platform's documentation: sends a version of the configuration
+ * until it is acknowledged, then reads it back.
+ */
+import { type CallAnswer, callOnce } from "./callOnce";
 
-/** What an operator works with. */
+/** Options of an operator. */
 export interface OperatorOptions {
-  /** host:port of control processes. */
+  /** Addresses of control processes, host:port. */
   readonly addresses: readonly string[];
-  /** Makes a whole configuration of a version. */
+  /** Creates the complete configuration of a version. */
   readonly createDocument: (version: number) => object;
 }
 
-/** A version and what became of it, Unix milliseconds. */
+/** A version that was sent; times are Unix milliseconds. */
 export interface SentOrder {
   readonly version: number;
   readonly sentAt: number;
   acknowledgedAt?: number;
-  /** When it, or a later one, was read. */
+  /** When this version or a later one was read back. */
   readBackAt?: number;
 }
 
 const OK = 200;
-const FIRST_BACKOFF_MS = 50;
+const INITIAL_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = 1_000;
 
-/** An operator. */
+/** Sends versions of the configuration to control processes. */
 export class OperatorStandin {
-  /** Every order so far, the newest last. */
+  /** All versions sent so far, the newest last. */
   readonly orders: SentOrder[] = [];
   private readonly _options: OperatorOptions;
-  private _next = 0;
+  private _nextAddress = 0;
   private _timer: NodeJS.Timeout | undefined;
   private _isStopped = false;
 
@@ -35,36 +38,44 @@
     this._options = options;
   }
 
-  /** Sends a version now and a newer one after each gap, whatever becomes of those before. */
+  /** Sends a version now and a newer one after each interval, without waiting for earlier versions. */
   start(version: number, gapMs: number): void {
     let next = version;
     void this.send(next++);
     this._timer = setInterval(() => void this.send(next++), gapMs);
   }
 
-  /** Sends one version until it is acknowledged, then reads until it is read back. */
+  /** Sends a version until it is acknowledged, then reads the configuration until it has this version. */
   async send(version: number): Promise<SentOrder> {
-    const order: SentOrder = { version, sentAt: Date.now() };
-    this.orders.push(order);
+    const sent: SentOrder = { version, sentAt: Date.now() };
+    this.orders.push(sent);
     const body = JSON.stringify(this._options.createDocument(version));
-    const isTaken = (answer: OneAnswer) => answer.status === OK;
-    if (await this._try("/-/Config.Put", isTaken, body)) order.acknowledgedAt = Date.now();
-    const isRead = (answer: OneAnswer) => answer.status === OK && getVersion(answer) >= version;
-    if (await this._try("/-/Config.Get", isRead)) order.readBackAt = Date.now();
-    return order;
+    const isAcknowledged = (answer: CallAnswer) => answer.status === OK;
+    if (await this._callUntil("/-/Config.Put", isAcknowledged, body)) sent.acknowledgedAt = Date.now();
+    const isReadBack = (answer: CallAnswer) => answer.status === OK && getVersion(answer) >= version;
+    if (await this._callUntil("/-/Config.Get", isReadBack)) sent.readBackAt = Date.now();
+    return sent;
   }
 
-  /** Sends no more; what is under way is given up. */
+  /** Sends no further versions and abandons pending calls. */
   stop(): void {
     this._isStopped = true;
     clearInterval(this._timer);
   }
 
-  /** Goes from one process to the next, each time after a longer pause, until a call came to something. */
-  private async _try(path: string, isDone: (answer: OneAnswer) => boolean, body?: string): Promise<boolean> {
+  /** Calls the control processes in turn, with an increasing pause, until an answer meets the condition. */
+  private async _callUntil(
+    path: string,
+    isDone: (answer: CallAnswer) => boolean,
+    body?: string,
+  ): Promise<boolean> {
     const { addresses } = this._options;
-    for (let pauseMs = FIRST_BACKOFF_MS; !this._isStopped; pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2)) {
-      const address = addresses[this._next++ % addresses.length]!;
+    for (
+      let pauseMs = INITIAL_BACKOFF_MS;
+      !this._isStopped;
+      pauseMs = Math.min(MAX_BACKOFF_MS, pauseMs * 2)
+    ) {
+      const address = addresses[this._nextAddress++ % addresses.length]!;
       if (isDone(await callOnce({ address, path, body }))) return true;
       await new Promise((resolve) => setTimeout(resolve, pauseMs));
     }
@@ -72,6 +83,6 @@
   }
 }
 
-function getVersion({ body }: OneAnswer): number {
+function getVersion({ body }: CallAnswer): number {
   return (JSON.parse(body) as { version: number }).version;
 }
