--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -6,7 +6,7 @@
 import { Effect, type Scope } from "effect";
 import { initializeDataFolder, startControlProcess } from "../control";
 import { startEntryProcess } from "../entry";
-import { createLogger, type Logger, type Metrics, SilentMetrics, StatsdMetrics } from "../metrics";
+import { createLogger, type Logger, type Metrics, NoopMetrics, StatsdMetrics } from "../metrics";
 import { ProcessSignals, reportResources, runProcess } from "../process";
 import { readControlSettings, readEntrySettings, readSecret } from "../settings";
 import { EXIT, printLine } from "./output";
@@ -76,7 +76,7 @@
   name: string,
 ): Metrics {
   return server === undefined
-    ? new SilentMetrics()
+    ? new NoopMetrics()
     : new StatsdMetrics(server.host, server.port, { role, name });
 }
 
--- a/src/metrics/CallLoad.ts
+++ b/src/metrics/CallLoad.ts
@@ -36,13 +36,13 @@
   }
 
   /** Records the arrival of a call. */
-  addBegun(call: string): void {
+  recordStart(call: string): void {
     const stats = this._getStats(call);
     this._stats.set(call, { ...stats, begun: stats.begun + 1 });
   }
 
   /** Records the outcome of a call. */
-  addEnd(call: string, outcome: CallOutcome, tookMs: number): void {
+  recordOutcome(call: string, outcome: CallOutcome, tookMs: number): void {
     const stats = this._getStats(call);
     this._stats.set(call, {
       ...stats,
@@ -54,7 +54,7 @@
   }
 
   /** Records that a peer opened a session. */
-  addSession(): void {
+  recordSession(): void {
     this._sessions += 1;
     this._metrics.increment("rpc_sessions", 1);
   }
--- a/src/metrics/Metrics.ts
+++ b/src/metrics/Metrics.ts
@@ -60,7 +60,7 @@
 }
 
 /** Discards all metrics. */
-export class SilentMetrics implements Metrics {
+export class NoopMetrics implements Metrics {
   /** Discards the value. */
   increment(): void {}
   /** Discards the value. */
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -161,7 +161,7 @@
     );
     const serverOptions = {
       interceptors: [createCallCounter(callLoad, clock)],
-      onSession: () => callLoad.addSession(),
+      onSession: () => callLoad.recordSession(),
       calls: callOrder,
     };
     const addRoutes = (router: ConnectRouter) => {
--- a/standin/EngineStandin.ts
+++ b/standin/EngineStandin.ts
@@ -46,17 +46,17 @@
   /** Closes the connection once, before the token at this offset. */
   cutAfter?: number;
   /** Accepts a generation and records it as run, then closes the connection without an answer. */
-  losesAnswers?: boolean;
+  dropsAnswers?: boolean;
   /** Status with which generations are refused. */
-  refusesWith?: number;
+  refusalStatus?: number;
   /** Offset at which a frame carries the id of another request. */
-  foreignAt?: number;
+  foreignFrameAt?: number;
   /** Sends each frame twice. */
-  doubles?: boolean;
+  duplicatesFrames?: boolean;
   /** Does not store runs, so that no generation can be resumed. */
-  forgets?: boolean;
+  dropsRuns?: boolean;
   /** Closes the connection instead of answering state requests. */
-  isSilent?: boolean;
+  dropsStateRequests?: boolean;
 }
 
 /** An HTTP server that behaves as an engine. */
@@ -123,7 +123,7 @@
   }
 
   private _sendState(response: ServerResponse): void {
-    if (this.faults.isSilent) {
+    if (this.faults.dropsStateRequests) {
       response.destroy();
       return;
     }
@@ -154,8 +154,8 @@
   }
 
   private async _generate(response: ServerResponse, body: GenerateBody): Promise<void> {
-    if (this.faults.refusesWith !== undefined) {
-      return sendJson(response, this.faults.refusesWith, { error: "refused" });
+    if (this.faults.refusalStatus !== undefined) {
+      return sendJson(response, this.faults.refusalStatus, { error: "refused" });
     }
     const isStale = (this._options.checksOrders ?? true) && body.epoch !== this.epoch;
     if (!this._isReady() || isStale)
@@ -163,12 +163,12 @@
     if (this._runningCount >= (this._options.capacity ?? 1_000))
       return sendJson(response, 503, { error: "full" });
     this.ran.push(body.request_id);
-    if (this.faults.losesAnswers) {
+    if (this.faults.dropsAnswers) {
       response.destroy();
       return;
     }
     const run: Run = { body, sentTokens: 0, isCancelled: false };
-    if (!this.faults.forgets) this._runs.set(body.request_id, run);
+    if (!this.faults.dropsRuns) this._runs.set(body.request_id, run);
     await this._stream(response, run, 0);
   }
 
@@ -206,7 +206,7 @@
   }
 
   private _writeFrame(response: ServerResponse, run: Run, i: number, total: number): void {
-    const isForeign = this.faults.foreignAt === i;
+    const isForeign = this.faults.foreignFrameAt === i;
     const frame = {
       request_id: isForeign ? "another" : run.body.request_id,
       epoch: run.body.epoch,
@@ -216,7 +216,7 @@
       ...(i === total - 1 ? { finish_reason: "stop" } : {}),
     };
     const line = `${JSON.stringify(frame)}\n`;
-    response.write(this.faults.doubles ? line + line : line);
+    response.write(this.faults.duplicatesFrames ? line + line : line);
   }
 }
 
--- a/test/clock/SuspensionClock.test.ts
+++ b/test/clock/SuspensionClock.test.ts
@@ -10,7 +10,7 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { loadBootTime, SuspensionClock } from "../../src/clock";
 import { MissingBootTime } from "../../src/errors";
-import { SilentMetrics } from "../../src/metrics";
+import { NoopMetrics } from "../../src/metrics";
 import { SuspensionMonitor } from "../../src/process";
 
 const START_WALL_MS = 1_700_000_000_000;
@@ -142,7 +142,7 @@
     const watch = new SuspensionMonitor({
       clock: machine.createClock(),
       logger,
-      metrics: new SilentMetrics(),
+      metrics: new NoopMetrics(),
       onResume: () => {
         wakes += 1;
       },
--- a/test/platform/KeptCallers.ts
+++ b/test/platform/KeepAliveCallers.ts
@@ -15,7 +15,7 @@
    * Pause of a caller after its connection was refused, milliseconds; a caller without this option stops
    * then.
    */
-  readonly returnMs?: number;
+  readonly reconnectMs?: number;
 }
 
 /** The outcome of a request. */
@@ -47,9 +47,9 @@
 const DEADLINE_MS = 8_000;
 
 /** Callers that each use one connection. */
-export class KeptCallers {
+export class KeepAliveCallers {
   /** All requests that have ended. */
-  readonly seen: RequestRecord[] = [];
+  readonly records: RequestRecord[] = [];
   private readonly _options: KeepAliveCallersOptions;
   private _isStopped = false;
   private _callers: Promise<void>[] = [];
@@ -60,14 +60,14 @@
   }
 
   /** Gets the requests with an outcome. */
-  getEnded(outcome: CallOutcome): RequestRecord[] {
-    return this.seen.filter((request) => request.outcome === outcome);
+  getByOutcome(outcome: CallOutcome): RequestRecord[] {
+    return this.records.filter((request) => request.outcome === outcome);
   }
 
   /** Counts the requests with any of the given outcomes, by outcome, status, connection and reason. */
-  countEnds(...outcomes: readonly CallOutcome[]): Record<string, number> {
+  countByOutcome(...outcomes: readonly CallOutcome[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { outcome, reason, status, isReusedConnection } of this.seen) {
+    for (const { outcome, reason, status, isReusedConnection } of this.records) {
       if (!outcomes.includes(outcome)) continue;
       const connection = isReusedConnection ? "kept" : "new";
       const label = `${outcome} ${status} on a ${connection} connection: ${reason}`;
@@ -82,24 +82,24 @@
   }
 
   /** Waits until the connection of every caller was refused. */
-  async waitUntilGone(): Promise<void> {
+  async waitUntilDisconnected(): Promise<void> {
     await Promise.all(this._callers);
   }
 
   /** Starts no further requests, and waits for those in flight. */
   async stop(): Promise<void> {
     this._isStopped = true;
-    await this.waitUntilGone();
+    await this.waitUntilDisconnected();
   }
 
   private async _callUntilDisconnected(): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     while (!this._isStopped) {
       const record = await this._call(agent);
-      this.seen.push(record);
-      const { returnMs, pauseMs: restMs = 0 } = this._options;
-      if (record.outcome === "unsent" && returnMs === undefined) break;
-      const pauseMs = { refused: REFUSAL_PAUSE_MS, unsent: returnMs }[record.outcome as string] ?? restMs;
+      this.records.push(record);
+      const { reconnectMs, pauseMs: restMs = 0 } = this._options;
+      if (record.outcome === "unsent" && reconnectMs === undefined) break;
+      const pauseMs = { refused: REFUSAL_PAUSE_MS, unsent: reconnectMs }[record.outcome as string] ?? restMs;
       await new Promise((resolve) => setTimeout(resolve, pauseMs));
     }
     agent.destroy();
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -13,7 +13,7 @@
 }
 
 /** A version that was sent; times are Unix milliseconds. */
-export interface SentOrder {
+export interface SentVersion {
   readonly version: number;
   readonly sentAt: number;
   acknowledgedAt?: number;
@@ -28,7 +28,7 @@
 /** Sends versions of the configuration to control processes. */
 export class OperatorStandin {
   /** All versions sent so far, the newest last. */
-  readonly orders: SentOrder[] = [];
+  readonly versions: SentVersion[] = [];
   private readonly _options: OperatorOptions;
   private _nextAddress = 0;
   private _timer: NodeJS.Timeout | undefined;
@@ -46,9 +46,9 @@
   }
 
   /** Sends a version until it is acknowledged, then reads the configuration until it has this version. */
-  async send(version: number): Promise<SentOrder> {
-    const sent: SentOrder = { version, sentAt: Date.now() };
-    this.orders.push(sent);
+  async send(version: number): Promise<SentVersion> {
+    const sent: SentVersion = { version, sentAt: Date.now() };
+    this.versions.push(sent);
     const body = JSON.stringify(this._options.createDocument(version));
     const isAcknowledged = (answer: CallAnswer) => answer.status === OK;
     if (await this._callUntil("/-/Config.Put", isAcknowledged, body)) sent.acknowledgedAt = Date.now();
--- a/test/platform/PlatformCluster.ts
+++ b/test/platform/PlatformCluster.ts
@@ -49,7 +49,7 @@
   /** Number of entries, nine at most; one by default. */
   readonly entries?: number;
   /** Delay after which a worker that a request crashed is replaced under another id, milliseconds. */
-  readonly returnMs?: number;
+  readonly restartMs?: number;
   /** Number of control processes, all of them voters; three by default. */
   readonly controls?: number;
   /** Number of control processes in the seed list of every process, counted from the first; all by default. */
@@ -63,11 +63,11 @@
   /** Sequence number of the last report that the first workers have sent already. */
   readonly firstReportCount?: number;
   /** Injects a defect: workers do not report their start times. */
-  readonly hidesStarts?: boolean;
+  readonly omitsStartTime?: boolean;
   /** Number of workers in a fabric domain; all workers are in one domain by default. */
   readonly domainSize?: number;
   /** Whether workers are reached through TCP relays that can fail. */
-  readonly areWorkersRelayed?: boolean;
+  readonly hasWorkerRelays?: boolean;
   /** Timing of the workers' streams. */
   readonly stream?: StreamTiming;
   /**
@@ -181,9 +181,9 @@
     domain: string,
     init: WorkerInit = {},
   ): Promise<WorkerStandin> {
-    const { reportMs, joinMs, areWorkersRelayed, stream } = this._options;
+    const { reportMs, joinMs, hasWorkerRelays, stream } = this._options;
     const worker = new WorkerStandin({
-      ...(this._options.hidesStarts === true ? { ...init, born: 0 } : init),
+      ...(this._options.omitsStartTime === true ? { ...init, born: 0 } : init),
       id,
       service,
       domain,
@@ -191,7 +191,7 @@
       reportMs,
       joinMs,
       stream,
-      isRelayed: areWorkersRelayed,
+      isRelayed: hasWorkerRelays,
       getIncarnations: (other) => this.workers.filter((candidate) => candidate.id === other),
       onEvent: KEEPS_LOGS ? (event) => this._logEvent(event) : undefined,
       onCrashingRequest: () => this.crashingRequests.push(performance.now()),
@@ -258,12 +258,12 @@
    */
   private _handleCrash({ id, service, domain, staged }: WorkerStandin): void {
     this.crashes.push(performance.now());
-    const { returnMs } = this._options;
-    if (returnMs === undefined) return;
+    const { restartMs } = this._options;
+    if (restartMs === undefined) return;
     const nextId = `${id}-${this.crashes.length}`;
     setTimeout(() => {
       if (!this._isStopping) void this.addWorker(nextId, service, domain, { staged });
-    }, returnMs).unref();
+    }, restartMs).unref();
   }
 
   /** Writes what workers did to a log in the folder of the processes' logs, with times of the same clock. */
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -184,7 +184,7 @@
   }
 
   /** Pauses its streams for some time, milliseconds. */
-  standStill(milliseconds: number): void {
+  pauseStreams(milliseconds: number): void {
     this._pausedUntil = performance.now() + milliseconds;
   }
 
--- a/test/platform/oddReports.ts
+++ b/test/platform/invalidReports.ts
@@ -31,7 +31,7 @@
  * Sends each kind of invalid report to a control process under a worker's id.
  * @returns The status of each answer; 0 if there was none.
  */
-export function sendOddReports(control: string, workerId: string): Promise<number[]> {
+export function sendInvalidReports(control: string, workerId: string): Promise<number[]> {
   const bodies = [...INVALID, "no JSON", ""];
   return Promise.all(
     bodies.map(async (body) => {
--- a/test/platform/playLosses.ts
+++ b/test/platform/runPowerLosses.ts
@@ -4,7 +4,7 @@
  */
 import { createConfig } from "./createConfig";
 import { DirectoryCallers } from "./DirectoryCallers";
-import { OperatorStandin, type SentOrder } from "./OperatorStandin";
+import { OperatorStandin, type SentVersion } from "./OperatorStandin";
 import { PlatformCluster } from "./PlatformCluster";
 import { WatcherGroup } from "./WatcherGroup";
 
@@ -29,7 +29,7 @@
 const LOAD_LIMITS = { loadsPerS: 1_000, loads_at_once: 1_000 } as const;
 
 /** Times until a version was acknowledged and read back, milliseconds; infinite if it never was. */
-export interface OrderWait {
+export interface VersionDelays {
   /**
    * Measured from the return of power, or from the sending of a version that was sent before the first loss.
    */
@@ -40,16 +40,16 @@
 /** The results of a run. */
 export interface PowerLossResult {
   /** A version that was sent before the first loss. */
-  readonly before: OrderWait;
+  readonly before: VersionDelays;
   /** Versions that were sent after the second loss, the earliest first. */
-  readonly after: readonly OrderWait[];
+  readonly after: readonly VersionDelays[];
 }
 
 /**
  * Runs the two power losses once.
  * @param share - Share of a core that each control process may use.
  */
-export async function playLosses(share: number): Promise<PowerLossResult> {
+export async function runPowerLosses(share: number): Promise<PowerLossResult> {
   const cluster = await PlatformCluster.start(WORKERS, {
     controls: CONTROLS,
     seeds: SEEDS,
@@ -71,8 +71,8 @@
     await losePower(cluster);
     const powerOnAt = Date.now();
     await pause(CONTACT_MS + ACKNOWLEDGEMENT_MS);
-    const first = operator.orders[1]!;
-    const after = operator.orders.filter(({ sentAt }) => sentAt >= powerOnAt);
+    const first = operator.versions[1]!;
+    const after = operator.versions.filter(({ sentAt }) => sentAt >= powerOnAt);
     return {
       before: getDelays(first, first.sentAt),
       after: after.map((version) => getDelays(version, powerOnAt)),
@@ -85,7 +85,7 @@
   }
 }
 
-function getDelays({ acknowledgedAt, readBackAt }: SentOrder, since: number): OrderWait {
+function getDelays({ acknowledgedAt, readBackAt }: SentVersion, since: number): VersionDelays {
   return {
     acknowledgedMs: (acknowledgedAt ?? Number.POSITIVE_INFINITY) - since,
     readBackMs: (readBackAt ?? Number.POSITIVE_INFINITY) - since,
--- a/test/registration/OrderDispatcher.test.ts
+++ b/test/registration/OrderDispatcher.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import type { Incarnation } from "../../src/ids";
-import { SilentMetrics } from "../../src/metrics";
+import { NoopMetrics } from "../../src/metrics";
 import type { InstanceOrders, JoinOrder } from "../../src/registration";
 import { OrderDispatcher } from "../../src/registration/OrderDispatcher";
 import { createLife } from "../support/createLife";
@@ -26,7 +26,7 @@
       },
       clock: { getMonotonicMs: () => 0, getWallMs: () => 0 },
       logger: { info: () => {} } as never,
-      metrics: new SilentMetrics(),
+      metrics: new NoopMetrics(),
       onEnd,
       getLoadLimit: () => undefined,
     });
--- a/test/system/endpoints.test.ts
+++ b/test/system/endpoints.test.ts
@@ -33,16 +33,16 @@
     await start({ engines: 5 });
     await cluster.waitForRouting(1);
     const [, lost] = (await getMembers()) as [string, string];
-    getEngine(lost).faults.isSilent = true;
+    getEngine(lost).faults.dropsStateRequests = true;
     await waitUntil("the replica serves nobody", async () => (await call("missing")).status === 503);
     await cluster.waitForRouting(1);
     const members = await getMembers();
     expect(members).toHaveLength(4);
     expect(members).not.toContain(lost);
     // A second loss right after the repair: there is no spare, so it waits for the first one.
-    getEngine(members[2]!).faults.isSilent = true;
+    getEngine(members[2]!).faults.dropsStateRequests = true;
     await waitUntil("the replica serves nobody again", async () => (await call("missing")).status === 503);
-    delete getEngine(lost).faults.isSilent;
+    delete getEngine(lost).faults.dropsStateRequests;
     await cluster.waitForRouting(1);
     expect(await getMembers()).toContain(lost);
   });
@@ -52,9 +52,9 @@
     await cluster.waitForRouting(1);
     const before = await (await cluster.getOperator()).getStatus();
     const [, paused] = (await getMembers()) as [string, string];
-    getEngine(paused).faults.isSilent = true;
+    getEngine(paused).faults.dropsStateRequests = true;
     await waitUntil("the replica serves nobody", async () => (await call("paused")).status === 503);
-    delete getEngine(paused).faults.isSilent;
+    delete getEngine(paused).faults.dropsStateRequests;
     await cluster.waitForRouting(1);
     const after = await (await cluster.getOperator()).getStatus();
     expect(getServing(after)[0]!.replica!.epoch).toBe(getServing(before)[0]!.replica!.epoch);
@@ -141,12 +141,12 @@
         expect(new Set(ids).size).toBe(ids.length);
       }
     })();
-    getEngine("engine-1").faults.isSilent = true;
-    getEngine("engine-6").faults.isSilent = true;
+    getEngine("engine-1").faults.dropsStateRequests = true;
+    getEngine("engine-6").faults.dropsStateRequests = true;
     await cluster.apply(createConfiguration({ replicas: 1, version: "2" }));
-    delete getEngine("engine-1").faults.isSilent;
+    delete getEngine("engine-1").faults.dropsStateRequests;
     await cluster.apply(createConfiguration({ replicas: 2, version: "3" }));
-    delete getEngine("engine-6").faults.isSilent;
+    delete getEngine("engine-6").faults.dropsStateRequests;
     await cluster.waitForStatus("both run the newest version", (status) => {
       const serving = getServing(status);
       return serving.length === 2 && serving.every(({ replica }) => replica!.modelVersion === "3");
@@ -182,7 +182,7 @@
     await start({ engines: 5 });
     await cluster.waitForRouting(1);
     const [, lost] = (await getMembers()) as [string, string];
-    getEngine(lost).faults.isSilent = true;
+    getEngine(lost).faults.dropsStateRequests = true;
     await cluster.waitForStatus("the repair has begun", (status) =>
       status.replicas.some(({ replica }) => replica!.phase !== ReplicaPhase.SERVING),
     );
--- a/test/system/outcomes.test.ts
+++ b/test/system/outcomes.test.ts
@@ -23,8 +23,8 @@
       for (const fault of Object.keys(engine.faults))
         delete engine.faults[fault as keyof typeof engine.faults];
     }
-    cluster.services[0]!.losesAnswers = false;
-    cluster.services[0]!.cutsAnswers = false;
+    cluster.services[0]!.dropsAnswers = false;
+    cluster.services[0]!.truncatesAnswers = false;
   });
 
   function call(request: CallerCall, entry = 0) {
@@ -78,25 +78,25 @@
   describe("of a repeatable request", () => {
     it("is done although the first endpoint refused", async () => {
       await waitUntilOpen();
-      cluster.engines[0]!.faults.refusesWith = 503;
+      cluster.engines[0]!.faults.refusalStatus = 503;
       for (let i = 0; i < 4; i++)
         await expectWhole({ body: createChat("refused", { maxTokens: 8 }) }, "refused");
     });
 
     it("is done although the first endpoint lost the answer", async () => {
       await waitUntilOpen();
-      cluster.engines[0]!.faults.losesAnswers = true;
+      cluster.engines[0]!.faults.dropsAnswers = true;
       for (let i = 0; i < 4; i++) await expectWhole({ body: createChat("lost", { maxTokens: 8 }) }, "lost");
     });
 
     it("is not-run when every endpoint refuses", async () => {
-      setFaults({ refusesWith: 503 });
+      setFaults({ refusalStatus: 503 });
       await expectRefusalAfterOpening({ body: createChat("a") }, "not-run", 0);
     });
 
     it("is unknown, not not-run, when an earlier attempt may have run", async () => {
       await waitUntilOpen();
-      setFaults({ losesAnswers: true });
+      setFaults({ dropsAnswers: true });
       const answer = await call({ body: createChat("a") });
       expect(JSON.parse(answer.text).error.outcome).toBe("unknown");
     });
@@ -119,13 +119,13 @@
 
     it("drops doubled frames", async () => {
       await waitUntilOpen();
-      setFaults({ doubles: true });
+      setFaults({ duplicatesFrames: true });
       await expectWhole({ body: createChat("double", { maxTokens: 8 }) }, "double");
     });
 
     it("ends visibly broken when the engine can't resume it", async () => {
       await waitUntilOpen();
-      setFaults({ cutAfter: 3, forgets: true });
+      setFaults({ cutAfter: 3, dropsRuns: true });
       const answer = await call({ body: createChat("broken", { maxTokens: 8 }) });
       const stream = readStream(answer.text);
       expect(stream).toMatchObject({ isWhole: false });
@@ -135,7 +135,7 @@
 
     it("shows nothing of another request's frame", async () => {
       await waitUntilOpen();
-      setFaults({ foreignAt: 2 });
+      setFaults({ foreignFrameAt: 2 });
       const answer = await call({ body: createChat("mine", { maxTokens: 8 }) });
       const stream = readStream(answer.text);
       expect(stream.content).toBe(EngineStandin.getAnswer("user: mine", 2));
@@ -163,13 +163,13 @@
   describe("of a request that may not be repeated", () => {
     it("is unknown when the answer was lost, and ran once", async () => {
       await waitUntilOpen();
-      setFaults({ losesAnswers: true });
+      setFaults({ dropsAnswers: true });
       await expectUnknownOnce({ body: createChat("once"), headers: ONCE });
     });
 
     it("is done although the first endpoint refused, and ran once", async () => {
       await waitUntilOpen();
-      cluster.engines[0]!.faults.refusesWith = 503;
+      cluster.engines[0]!.faults.refusalStatus = 503;
       const before = countRuns();
       await expectWhole({ body: createChat("once", { maxTokens: 8 }), headers: ONCE }, "once");
       expect(countRuns() - before).toBe(1);
@@ -208,16 +208,16 @@
 
     it("tells that whether the first one ran is unknown", async () => {
       await waitUntilOpen();
-      setFaults({ losesAnswers: true });
+      setFaults({ dropsAnswers: true });
       await expectDuplicate("unknown", createOnce("issue"), "claim_unknown", "unknown");
     });
 
     it("runs a request whose first attempt was not run", async () => {
       await waitUntilOpen();
-      setFaults({ refusesWith: 503 });
+      setFaults({ refusalStatus: 503 });
       const request = createOnce("again");
       expect((await call(request)).headers["ploverstage-outcome"]).toBe("not-run");
-      setFaults({ refusesWith: undefined });
+      setFaults({ refusalStatus: undefined });
       await waitUntil("the claim is given back", async () => (await call(request, 1)).status === 200);
     });
 
@@ -246,7 +246,7 @@
     }
 
     it("is unknown when the answer to a write was lost, and ran once", async () => {
-      cluster.services[0]!.losesAnswers = true;
+      cluster.services[0]!.dropsAnswers = true;
       const before = countCalls();
       const answer = await call({ path: "/v1/services/guichet/members", body: "x" });
       expect(answer.headers["ploverstage-outcome"]).toBe("unknown");
@@ -258,7 +258,7 @@
         const answer = await call({ method: "GET", path: "/v1/services/guichet/x" });
         return answer.status === 200;
       });
-      cluster.services[0]!.losesAnswers = true;
+      cluster.services[0]!.dropsAnswers = true;
       const before = countCalls();
       const headers = { "ploverstage-repeatable": "yes" };
       await call({ path: "/v1/services/guichet/issue", body: "x", headers });
@@ -270,7 +270,7 @@
         const answer = await call({ method: "GET", path: "/v1/services/guichet/x" });
         return answer.status === 200;
       });
-      cluster.services[0]!.cutsAnswers = true;
+      cluster.services[0]!.truncatesAnswers = true;
       const answer = await call({ path: "/v1/services/guichet/members", body: "x" });
       expect(answer.isComplete).toBe(false);
     });
