--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -7,7 +7,7 @@
 }
 
 describe("docs", () => {
-  it("list every metric, and no other", () => {
+  it("list exactly the metrics of the source", () => {
     const source = readFileSync("src/metrics/Metrics.ts", "utf8");
     const names = getMatches(source.slice(0, source.indexOf("/** Tags")), /^ {2}\| "([a-z_]+)"/gm);
     expect(names.length).toBeGreaterThan(10);
@@ -25,7 +25,7 @@
     expect([...events].filter((event) => !page.includes(`\`${event}\``))).toEqual([]);
   });
 
-  it("give in CAPACITY.md what the measured figures come to", () => {
+  it("give in CAPACITY.md the results computed from the measured figures", () => {
     execFileSync(process.execPath, ["scripts/capacityPage.mjs", "--check"], { stdio: "pipe" });
   });
 });
--- a/test/layout.test.ts
+++ b/test/layout.test.ts
@@ -1,9 +1,9 @@
-/** How the source tree hangs together. */
+/** Checks the import structure of the source tree. */
 import { readdirSync, readFileSync } from "node:fs";
 import { dirname, join, normalize } from "node:path";
 import { describe, expect, it } from "vitest";
 
-/** Files that each file imports. */
+/** Imported files by importing file. */
 type Imports = ReadonlyMap<string, readonly string[]>;
 
 function readImports(): Imports {
@@ -21,41 +21,41 @@
   );
 }
 
-/** Gets a path from a file back to itself, if there is one. */
-function findCircle(imports: Imports, start: string): string[] | undefined {
+/** Gets an import path from a file back to itself; `undefined` if there is none. */
+function findCycle(imports: Imports, start: string): string[] | undefined {
   const seen = new Set<string>();
   const visit = (file: string, path: readonly string[]): string[] | undefined => {
     for (const next of imports.get(file) ?? []) {
       if (next === start) return [...path, next];
       if (seen.has(next)) continue;
       seen.add(next);
-      const circle = visit(next, [...path, next]);
-      if (circle !== undefined) return circle;
+      const cycle = visit(next, [...path, next]);
+      if (cycle !== undefined) return cycle;
     }
     return undefined;
   };
   return visit(start, [start]);
 }
 
-describe("the source tree", () => {
-  it("has no import circle between files", () => {
+describe("source tree", () => {
+  it("has no import cycles", () => {
     const imports = readImports();
     expect(imports.size).toBeGreaterThan(100);
-    const circles = [...imports.keys()].flatMap((file) => {
-      const circle = findCircle(imports, file);
-      return circle === undefined ? [] : [circle.join(" > ")];
+    const cycles = [...imports.keys()].flatMap((file) => {
+      const cycle = findCycle(imports, file);
+      return cycle === undefined ? [] : [cycle.join(" > ")];
     });
-    expect(circles).toEqual([]);
+    expect(cycles).toEqual([]);
   });
 
-  it("finds a circle where there is one", () => {
+  it("detects an import cycle", () => {
     const imports: Imports = new Map([
       ["a", ["b"]],
       ["b", ["c", "d"]],
       ["c", []],
       ["d", ["a"]],
     ]);
-    expect(findCircle(imports, "a")).toEqual(["a", "b", "d", "a"]);
-    expect(findCircle(imports, "c")).toBeUndefined();
+    expect(findCycle(imports, "a")).toEqual(["a", "b", "d", "a"]);
+    expect(findCycle(imports, "c")).toBeUndefined();
   });
 });
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -2,12 +2,12 @@
 import { parseConfiguration } from "../../src/configuration";
 import { ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { type Action, type InstanceFacts, Planner, REASON } from "../../src/planner";
-import { createConfiguration, type TestConfiguration } from "../support/configuration";
+import { createConfiguration, type TestConfigurationOptions } from "../support/configuration";
 import { createFacts, createInstance, createInstances, createReplica, NOW } from "../support/planning";
 
 const GONE = { answeredAt: NOW - 100_000 };
 
-function plan(facts: Parameters<typeof createFacts>[0], options: TestConfiguration = {}): Action[] {
+function plan(facts: Parameters<typeof createFacts>[0], options: TestConfigurationOptions = {}): Action[] {
   const configuration = parseConfiguration("test", createConfiguration(options));
   return new Planner().plan(NOW, createFacts(facts), configuration);
 }
@@ -29,7 +29,7 @@
   }
 }
 
-function doTest(facts: Parameters<typeof createFacts>[0], options: TestConfiguration, ...expected: string[]) {
+function doTest(facts: Parameters<typeof createFacts>[0], options: TestConfigurationOptions, ...expected: string[]) {
   expect(plan(facts, options).map(describeAction)).toEqual(expected);
 }
 
--- a/test/soak/AnswerSoak.ts
+++ b/test/soak/AnswerSoak.ts
@@ -169,7 +169,7 @@
     if (tookMs > this._graceS * 1_000) this._violations.push(`${handle.name} took ${tookMs} ms to stop`);
     handle.start();
     // Until then signals end it by Node's own doing.
-    await waitUntil("it handles signals", () => handle.handles("SIGHUP"));
+    await waitUntil("it handles signals", () => handle.handlesSignal("SIGHUP"));
     if (this._cluster.controls.includes(handle)) await this._waitForControl();
     this._stopping.delete(handle);
   }
--- a/test/support/Cluster.ts
+++ b/test/support/Cluster.ts
@@ -1,4 +1,7 @@
-/** A whole system of real processes, with stand-ins in this one. */
+/**
+ * Starts a complete system as real processes; engines, services and the platform are stand-ins in the test
+ * process.
+ */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -14,23 +17,26 @@
 import { Relay } from "./Relay";
 import { waitUntil } from "./waitUntil";
 
-/** How large a system is started. */
+/** Size and layout of a system. */
 export interface ClusterOptions {
   readonly controls?: number;
   readonly entries?: number;
   readonly engines?: number;
   readonly services?: number;
   readonly engine?: Partial<EngineStandinOptions>;
-  /** Puts a relay into each direction between control processes. */
-  readonly withRelays?: boolean;
+  /** Puts a TCP proxy between each pair of control processes, one for each direction. */
+  readonly withProxies?: boolean;
   readonly logLevel?: string;
-  /** Instances a fabric domain; all of them in one by default. */
+  /** Number of engine instances in each fabric domain. By default all of them are in one domain. */
   readonly perFabric?: number;
 }
 
 const BINARY = process.env.PLOVERSTAGE_BINARY ?? "dist/test/ploverstage.cjs";
 const TIMEOUT_S = "20";
-/** One process alone may never lead again: then its refusal is what is waited for. */
+/**
+ * A single control process may never lead again. The test then waits for its refusal, so the timeout is
+ * short.
+ */
 const SINGLE_TIMEOUT_S = "3";
 
 /** A running system. */
@@ -42,8 +48,8 @@
   readonly operatorAddresses: string[] = [];
   readonly engines: EngineStandin[] = [];
   readonly services: ServiceStandin[] = [];
-  /** Relays from one control process to another: `relays[from][to]`. */
-  readonly relays: (Relay | undefined)[][] = [];
+  /** TCP proxies from one control process to another: `proxies[from][to]`. */
+  readonly proxies: (Relay | undefined)[][] = [];
   platform!: PlatformStandin;
   private readonly _options: Required<ClusterOptions>;
   private _controlAddresses: string[] = [];
@@ -55,14 +61,14 @@
       engines: 4,
       services: 0,
       engine: {},
-      withRelays: false,
+      withProxies: false,
       logLevel: "info",
       perFabric: 1_000,
       ...options,
     };
   }
 
-  /** Starts a system; no configuration is applied yet. */
+  /** Starts a system to which no configuration has been applied yet. */
   static async start(options: ClusterOptions = {}): Promise<Cluster> {
     const cluster = new Cluster(options);
     for (const secret of ["cluster", "operator", "order"]) {
@@ -74,92 +80,97 @@
     return cluster;
   }
 
-  /** Ends everything that it started. */
+  /** Stops all processes, stand-ins and proxies of this system. */
   async stop(): Promise<void> {
     const processes = [...this.controls, ...this.entries];
     for (const handle of processes) handle.thaw();
     await Promise.all(processes.map((handle) => handle.kill()));
     await Promise.all([...this.engines, ...this.services, this.platform].map((standin) => standin.stop()));
-    await Promise.all(this.relays.flat().map((relay) => relay?.stop()));
+    await Promise.all(this.proxies.flat().map((proxy) => proxy?.stop()));
     if (process.env.KEEP_LOGS === undefined) rmSync(this.folder, { recursive: true, force: true });
   }
 
-  /** Gets an operator's client; one that only asks one control process if told so. */
-  getOperator(only?: number): Promise<OperatorClient> {
-    const control = only === undefined ? this.operatorAddresses.join(",") : this.operatorAddresses[only]!;
-    const timeout = only === undefined ? TIMEOUT_S : SINGLE_TIMEOUT_S;
+  /** Creates an operator client for all control processes, or for one of them if its index is given. */
+  getOperator(index?: number): Promise<OperatorClient> {
+    const control = index === undefined ? this.operatorAddresses.join(",") : this.operatorAddresses[index]!;
+    const timeout = index === undefined ? TIMEOUT_S : SINGLE_TIMEOUT_S;
     return OperatorClient.create({ control, secretFile: join(this.folder, "operator"), timeout });
   }
 
-  /** Applies a configuration on the newest version and waits until it is in force. */
+  /** Applies a configuration on top of the newest version and waits until it is in force. */
   async apply(text: string, changeId = `change-${Math.round(performance.now() * 1_000)}`): Promise<number> {
     const operator = await this.getOperator();
     const newest = await operator.getConfiguration();
     const baseVersion = newest?.version ?? 0;
     const response = await operator.apply({ changeId, baseVersion, operator: "test", text });
     if (response.outcome !== 1) throw new Error(JSON.stringify(response));
-    await waitUntil(`version ${response.version} in force`, async () => {
+    await waitUntil(`version ${response.version} is in force`, async () => {
       const answer = await operator.getInForce(response.version);
       return answer.inForce;
     });
     return response.version;
   }
 
-  /** Waits until the status fits. */
-  async waitForStatus(what: string, fits: (status: StatusResponse) => boolean): Promise<StatusResponse> {
+  /** Waits until the status satisfies a predicate. */
+  async waitForStatus(
+    description: string,
+    matches: (status: StatusResponse) => boolean,
+  ): Promise<StatusResponse> {
     const operator = await this.getOperator();
-    return waitUntil(what, async () => {
+    return waitUntil(description, async () => {
       const status = await operator.getStatus();
-      return fits(status) && status;
+      return matches(status) && status;
     });
   }
 
-  /** Waits until so many replicas serve, with every instance present. */
+  /** Waits until the given number of replicas are serving with every instance present. */
   waitForServing(count: number): Promise<StatusResponse> {
-    return this.waitForStatus(`${count} replicas serving`, (status) => getServing(status).length === count);
+    return this.waitForStatus(
+      `${count} replicas are serving`,
+      (status) => getServingReplicas(status).length === count,
+    );
   }
 
-  /** Waits until so many replicas serve and every entry routes to one. */
+  /** Waits until the given number of replicas are serving and every entry routes requests. */
   async waitForRouting(count: number): Promise<void> {
     await this.waitForServing(count);
     for (const address of this.entryAddresses) {
-      await waitUntil(`${address} routes`, async () => {
+      await waitUntil(`${address} routes requests`, async () => {
         const answer = await callEntry(address, { body: createChat("ready?", { maxTokens: 1 }) });
         return answer.status === 200;
       });
     }
   }
 
-  /** Gets which control process leads. */
+  /** Gets the index of the control process that leads. */
   async getLeader(): Promise<number> {
     const status = await (await this.getOperator()).getStatus();
     const leader = status.members.find((member) => member.leader)!.member!;
     return Number(leader.name.split("-")[1]);
   }
 
-  /** Gets the address at which a control process listens. */
+  /** Gets the address at which a control process listens for the other processes of the system. */
   getControlAddress(i: number): string {
     return this._controlAddresses[i]!;
   }
 
-  /** Gets the data folder of a control process. */
   getDataFolder(i: number): string {
     return join(this.folder, `data-${i}`);
   }
 
-  /** Lets nothing through from and to one control process. */
+  /** Drops all traffic from and to one control process. */
   isolate(i: number): void {
-    for (const relay of this._getRelaysOf(i)) relay.cut();
+    for (const proxy of this._getProxiesOf(i)) proxy.cut();
   }
 
-  /** Ends the isolation of a control process. */
+  /** Restores the traffic of an isolated control process. */
   heal(i: number): void {
-    for (const relay of this._getRelaysOf(i)) relay.heal();
+    for (const proxy of this._getProxiesOf(i)) proxy.heal();
   }
 
-  private _getRelaysOf(i: number): Relay[] {
-    const inbound = this.relays.map((row) => row[i]);
-    return [...inbound, ...this.relays[i]!].filter((relay) => relay !== undefined);
+  private _getProxiesOf(i: number): Relay[] {
+    const inbound = this.proxies.map((row) => row[i]);
+    return [...inbound, ...this.proxies[i]!].filter((proxy) => proxy !== undefined);
   }
 
   private async _startStandins(): Promise<void> {
@@ -167,16 +178,16 @@
     for (let i = 0; i < this._options.engines; i++) {
       const engine = await EngineStandin.start({ id: `engine-${i}`, ...this._options.engine });
       this.engines.push(engine);
-      this._list(engine.id, engine.address, "engine", Math.floor(i / this._options.perFabric));
+      this._registerInstance(engine.id, engine.address, "engine", Math.floor(i / this._options.perFabric));
     }
     for (let i = 0; i < this._options.services; i++) {
       const service = await ServiceStandin.start(`guichet-${i}`);
       this.services.push(service);
-      this._list(service.id, service.address, "service", 0);
+      this._registerInstance(service.id, service.address, "service", 0);
     }
   }
 
-  private _list(id: string, address: string, kind: "engine" | "service", fabric: number): void {
+  private _registerInstance(id: string, address: string, kind: "engine" | "service", fabric: number): void {
     this.platform.instances.push({
       id,
       address,
@@ -194,44 +205,44 @@
     const addresses = await getFreeAddresses(count * 2);
     this._controlAddresses = addresses.slice(0, count);
     this.operatorAddresses.push(...addresses.slice(count));
-    if (this._options.withRelays) await this._startRelays(count);
+    if (this._options.withProxies) await this._startProxies(count);
     for (let i = 0; i < count; i++) {
       const settings = this._writeControlSettings(i);
       const init = new ProcessHandle(
         `init-${i}`,
         [BINARY, "init", "--settings", settings],
-        this._getLog("init"),
+        this._getLogFile("init"),
       );
       init.start();
-      await waitUntil("data folder made", () => isInitialized(this.getDataFolder(i)));
+      await waitUntil("the data folder is initialized", () => isInitialized(this.getDataFolder(i)));
       const handle = new ProcessHandle(
         `control-${i}`,
         [BINARY, "control", "--settings", settings],
-        this._getLog(`control-${i}`),
+        this._getLogFile(`control-${i}`),
       );
       this.controls.push(handle);
     }
     for (const handle of this.controls) handle.start();
   }
 
-  private async _startRelays(count: number): Promise<void> {
+  private async _startProxies(count: number): Promise<void> {
     for (let from = 0; from < count; from++) {
-      this.relays[from] = [];
+      this.proxies[from] = [];
       for (let to = 0; to < count; to++) {
-        this.relays[from]![to] = from === to ? undefined : await Relay.start(this._controlAddresses[to]!);
+        this.proxies[from]![to] = from === to ? undefined : await Relay.start(this._controlAddresses[to]!);
       }
     }
   }
 
   private _writeControlSettings(i: number): string {
     const peers = this._controlAddresses.map((address, to) => {
-      const reached = this.relays[i]?.[to]?.address ?? address;
-      return `[[control.peers]]\nname = "control-${to}"\naddress = "${reached}"\nfailure_domain = "domain-${to}"\n`;
+      const peerAddress = this.proxies[i]?.[to]?.address ?? address;
+      return `[[control.peers]]\nname = "control-${to}"\naddress = "${peerAddress}"\nfailure_domain = "domain-${to}"\n`;
     });
-    return this._write(`control-${i}.toml`, [
+    return this._writeFile(`control-${i}.toml`, [
       `[process]\nname = "control-${i}"\nfailure_domain = "domain-${i}"`,
       `[log]\nlevel = "${this._options.logLevel}"`,
-      this._getSecrets(),
+      this._createSecretsTable(),
       `[platform]\naddress = "${this.platform.address}"`,
       `[control]\nlisten = "${this._controlAddresses[i]}"\noperator_listen = "${this.operatorAddresses[i]}"`,
       `data_folder = "${this.getDataFolder(i)}"`,
@@ -243,42 +254,42 @@
     this.entryAddresses.push(...(await getFreeAddresses(this._options.entries)));
     for (const [i, address] of this.entryAddresses.entries()) {
       const controls = this._controlAddresses.map((control) => `"${control}"`).join(", ");
-      const settings = this._write(`entry-${i}.toml`, [
+      const settings = this._writeFile(`entry-${i}.toml`, [
         `[process]\nname = "entry-${i}"\nfailure_domain = "domain-${i % 3}"`,
         `[log]\nlevel = "${this._options.logLevel}"`,
-        this._getSecrets(),
+        this._createSecretsTable(),
         `[entry]\nlisten = "${address}"\ncontrols = [${controls}]`,
       ]);
       const handle = new ProcessHandle(
         `entry-${i}`,
         [BINARY, "entry", "--settings", settings],
-        this._getLog(`entry-${i}`),
+        this._getLogFile(`entry-${i}`),
       );
       handle.start();
       this.entries.push(handle);
     }
   }
 
-  private _getSecrets(): string {
+  private _createSecretsTable(): string {
     const names = ["cluster", "operator", "order"].map(
       (name) => `${name}_file = "${join(this.folder, name)}"`,
     );
     return ["[secrets]", ...names].join("\n");
   }
 
-  private _getLog(name: string): string {
+  private _getLogFile(name: string): string {
     return join(this.folder, `${name}.log`);
   }
 
-  private _write(name: string, lines: readonly string[]): string {
+  private _writeFile(name: string, lines: readonly string[]): string {
     const file = join(this.folder, name);
     writeFileSync(file, `${lines.join("\n")}\n`);
     return file;
   }
 }
 
-/** Gets replicas that serve with every instance present. */
-export function getServing(status: StatusResponse) {
+/** Gets the replicas that are serving with every instance present. */
+export function getServingReplicas(status: StatusResponse) {
   return status.replicas.filter(
     ({ replica, absentInstances }) => replica?.phase === ReplicaPhase.SERVING && absentInstances.length === 0,
   );
--- a/test/support/ProcessHandle.ts
+++ b/test/support/ProcessHandle.ts
@@ -1,27 +1,27 @@
-/** One process of the system under test, started and ended by this test alone. */
+/** A process of the system under test, started and stopped by the test. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
 import { createWriteStream, readFileSync } from "node:fs";
 import { constants } from "node:os";
 
-/** Arguments of Node itself, for profiles: `PLOVERSTAGE_NODE_ARGS="--cpu-prof"`. */
+/** Arguments for Node.js itself, for example for CPU profiles: `PLOVERSTAGE_NODE_ARGS="--cpu-prof"`. */
 const NODE_ARGS = process.env.PLOVERSTAGE_NODE_ARGS?.split(" ") ?? [];
 
-/** What a process wrote last is told when it ends by itself. */
-const TAIL_CHARACTERS = 2_000;
+/** The end of the output that is reported when the process ends unexpectedly, in characters. */
+const OUTPUT_TAIL_CHARACTERS = 2_000;
 
 const KB_PER_MB = 1_024;
 
-/** A process that can be killed, frozen and started again with the same arguments. */
+/** A process that can be killed, paused and restarted with the same arguments. */
 export class ProcessHandle {
   readonly name: string;
   private readonly _args: readonly string[];
-  /** Where its output is kept, over all its starts. */
+  /** File to which the output of all starts is appended. */
   readonly logFile: string;
   private _child: ChildProcess | undefined;
-  private _tail = "";
-  /** Whether it was told to end, so that its end is no news. */
-  private _isToEnd = false;
+  private _outputTail = "";
+  /** Whether the end of the process is expected, so that it is not reported. */
+  private _isEndExpected = false;
 
   constructor(name: string, args: readonly string[], logFile: string) {
     this.name = name;
@@ -29,22 +29,21 @@
     this.logFile = logFile;
   }
 
-  /** Gets the process id. */
   get pid(): number {
     return this._child?.pid ?? 0;
   }
 
-  /** Gets whether it runs, frozen or not. */
+  /** Checks whether the process exists, running or paused. */
   get isRunning(): boolean {
     return this._child !== undefined && this._child.exitCode === null && this._child.signalCode === null;
   }
 
-  /** Gets the end of what it wrote. */
+  /** Gets the last characters that the process wrote to stdout and stderr. */
   get lastOutput(): string {
-    return this._tail;
+    return this._outputTail;
   }
 
-  /** Starts it. */
+  /** Starts the process. */
   start(): void {
     const child = spawn(process.execPath, [...NODE_ARGS, ...this._args], {
       stdio: ["ignore", "pipe", "pipe"],
@@ -53,56 +52,57 @@
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
     this._child = child;
-    this._isToEnd = false;
-    this._tail = "";
+    this._isEndExpected = false;
+    this._outputTail = "";
     for (const stream of [child.stdout, child.stderr]) {
       stream.on("data", (chunk: Buffer) => {
-        this._tail = (this._tail + chunk.toString()).slice(-TAIL_CHARACTERS);
+        this._outputTail = (this._outputTail + chunk.toString()).slice(-OUTPUT_TAIL_CHARACTERS);
       });
     }
-    // A process that is gone makes others wait in vain: the report says why.
+    // Other processes wait in vain for a process that has ended, so the test output has to contain the
+    // reason.
     child.once("exit", (code, signal) => {
-      if (this._child === child && !this._isToEnd)
-        console.error(`${this.name} ended by itself (${code ?? signal}): ${this._tail}`);
+      if (this._child === child && !this._isEndExpected)
+        console.error(`${this.name} ended unexpectedly (${code ?? signal}): ${this._outputTail}`);
     });
   }
 
-  /** Kills it without a chance to clean up. */
+  /** Kills the process without letting it clean up. */
   async kill(): Promise<void> {
     await this._end("SIGKILL");
   }
 
-  /** Asks it to stop as planned; resolves with its exit code. */
+  /** Requests a planned stop with SIGTERM and resolves with the exit code. */
   async stop(): Promise<number | null> {
     const code = await this._end("SIGTERM");
-    // The folder of its log goes with the test: only this tells what a failed stop was about.
-    if (code !== 0) console.error(`${this.name} stopped with code ${code}: ${this._tail}`);
+    // The log file is deleted with the folder of the test, so the reason for a failed stop is printed here.
+    if (code !== 0) console.error(`${this.name} stopped with code ${code}: ${this._outputTail}`);
     return code;
   }
 
-  /** Sends it a signal, whatever that does. */
+  /** Sends a signal to the process. */
   send(signal: NodeJS.Signals): void {
     this._child?.kill(signal);
   }
 
-  /** Waits until it has ended; gives its exit code, `null` after an end by a signal. */
+  /** Waits until the process has ended and returns its exit code, or `null` if a signal ended it. */
   async waitForEnd(): Promise<number | null> {
     const child = this._child;
-    this._isToEnd = true;
+    this._isEndExpected = true;
     if (child === undefined || child.exitCode !== null || child.signalCode !== null)
       return child?.exitCode ?? null;
     const [code] = await once(child, "exit");
     return code as number | null;
   }
 
-  /** Checks whether it handles a signal by now. */
-  handles(signal: NodeJS.Signals): boolean {
-    const caught = this._readStatus("SigCgt");
+  /** Checks whether the process has installed a handler for a signal. */
+  handlesSignal(signal: NodeJS.Signals): boolean {
+    const caughtSignals = this._readStatus("SigCgt");
     const bit = 1n << BigInt(constants.signals[signal] - 1);
-    return caught !== undefined && (BigInt(`0x${caught}`) & bit) !== 0n;
+    return caughtSignals !== undefined && (BigInt(`0x${caughtSignals}`) & bit) !== 0n;
   }
 
-  /** Gets the most memory that it has had, megabytes. */
+  /** Gets the peak resident memory of the process, megabytes. */
   get peakMemoryMb(): number {
     return Number.parseInt(this._readStatus("VmHWM")!, 10) / KB_PER_MB;
   }
@@ -112,12 +112,12 @@
     return new RegExp(`^${field}:\\s*([0-9a-f]+)`, "m").exec(status)?.[1];
   }
 
-  /** Stops it in its tracks. */
+  /** Suspends the process with SIGSTOP. */
   freeze(): void {
     this._child?.kill("SIGSTOP");
   }
 
-  /** Lets it go on. */
+  /** Resumes a suspended process. */
   thaw(): void {
     this._child?.kill("SIGCONT");
   }
--- a/test/support/ProcessorQuota.test.ts
+++ b/test/support/ProcessorQuota.test.ts
@@ -9,7 +9,7 @@
 const MEASURE_MS = 3_000;
 const MS_PER_TICK = 10;
 
-it("a busy process uses its quota of a core, and no more", async () => {
+it("a busy process uses its quota of a core and not more", async () => {
   const handle = new ProcessHandle("busy", ["-e", "for (;;);"], join(tmpdir(), "processor-quota.log"));
   const quota = new ProcessorQuota([handle], SHARE);
   handle.start();
--- a/test/support/Relay.test.ts
+++ b/test/support/Relay.test.ts
@@ -4,63 +4,63 @@
 import { Relay } from "./Relay";
 import { waitUntil } from "./waitUntil";
 
-describe("Relay", () => {
+describe("TcpProxy", () => {
   let server: Server;
-  let relay: Relay;
-  let caller: Socket;
-  let seenByServer: string;
-  let seenByCaller: string;
-  let served: Socket | undefined;
+  let proxy: Relay;
+  let client: Socket;
+  let receivedByServer: string;
+  let receivedByClient: string;
+  let accepted: Socket | undefined;
   let isReset: boolean;
 
   beforeEach(async () => {
-    seenByServer = "";
-    seenByCaller = "";
+    receivedByServer = "";
+    receivedByClient = "";
     isReset = false;
     server = createServer((socket) => {
-      served = socket;
+      accepted = socket;
       socket.on("error", () => {});
       socket.on("data", (chunk) => {
-        seenByServer += chunk.toString();
+        receivedByServer += chunk.toString();
       });
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    relay = await Relay.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
-    const [host, port] = relay.address.split(":");
-    caller = connect(Number(port), host);
-    caller.on("error", () => {
+    proxy = await Relay.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+    const [host, port] = proxy.address.split(":");
+    client = connect(Number(port), host);
+    client.on("error", () => {
       isReset = true;
     });
-    caller.on("data", (chunk) => {
-      seenByCaller += chunk.toString();
+    client.on("data", (chunk) => {
+      receivedByClient += chunk.toString();
     });
-    await waitUntil("it is connected", () => served !== undefined);
+    await waitUntil("the server has accepted the connection", () => accepted !== undefined);
   });
 
   afterEach(async () => {
-    caller.destroy();
-    served?.destroy();
-    served = undefined;
-    await relay.stop();
+    client.destroy();
+    accepted?.destroy();
+    accepted = undefined;
+    await proxy.stop();
     await new Promise((resolve) => server.close(resolve));
   });
 
-  it("passes bytes in their order, held up or not", async () => {
-    relay.setDelay(20);
-    for (const text of ["a", "b", "c"]) caller.write(text);
-    await waitUntil("they arrive", () => seenByServer === "abc");
+  it("forwards bytes in order when they are delayed", async () => {
+    proxy.setDelay(20);
+    for (const text of ["a", "b", "c"]) client.write(text);
+    await waitUntil("all bytes arrive", () => receivedByServer === "abc");
   });
 
-  it("cuts one way and leaves the other", async () => {
-    relay.cut("toTarget");
-    caller.write("lost");
-    served!.write("told");
-    await waitUntil("the answer arrives", () => seenByCaller === "told");
-    expect(seenByServer).toBe("");
+  it("cuts one direction and forwards the other", async () => {
+    proxy.cut("toTarget");
+    client.write("lost");
+    accepted!.write("sent");
+    await waitUntil("the answer arrives", () => receivedByClient === "sent");
+    expect(receivedByServer).toBe("");
   });
 
-  it("resets what is connected", async () => {
-    relay.reset();
-    await waitUntil("the caller is reset", () => isReset);
+  it("resets open connections", async () => {
+    proxy.reset();
+    await waitUntil("the client is reset", () => isReset);
   });
 });
--- a/test/support/Relay.ts
+++ b/test/support/Relay.ts
@@ -1,22 +1,22 @@
 /**
- * A TCP relay that can go silent, both ways or one way, hold bytes up, and reset connections:
- * what a network does to processes that know nothing of it.
+ * A TCP proxy that simulates network faults between processes: it can drop traffic in one or both directions,
+ * delay bytes and reset connections.
  */
 
 import type { AddressInfo } from "node:net";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { splitAddress } from "../../src/http";
 
-/** Which way nothing passes: towards the relay's target, from it, or both. */
+/** The direction in which traffic is dropped: towards the target, from it, or both. */
 export type CutDirection = "both" | "toTarget" | "fromTarget";
 
-/** A relay to one address. */
+/** A TCP proxy in front of one address. */
 export class Relay {
   address = "";
   private readonly _target: string;
   private readonly _sockets = new Set<Socket>();
-  /** Sockets whose bytes go towards the target; the others' come from it. */
-  private readonly _callers = new WeakSet<Socket>();
+  /** Sockets of clients, which carry bytes towards the target. All other sockets carry bytes from it. */
+  private readonly _clientSockets = new WeakSet<Socket>();
   private _server: Server | undefined;
   private _cut: CutDirection | undefined;
   private _delayMs = 0;
@@ -26,54 +26,56 @@
     this._target = target;
   }
 
-  /** Starts a relay. */
+  /** Starts a proxy on a free loopback port. */
   static async start(target: string): Promise<Relay> {
-    const relay = new Relay(target);
-    const server = createServer((socket) => relay._relay(socket));
+    const proxy = new Relay(target);
+    const server = createServer((socket) => proxy._proxyConnection(socket));
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    relay._server = server;
-    relay.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-    return relay;
+    proxy._server = server;
+    proxy.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+    return proxy;
   }
 
-  /** Gets how many bytes passed, both ways. */
+  /** Gets the number of bytes received in both directions. */
   get bytes(): number {
     return this._bytes;
   }
 
-  /** Lets nothing through any more, without closing anything. */
+  /** Stops forwarding in the given direction without closing connections. */
   cut(direction: CutDirection = "both"): void {
     this._cut = direction;
     for (const socket of this._sockets) if (this._isCut(socket)) socket.pause();
   }
 
-  /** Lets everything through again; what stalled is closed, as a real cut's ends would do in time. */
+  /**
+   * Forwards in both directions again and closes all connections, as the peers of a real network cut would do
+   * after their timeouts.
+   */
   heal(): void {
     this._cut = undefined;
     for (const socket of this._sockets) socket.destroy();
   }
 
-  /** Holds all bytes up for so long, in their order. */
+  /** Delays all bytes by the given time and keeps their order. */
   setDelay(milliseconds: number): void {
     this._delayMs = milliseconds;
   }
 
-  /** Resets all connections. */
   reset(): void {
     for (const socket of this._sockets) socket.resetAndDestroy();
   }
 
-  /** Stops it. */
+  /** Stops the proxy and closes its connections. */
   async stop(): Promise<void> {
     const closed = new Promise<void>((resolve) => this._server?.close(() => resolve()));
     for (const socket of this._sockets) socket.destroy();
     await closed;
   }
 
-  private _relay(socket: Socket): void {
+  private _proxyConnection(socket: Socket): void {
     const { host, port } = splitAddress(this._target);
     const upstream = connect(port, host);
-    this._callers.add(socket);
+    this._clientSockets.add(socket);
     for (const [from, to] of [
       [socket, upstream],
       [upstream, socket],
@@ -81,7 +83,7 @@
       this._sockets.add(from);
       from.on("data", (chunk) => {
         this._bytes += chunk.length;
-        this._passOn(to, chunk);
+        this._forward(to, chunk);
       });
       from.on("error", () => to.destroy());
       from.on("close", () => {
@@ -92,14 +94,14 @@
     }
   }
 
-  private _passOn(to: Socket, chunk: Buffer): void {
-    // Timers of one length fire in the order in which they were set.
+  private _forward(to: Socket, chunk: Buffer): void {
+    // Timers with equal delays fire in the order in which they were set.
     if (this._delayMs === 0) to.write(chunk);
     else setTimeout(() => to.destroyed || to.write(chunk), this._delayMs);
   }
 
   private _isCut(from: Socket): boolean {
     if (this._cut === undefined || this._cut === "both") return this._cut === "both";
-    return this._callers.has(from) === (this._cut === "toTarget");
+    return this._clientSockets.has(from) === (this._cut === "toTarget");
   }
 }
--- a/test/support/Throttle.ts
+++ b/test/support/Throttle.ts
@@ -1,30 +1,28 @@
 /**
- * Gives processes only a part of a core, by stopping and continuing them in turn.
+ * Limits processes to a share of a core by suspending and resuming them in turn.
  *
- * What a process has computed by a moment is then that of a small machine, and its timers run as
- * late. A process that is started again is throttled from its start.
+ * A throttled process computes as much in a given time as on a small machine, and its timers fire as late. A
+ * restarted process is throttled from its start.
  */
 import type { ProcessHandle } from "./ProcessHandle";
 
-/** Processes run and stand still in turns of this length together, milliseconds. */
+/** One cycle of running and being suspended, milliseconds. */
 const PERIOD_MS = 50;
 
-/** A throttle on some processes. */
+/** A throttle on a set of processes. */
 export class Throttle {
   private readonly _handles: readonly ProcessHandle[];
   private readonly _runMs: number;
   private readonly _timers = new Set<NodeJS.Timeout>();
   private _isOn = false;
 
-  /**
-   * @param share - Part of a core, above 0 and up to 1.
-   */
+  /** @param share - Share of a core, above 0 and up to 1. */
   constructor(handles: readonly ProcessHandle[], share: number) {
     this._handles = handles;
     this._runMs = PERIOD_MS * share;
   }
 
-  /** Begins throttling; the processes' turns are spread over the period. */
+  /** Starts to throttle. The running phases of the processes are spread over the period. */
   start(): void {
     this._isOn = true;
     for (const [index, handle] of this._handles.entries()) {
@@ -32,7 +30,7 @@
     }
   }
 
-  /** Lets all of them run freely again. */
+  /** Stops to throttle and resumes all processes. */
   stop(): void {
     this._isOn = false;
     for (const timer of this._timers) clearTimeout(timer);
--- a/test/support/buildBinary.ts
+++ b/test/support/buildBinary.ts
@@ -1,8 +1,7 @@
-/** Bundles the programs once before the tests that run them as processes. */
+/** Bundles the programs once, before the tests that run them as processes. */
 import { execFileSync } from "node:child_process";
 import { build } from "esbuild";
 
-/** Bundles into `dist/test`. */
 export default async function setup(): Promise<void> {
   execFileSync(process.execPath, ["scripts/bundlePlatform.mjs", "dist/test"], { stdio: "inherit" });
   await build({
--- a/test/support/callEntry.ts
+++ b/test/support/callEntry.ts
@@ -1,17 +1,17 @@
-/** Calls an entry as a caller would. */
+/** Calls an entry over HTTP as a caller does. */
 import { request } from "node:http";
 
-/** What a caller got. */
-export interface CallerAnswer {
+/** The response that a caller received. */
+export interface EntryResponse {
   readonly status: number;
   readonly headers: Record<string, string>;
   readonly text: string;
-  /** Whether the connection ended as HTTP says it must. */
+  /** Whether the body is complete by the rules of HTTP. */
   readonly isComplete: boolean;
 }
 
-/** One call. */
-export interface CallerCall {
+/** A request of a caller. */
+export interface EntryRequest {
   readonly method?: string;
   readonly path?: string;
   readonly headers?: Record<string, string>;
@@ -19,47 +19,51 @@
   readonly onChunk?: (text: string) => void;
 }
 
-/** Sends a call and reads the answer to its end, whole or not. */
-export function callEntry(address: string, call: CallerCall): Promise<CallerAnswer> {
+/** Sends a request and reads the response until its connection closes, complete or not. */
+export function callEntry(address: string, entryRequest: EntryRequest): Promise<EntryResponse> {
   return new Promise((resolve, reject) => {
     const outgoing = request(
-      `http://${address}${call.path ?? "/v1/chat/completions"}`,
+      `http://${address}${entryRequest.path ?? "/v1/chat/completions"}`,
       {
-        method: call.method ?? "POST",
-        headers: { "ploverstage-organisation": "alpha", ...call.headers },
+        method: entryRequest.method ?? "POST",
+        headers: { "ploverstage-organisation": "alpha", ...entryRequest.headers },
         agent: false,
       },
-      (answer) => {
+      (response) => {
         let text = "";
-        answer.setEncoding("utf8");
-        answer.on("data", (chunk: string) => {
+        response.setEncoding("utf8");
+        response.on("data", (chunk: string) => {
           text += chunk;
-          call.onChunk?.(chunk);
+          entryRequest.onChunk?.(chunk);
         });
-        answer.on("error", () => {});
-        answer.on("close", () =>
+        response.on("error", () => {});
+        response.on("close", () =>
           resolve({
-            status: answer.statusCode ?? 0,
-            headers: answer.headers as Record<string, string>,
+            status: response.statusCode ?? 0,
+            headers: response.headers as Record<string, string>,
             text,
-            isComplete: answer.complete,
+            isComplete: response.complete,
           }),
         );
       },
     );
     outgoing.on("error", reject);
-    outgoing.end(call.body);
+    outgoing.end(entryRequest.body);
   });
 }
 
-/** Makes the body of a chat request. */
+/** Creates the body of a chat request. */
 export function createChat(content: string, options: { stream?: boolean; maxTokens?: number } = {}): string {
   const { stream = true, maxTokens = 5 } = options;
   return JSON.stringify({ model: "m", stream, max_tokens: maxTokens, messages: [{ role: "user", content }] });
 }
 
-/** Gets the text of a streamed answer, and whether its end marker came. */
-export function readStream(text: string): { content: string; isWhole: boolean; error: string | undefined } {
+/** Gets the text of a streamed answer, its error code, and whether the end marker was received. */
+export function parseStream(text: string): {
+  content: string;
+  hasEndMarker: boolean;
+  error: string | undefined;
+} {
   const events = text.split("\n\n").filter((event) => event.startsWith("data: "));
   let content = "";
   let error: string | undefined;
@@ -69,5 +73,5 @@
     if (value.error !== undefined) error = value.error.code;
     else content += value.choices[0]?.delta?.content ?? value.choices[0]?.text ?? "";
   }
-  return { content, isWhole: events.at(-1) === "data: [DONE]", error };
+  return { content, hasEndMarker: events.at(-1) === "data: [DONE]", error };
 }
--- a/test/support/configuration.ts
+++ b/test/support/configuration.ts
@@ -1,7 +1,7 @@
 /** Small configurations for tests. */
 
-/** What a test's configuration says; milliseconds. */
-export interface TestConfiguration {
+/** Options of a test configuration. */
+export interface TestConfigurationOptions {
   readonly replicas?: number;
   readonly size?: number;
   readonly version?: string;
@@ -10,8 +10,8 @@
   readonly limits?: string;
 }
 
-/** Makes a configuration with one model, one service and two organisations. */
-export function createConfiguration(options: TestConfiguration = {}): string {
+/** Creates a configuration with one model, one service and two organisations. Times are in milliseconds. */
+export function createConfiguration(options: TestConfigurationOptions = {}): string {
   const { replicas = 1, size = 4, version = "1", extra = "", timing = "", limits = "" } = options;
   return `[weights]
 group_downtime = 1
--- a/test/support/createLife.ts
+++ b/test/support/createLife.ts
@@ -1,6 +1,6 @@
 import type { Life } from "../../src/ids";
 
-/** Makes a life of an instance; without a start it is one that does not tell it. */
+/** Creates an incarnation of an instance. With 0 as its start time, the instance does not report one. */
 export function createLife(instanceId: string, born = 0): Life {
   return { instanceId, born };
 }
--- a/test/support/createMeter.ts
+++ b/test/support/createMeter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../../src/clock";
 import { SilentMetrics, WorkMeter } from "../../src/metrics";
 
-/** Makes a meter whose figures and lines nobody reads. */
+/** Creates a meter that discards its metrics and log lines. */
 export function createMeter(clock: Clock): WorkMeter {
   return new WorkMeter({ clock, logger: { warn: () => {} } as never, metrics: new SilentMetrics() });
 }
--- a/test/support/planning.ts
+++ b/test/support/planning.ts
@@ -1,13 +1,13 @@
-/** Facts for tests of the planner. */
+/** Planner inputs for tests. */
 import { create } from "@bufbuild/protobuf";
 import { type Replica, ReplicaPhase, ReplicaSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { InstanceId } from "../../src/ids";
 import type { InstanceFacts, PlanningFacts } from "../../src/planner";
 
-/** The present time of these tests, monotonic milliseconds. */
+/** Current time in these tests, monotonic milliseconds. */
 export const NOW = 1_000_000;
 
-/** Makes a present, free instance that has loaded nothing. */
+/** Creates a present, free instance that has no model loaded. */
 export function createInstance(name: string, change: Partial<InstanceFacts> = {}): InstanceFacts {
   return {
     id: InstanceId(name),
@@ -28,13 +28,13 @@
   };
 }
 
-/** Makes present, free instances of one fabric domain. */
+/** Creates present, free instances in one fabric domain. */
 export function createInstances(count: number, change: Partial<InstanceFacts> = {}): InstanceFacts[] {
   const domain = change.fabricDomain ?? "f";
   return Array.from({ length: count }, (_, i) => createInstance(`${domain}${i}`, change));
 }
 
-/** Makes a replica of instances, and the instances as they are once they joined it. */
+/** Creates a replica of the given instances, and those instances as they are after they have joined it. */
 export function createReplica(
   epoch: number,
   members: readonly InstanceFacts[],
@@ -60,7 +60,7 @@
   return { replica, instances: members.map((member) => ({ ...member, ...joined })) };
 }
 
-/** Makes facts in which nothing is amiss. */
+/** Creates planner inputs without absences, drains or replicas. */
 export function createFacts(change: Partial<PlanningFacts>): PlanningFacts {
   return {
     instances: [],
--- a/test/support/ports.test.ts
+++ b/test/support/ports.test.ts
@@ -1,16 +1,16 @@
 import { createServer } from "node:net";
 import { describe, expect, it } from "vitest";
-import { getFreeAddresses, getSystemRangeStart } from "./ports";
+import { getEphemeralRangeStart, getFreeAddresses } from "./ports";
 
 describe("getFreeAddresses", () => {
-  it("gives ports that no connection is given by the system, none twice", async () => {
+  it("returns distinct ports outside the ephemeral range", async () => {
     const addresses = [...(await getFreeAddresses(20)), ...(await getFreeAddresses(20))];
     expect(new Set(addresses).size).toBe(40);
     for (const address of addresses)
-      expect(Number(address.split(":")[1])).toBeLessThan(getSystemRangeStart());
+      expect(Number(address.split(":")[1])).toBeLessThan(getEphemeralRangeStart());
   });
 
-  it("passes over a port that is taken", async () => {
+  it("skips a port that is in use", async () => {
     const [last] = await getFreeAddresses(1);
     const taken = Number(last!.split(":")[1]) + 1;
     const server = createServer();
--- a/test/support/waitUntil.ts
+++ b/test/support/waitUntil.ts
@@ -1,26 +1,28 @@
-/** Waits on a condition, never for a time. */
+/** Waits for conditions instead of fixed times. */
 
 const POLL_MS = 20;
-const LONGEST_MS = 40_000;
+const TIMEOUT_MS = 40_000;
 
 /**
- * Waits until a check gives something.
- * @param what - Told when it never does.
+ * Polls a check until it returns a value other than `undefined` or `false`.
+ * @param description - Condition for the error message.
+ * @throws Error with the last failure of the check if the condition is not met within 40 seconds.
  */
 export async function waitUntil<T>(
-  what: string,
+  description: string,
   check: () => Promise<T | undefined | false> | T | undefined | false,
 ): Promise<T> {
-  const endAt = performance.now() + LONGEST_MS;
-  let failure: unknown;
+  const deadline = performance.now() + TIMEOUT_MS;
+  let lastFailure: unknown;
   for (;;) {
     try {
-      const found = await check();
-      if (found !== undefined && found !== false) return found;
+      const result = await check();
+      if (result !== undefined && result !== false) return result;
     } catch (cause) {
-      failure = cause;
+      lastFailure = cause;
     }
-    if (performance.now() > endAt) throw new Error(`never: ${what}; last failure: ${String(failure)}`);
+    if (performance.now() > deadline)
+      throw new Error(`timed out waiting until ${description}; last failure: ${String(lastFailure)}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
--- a/test/system/answers.test.ts
+++ b/test/system/answers.test.ts
@@ -80,7 +80,7 @@
       await handle.kill();
       handle.start();
       // Node handles stop signals by itself before the program does, and reloads never.
-      await waitUntil("it handles signals", () => handle.handles("SIGHUP"));
+      await waitUntil("it handles signals", () => handle.handlesSignal("SIGHUP"));
       for (const signal of ["SIGHUP", "SIGTERM", "SIGHUP", "SIGTERM"] as const) handle.send(signal);
       const code = await handle.waitForEnd();
       expect(code, handle.lastOutput).toBe(0);
--- a/test/system/control.test.ts
+++ b/test/system/control.test.ts
@@ -96,10 +96,10 @@
   });
 
   it.each(["both ways", "towards it only"])("take the place of a leader that is cut off %s", async (way) => {
-    await start({ withRelays: true });
+    await start({ withProxies: true });
     const leader = await cluster.getLeader();
     if (way === "both ways") cluster.isolate(leader);
-    else for (const row of cluster.relays) row[leader]?.cut();
+    else for (const row of cluster.proxies) row[leader]?.cut();
     const answer = await applyUntilAnswered("while-cut", 1, `${TEXT}# newer\n`);
     expect(answer.version).toBe(2);
     const stale = await (await cluster.getOperator(leader))
--- a/test/system/endpoints.test.ts
+++ b/test/system/endpoints.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, describe, expect, it } from "vitest";
 import { ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { EngineStandin } from "../../standin/EngineStandin";
-import { Cluster, getServing } from "../support/Cluster";
-import { callEntry, createChat, readStream } from "../support/callEntry";
+import { Cluster, getServingReplicas } from "../support/Cluster";
+import { callEntry, createChat, parseStream } from "../support/callEntry";
 import { createConfiguration } from "../support/configuration";
 import { waitUntil } from "../support/waitUntil";
 
@@ -26,7 +26,7 @@
 
   async function getMembers(): Promise<string[]> {
     const status = await (await cluster.getOperator()).getStatus();
-    return getServing(status).flatMap(({ replica }) => replica!.members.map((member) => member.instanceId));
+    return getServingReplicas(status).flatMap(({ replica }) => replica!.members.map((member) => member.instanceId));
   }
 
   it("serve nobody while one instance is missing, and again once a spare took its place", async () => {
@@ -57,20 +57,20 @@
     delete getEngine(paused).faults.isSilent;
     await cluster.waitForRouting(1);
     const after = await (await cluster.getOperator()).getStatus();
-    expect(getServing(after)[0]!.replica!.epoch).toBe(getServing(before)[0]!.replica!.epoch);
+    expect(getServingReplicas(after)[0]!.replica!.epoch).toBe(getServingReplicas(before)[0]!.replica!.epoch);
   });
 
   it("get a new epoch after a restart, and refuse the older one", async () => {
     await start({ engines: 4 });
     await cluster.waitForRouting(1);
-    const before = getServing(await (await cluster.getOperator()).getStatus())[0]!.replica!.epoch;
+    const before = getServingReplicas(await (await cluster.getOperator()).getStatus())[0]!.replica!.epoch;
     const [, restarted] = (await getMembers()) as [string, string];
     const old = getEngine(restarted);
     const port = Number(old.address.split(":")[1]);
     await old.stop();
     cluster.engines[cluster.engines.indexOf(old)] = await EngineStandin.start({ id: restarted, port });
     await cluster.waitForStatus("a newer epoch serves", (status) =>
-      getServing(status).some(({ replica }) => replica!.epoch > before),
+      getServingReplicas(status).some(({ replica }) => replica!.epoch > before),
     );
     await cluster.waitForRouting(1);
     expect(cluster.engines.every((engine) => engine.epoch > before)).toBe(true);
@@ -90,17 +90,17 @@
     await waitUntil("the stream has begun", () => hasBegun);
     cluster.platform.setLeaving(members[2]!, true);
     await cluster.waitForStatus("others serve", (status) => {
-      const serving = getServing(status)[0]?.replica?.members.map((member) => member.instanceId) ?? [];
+      const serving = getServingReplicas(status)[0]?.replica?.members.map((member) => member.instanceId) ?? [];
       return serving.length === 4 && serving.every((id) => !members.includes(id));
     });
     const head = getEngine(members[0]!);
     const ran = head.ran.length;
     await cluster.waitForRouting(1);
     expect(head.ran.length).toBe(ran);
-    const answer = readStream((await long).text);
+    const answer = parseStream((await long).text);
     expect(answer).toEqual({
       content: EngineStandin.getAnswer("user: long", 150),
-      isWhole: true,
+      hasEndMarker: true,
       error: undefined,
     });
     await cluster.waitForStatus("the old replica is released", (status) =>
@@ -121,7 +121,7 @@
     })();
     await cluster.apply(createConfiguration({ replicas: 2, version: "2" }));
     await cluster.waitForStatus("both run the new version", (status) => {
-      const serving = getServing(status);
+      const serving = getServingReplicas(status);
       return serving.length === 2 && serving.every(({ replica }) => replica!.modelVersion === "2");
     });
     isOver = true;
@@ -148,7 +148,7 @@
     await cluster.apply(createConfiguration({ replicas: 2, version: "3" }));
     delete getEngine("engine-6").faults.isSilent;
     await cluster.waitForStatus("both run the newest version", (status) => {
-      const serving = getServing(status);
+      const serving = getServingReplicas(status);
       return serving.length === 2 && serving.every(({ replica }) => replica!.modelVersion === "3");
     });
     isOver = true;
--- a/test/system/entry.test.ts
+++ b/test/system/entry.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, describe, expect, it } from "vitest";
 import { EngineStandin } from "../../standin/EngineStandin";
 import { Cluster } from "../support/Cluster";
-import { callEntry, createChat, readStream } from "../support/callEntry";
+import { callEntry, createChat, parseStream } from "../support/callEntry";
 import { createConfiguration } from "../support/configuration";
 import { waitUntil } from "../support/waitUntil";
 
@@ -68,7 +68,7 @@
       return addresses.length === 1 && addresses[0] === cluster.entryAddresses[1];
     });
     const answer = await callEntry(cluster.entryAddresses[1]!, { body: createChat("elsewhere") });
-    expect(readStream(answer.text).isWhole).toBe(true);
+    expect(parseStream(answer.text).hasEndMarker).toBe(true);
   });
 
   it("cut nothing in a planned stop, and serve until given-out addresses have run out", async () => {
@@ -87,11 +87,11 @@
       return !(await getAddresses(1)).includes(stopping);
     });
     const late = await callEntry(stopping, { body: createChat("late") });
-    expect(readStream(late.text).isWhole).toBe(true);
-    const answer = readStream((await long).text);
+    expect(parseStream(late.text).hasEndMarker).toBe(true);
+    const answer = parseStream((await long).text);
     expect(answer).toEqual({
       content: EngineStandin.getAnswer("user: long", 100),
-      isWhole: true,
+      hasEndMarker: true,
       error: undefined,
     });
     expect(await stopped).toBe(0);
--- a/test/system/outcomes.test.ts
+++ b/test/system/outcomes.test.ts
@@ -2,7 +2,7 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it } from "vitest";
 import { EngineStandin } from "../../standin/EngineStandin";
 import { Cluster } from "../support/Cluster";
-import { type CallerCall, callEntry, createChat, readStream } from "../support/callEntry";
+import { type EntryRequest, callEntry, createChat, parseStream } from "../support/callEntry";
 import { createConfiguration } from "../support/configuration";
 import { waitUntil } from "../support/waitUntil";
 
@@ -27,7 +27,7 @@
     cluster.services[0]!.cutsAnswers = false;
   });
 
-  function call(request: CallerCall, entry = 0) {
+  function call(request: EntryRequest, entry = 0) {
     return callEntry(cluster.entryAddresses[entry]!, request);
   }
 
@@ -50,7 +50,7 @@
   }
 
   async function expectRefusal(
-    request: CallerCall,
+    request: EntryRequest,
     status: number,
     code: string,
     outcome: string,
@@ -65,14 +65,14 @@
     expect(countRuns() - before).toBe(runs);
   }
 
-  async function expectWhole(request: CallerCall, prompt: string) {
+  async function expectWhole(request: EntryRequest, prompt: string) {
     const answer = await call(request);
     const expected = {
       content: EngineStandin.getAnswer(`user: ${prompt}`, 8),
-      isWhole: true,
+      hasEndMarker: true,
       error: undefined,
     };
-    expect(readStream(answer.text)).toEqual(expected);
+    expect(parseStream(answer.text)).toEqual(expected);
   }
 
   describe("of a repeatable request", () => {
@@ -101,7 +101,7 @@
       expect(JSON.parse(answer.text).error.outcome).toBe("unknown");
     });
 
-    async function expectRefusalAfterOpening(request: CallerCall, outcome: string, runs: number) {
+    async function expectRefusalAfterOpening(request: EntryRequest, outcome: string, runs: number) {
       const before = countRuns();
       const answer = await call(request);
       expect(answer.status).toBe(503);
@@ -127,8 +127,8 @@
       await waitUntilOpen();
       setFaults({ cutAfter: 3, forgets: true });
       const answer = await call({ body: createChat("broken", { maxTokens: 8 }) });
-      const stream = readStream(answer.text);
-      expect(stream).toMatchObject({ isWhole: false });
+      const stream = parseStream(answer.text);
+      expect(stream).toMatchObject({ hasEndMarker: false });
       expect(answer.isComplete).toBe(false);
       expect(EngineStandin.getAnswer("user: broken", 8).startsWith(stream.content)).toBe(true);
     });
@@ -137,9 +137,9 @@
       await waitUntilOpen();
       setFaults({ foreignAt: 2 });
       const answer = await call({ body: createChat("mine", { maxTokens: 8 }) });
-      const stream = readStream(answer.text);
+      const stream = parseStream(answer.text);
       expect(stream.content).toBe(EngineStandin.getAnswer("user: mine", 2));
-      expect(stream).toMatchObject({ isWhole: false, error: "answer_foreign" });
+      expect(stream).toMatchObject({ hasEndMarker: false, error: "answer_foreign" });
       expect(answer.isComplete).toBe(false);
     });
 
@@ -175,7 +175,7 @@
       expect(countRuns() - before).toBe(1);
     });
 
-    async function expectUnknownOnce(request: CallerCall) {
+    async function expectUnknownOnce(request: EntryRequest) {
       const before = countRuns();
       const answer = await call(request);
       expect(answer.headers["ploverstage-outcome"]).toBe("unknown");
@@ -184,7 +184,7 @@
   });
 
   describe("of a resend with the same key", () => {
-    async function expectDuplicate(first: string, request: CallerCall, code: string, outcome: string) {
+    async function expectDuplicate(first: string, request: EntryRequest, code: string, outcome: string) {
       const answers = [await call(request, 0)];
       expect(answers[0]!.headers["ploverstage-outcome"] ?? "done").toBe(first);
       const before = countRuns();
@@ -197,7 +197,7 @@
       expect(countRuns()).toBe(before);
     }
 
-    function createOnce(content: string, key = randomUUID()): CallerCall {
+    function createOnce(content: string, key = randomUUID()): EntryRequest {
       return { body: createChat(content), headers: { ...ONCE, "idempotency-key": key } };
     }
 
--- a/test/system/path.test.ts
+++ b/test/system/path.test.ts
@@ -1,7 +1,7 @@
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import { EngineStandin } from "../../standin/EngineStandin";
 import { Cluster } from "../support/Cluster";
-import { type CallerCall, callEntry, createChat, readStream } from "../support/callEntry";
+import { type EntryRequest, callEntry, createChat, parseStream } from "../support/callEntry";
 import { createConfiguration } from "../support/configuration";
 
 describe("a request's way through real processes", () => {
@@ -14,7 +14,7 @@
   });
   afterAll(() => cluster.stop());
 
-  function call(request: CallerCall) {
+  function call(request: EntryRequest) {
     return callEntry(cluster.entryAddresses[0]!, request);
   }
 
@@ -26,10 +26,10 @@
 
   it("streams a whole answer and says where it ran", async () => {
     const answer = await call({ body: createChat("statement of member 7", { maxTokens: 6 }) });
-    const stream = readStream(answer.text);
+    const stream = parseStream(answer.text);
     expect(stream).toEqual({
       content: EngineStandin.getAnswer("user: statement of member 7", 6),
-      isWhole: true,
+      hasEndMarker: true,
       error: undefined,
     });
     expect(answer.headers["ploverstage-replica"]).toMatch(/^g-\d+$/);
@@ -65,7 +65,7 @@
   });
 
   describe("bad input", () => {
-    async function doTest(request: CallerCall, status: number, code: string) {
+    async function doTest(request: EntryRequest, status: number, code: string) {
       const before = getRunCount();
       const answer = await call(request);
       expect(answer.status).toBe(status);
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,4 +1,4 @@
-/** Test runner settings: tests mirror the source tree under `test/`. */
+/** Test runner settings. The tests mirror the source tree under `test/`. */
 import { defineConfig } from "vitest/config";
 
 export default defineConfig({
@@ -7,7 +7,7 @@
     globalSetup: ["test/support/buildBinary.ts"],
     testTimeout: 90_000,
     hookTimeout: 90_000,
-    // Tests over real processes start a dozen of them each.
+    // Each system test starts about a dozen processes.
     maxWorkers: 4,
   },
 });
