--- a/test/soak/AnswerSoak.ts
+++ b/test/soak/AnswerSoak.ts
@@ -1,9 +1,10 @@
 /**
- * A randomised soak of answers that take seconds: several entries, callers that use their connections until the process
- * behind them is gone, and troubles in overlapping series none of which may cut an answer.
+ * A randomised soak test of answers that take seconds.
  *
- * Signals in series to entries and control processes, endpoints that stand still and go on by themselves or send without
- * end, configurations meanwhile. Nothing here ends an endpoint: whatever is not whole was cut by the system.
+ * Several entries serve callers that reuse their connections until the process behind them has ended.
+ * Overlapping faults are injected, none of which may cut an answer: series of signals to entries and control
+ * processes, endpoints that stall and resume or that send without end, and configuration changes. No fault
+ * ends an endpoint, so every incomplete answer was cut by the system.
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig } from "../platform/createConfig";
@@ -19,20 +20,20 @@
 const CALLERS_PER_ENTRY = 5;
 const STREAM = { events: 40, eventMs: 50 };
 const GRACE_S = 8;
-/** As three of eight entries have it where the bound is 134 in a window. */
-const BUDGET_EXTRA = 50;
+/** The share of three entries if eight entries have a common bound of 134 retries per window. */
+const RETRY_BUDGET = 50;
 const FIRST_VERSION = 3;
 const MIN_PAUSE_MS = 200;
 const PAUSE_SPAN_MS = 800;
-const MAX_STILL_MS = 900;
+const MAX_STALL_MS = 900;
 const MAX_ENDLESS_MS = 1_000;
 const MAX_SIGNALS = 4;
 const MAX_SIGNAL_GAP_MS = 300;
 const RETURN_MS = 100;
 const SIGNALS = ["SIGTERM", "SIGINT", "SIGHUP"] as const;
-const ENDLESS: readonly EndlessKind[] = ["event", "body", "head", "informational"];
+const ENDLESS_KINDS: readonly EndlessKind[] = ["event", "body", "head", "informational"];
 
-/** Troubles that cut nothing. */
+/** Faults that must not cut an answer. */
 export const ANSWER_FAULTS = [
   "stopEntry",
   "stopControl",
@@ -41,36 +42,40 @@
   "sendWithoutEnd",
   "changeConfig",
 ] as const;
-/** Name of such a trouble. */
+/** Name of such a fault. */
 export type AnswerFault = (typeof ANSWER_FAULTS)[number];
 
-/** How a soak is run. */
+/** Options of a soak run. */
 export interface AnswerSoakOptions {
-  /** A seed draws among these, in this order. */
+  /** Faults to choose from. The order matters: the same seed selects other faults if it changes. */
   readonly faults?: readonly AnswerFault[];
-  /** A defect on purpose: entries end at once with the signal that comes after a stop signal. */
+  /**
+   * Injects a defect: the first signal after a stop signal is SIGKILL, so an entry that is stopping ends at
+   * once.
+   */
   readonly killsStoppingEntries?: boolean;
-  /** Time that a process has to stop, seconds; eight if not given. */
+  /** Maximum time that a process may take to stop, seconds. The default is 8. */
   readonly graceS?: number;
-  /** How long an endpoint stands still at most, milliseconds; 900 if not given. */
-  readonly maxStillMs?: number;
+  /** Maximum time for which an endpoint stalls, milliseconds. The default is 900. */
+  readonly maxStallMs?: number;
 }
 
-/** One soak. */
+/** A soak run. */
 export class AnswerSoak {
   private readonly _seed: number;
   private readonly _options: AnswerSoakOptions;
   private readonly _random: SeededRandom;
   private readonly _counts = new Map<string, number>();
   private readonly _violations: string[] = [];
-  private readonly _under = new Set<Promise<void>>();
-  /** Processes that are being stopped, which are left alone meanwhile. */
+  private readonly _activeFaults = new Set<Promise<void>>();
+  /** Processes that are being stopped; no other fault is injected into them meanwhile. */
   private readonly _stopping = new Set<ProcessHandle>();
   private _cluster!: PlatformCluster;
   private _version = FIRST_VERSION;
 
   /**
-   * @param seed - Decides which troubles come when; what runs beside them is not repeated exactly.
+   * @param seed - Determines which faults are injected and when. The concurrent work is not reproduced
+   * exactly.
    */
   constructor(seed: number, options: AnswerSoakOptions = {}) {
     this._seed = seed;
@@ -82,21 +87,24 @@
     return this._options.graceS ?? GRACE_S;
   }
 
-  /** Runs for some time, then lets everything come back and checks that work goes on. */
+  /**
+   * Injects faults for the given time, then waits for all processes to recover and checks that every entry
+   * serves.
+   */
   async run(durationMs: number): Promise<SoakResult> {
     this._cluster = await PlatformCluster.start(ENGINES, {
       stream: STREAM,
       entries: ENTRIES,
       graceS: this._graceS,
-      budgetExtra: BUDGET_EXTRA,
+      budgetExtra: RETRY_BUDGET,
     });
     try {
-      await waitUntil("the first configuration is taken", () => this._putConfig(FIRST_VERSION));
+      await waitUntil("the first configuration is accepted", () => this._putConfig(FIRST_VERSION));
       const callers = this._cluster.entries.map((_, i) => this._startCallers(i));
       await this._waitForService(callers);
       const endAt = performance.now() + durationMs;
       while (performance.now() < endAt) await this._injectFault();
-      await Promise.all(this._under);
+      await Promise.all(this._activeFaults);
       await this._waitForService(callers);
       await Promise.all(callers.map((group) => group.stop()));
       return this._createResult(callers);
@@ -112,73 +120,75 @@
     return callers;
   }
 
-  /** Troubles overlap: the next one doesn't wait for the last. */
+  /** Starts the next fault without waiting for the previous one, so that faults overlap. */
   private async _injectFault(): Promise<void> {
     const { faults = ANSWER_FAULTS } = this._options;
-    const name = faults[this._draw(faults.length)]!;
+    const name = faults[this._drawInteger(faults.length)]!;
     this._counts.set(name, (this._counts.get(name) ?? 0) + 1);
-    const fault = this._begin(name).catch((cause: unknown) => {
+    const fault = this._startFault(name).catch((cause: unknown) => {
       this._violations.push(`${name}: ${String(cause)}`);
     });
-    this._under.add(fault);
-    void fault.then(() => this._under.delete(fault));
-    await pause(MIN_PAUSE_MS + this._draw(PAUSE_SPAN_MS));
+    this._activeFaults.add(fault);
+    void fault.then(() => this._activeFaults.delete(fault));
+    await pause(MIN_PAUSE_MS + this._drawInteger(PAUSE_SPAN_MS));
   }
 
-  private _begin(name: AnswerFault): Promise<void> {
-    const begin: Record<AnswerFault, () => Promise<void>> = {
-      stopEntry: () => this._stop(this._drawOne(this._cluster.entries)),
-      stopControl: () => this._stopControl(),
-      reload: async () => this._reload(),
+  private _startFault(name: AnswerFault): Promise<void> {
+    const faults: Record<AnswerFault, () => Promise<void>> = {
+      stopEntry: () => this._restart(this._drawElement(this._cluster.entries)),
+      stopControl: () => this._restartControl(),
+      reload: async () => this._reloadProcess(),
       standStill: async () =>
-        this._drawHead()?.standStill(this._draw(this._options.maxStillMs ?? MAX_STILL_MS)),
-      sendWithoutEnd: () => this._sendWithoutEnd(),
+        this._drawHead()?.standStill(this._drawInteger(this._options.maxStallMs ?? MAX_STALL_MS)),
+      sendWithoutEnd: () => this._makeHeadEndless(),
       changeConfig: () => this._changeConfig(),
     };
-    return begin[name]();
+    return faults[name]();
   }
 
-  private _reload(): void {
+  private _reloadProcess(): void {
     const handles = [...this._cluster.entries, ...this._cluster.controls];
-    const handle = this._drawOne(handles.filter((candidate) => !this._stopping.has(candidate)));
+    const handle = this._drawElement(handles.filter((candidate) => !this._stopping.has(candidate)));
     handle.send("SIGHUP");
   }
 
-  /** One control process is away at a time: as many losses as the system bears. */
-  private async _stopControl(): Promise<void> {
+  /** Stops one control process at a time, because the system tolerates the loss of one. */
+  private async _restartControl(): Promise<void> {
     if (this._cluster.controls.some((control) => this._stopping.has(control))) return;
-    await this._stop(this._drawOne(this._cluster.controls));
+    await this._restart(this._drawElement(this._cluster.controls));
   }
 
-  /** A series of signals, the first of which stops it; then it starts again. */
-  private async _stop(handle: ProcessHandle): Promise<void> {
+  /** Sends a series of signals, beginning with SIGTERM, and restarts the process after it has ended. */
+  private async _restart(handle: ProcessHandle): Promise<void> {
     if (this._stopping.has(handle)) return;
     this._stopping.add(handle);
-    const gapsMs = Array.from({ length: this._draw(MAX_SIGNALS) }, () => this._draw(MAX_SIGNAL_GAP_MS));
-    const signals = gapsMs.map(() => this._drawOne(SIGNALS));
+    const gapsMs = Array.from({ length: this._drawInteger(MAX_SIGNALS) }, () =>
+      this._drawInteger(MAX_SIGNAL_GAP_MS),
+    );
+    const signals = gapsMs.map(() => this._drawElement(SIGNALS));
     handle.send("SIGTERM");
     const ended = handle.waitForEnd();
-    const stopsAt = performance.now();
+    const stoppedAt = performance.now();
     for (const [i, signal] of signals.entries()) {
       await pause(gapsMs[i]!);
       handle.send(this._options.killsStoppingEntries === true ? "SIGKILL" : signal);
     }
     const code = await ended;
-    const tookMs = performance.now() - stopsAt;
+    const tookMs = performance.now() - stoppedAt;
     if (code !== 0) this._violations.push(`${handle.name} ended with ${code}: ${handle.lastOutput}`);
     if (tookMs > this._graceS * 1_000) this._violations.push(`${handle.name} took ${tookMs} ms to stop`);
     handle.start();
-    // Until then signals end it by Node's own doing.
-    await waitUntil("it handles signals", () => handle.handlesSignal("SIGHUP"));
+    // Before the process has installed its handlers, Node.js ends it on a signal by default.
+    await waitUntil("the process handles signals", () => handle.handlesSignal("SIGHUP"));
     if (this._cluster.controls.includes(handle)) await this._waitForControl();
     this._stopping.delete(handle);
   }
 
-  private async _sendWithoutEnd(): Promise<void> {
+  private async _makeHeadEndless(): Promise<void> {
     const head = this._drawHead();
     if (head === undefined || head.endless !== undefined) return;
-    head.endless = this._drawOne(ENDLESS);
-    await pause(this._draw(MAX_ENDLESS_MS));
+    head.endless = this._drawElement(ENDLESS_KINDS);
+    await pause(this._drawInteger(MAX_ENDLESS_MS));
     head.endless = undefined;
   }
 
@@ -188,7 +198,7 @@
   }
 
   private async _putConfig(version: number): Promise<boolean> {
-    return (await this._cluster.putConfig(this._draw(3), createConfig(version))) === 200;
+    return (await this._cluster.putConfig(this._drawInteger(3), createConfig(version))) === 200;
   }
 
   private async _waitForControl(): Promise<void> {
@@ -199,16 +209,16 @@
   }
 
   private async _waitForService(groups: readonly KeptCallers[]): Promise<void> {
-    const before = groups.map((callers) => callers.getEnded("whole").length);
+    const servedBefore = groups.map((callers) => callers.getEnded("whole").length);
     await waitUntil("each entry serves", () =>
-      groups.every((callers, i) => callers.getEnded("whole").length > before[i]! + CALLERS_PER_ENTRY),
+      groups.every((callers, i) => callers.getEnded("whole").length > servedBefore[i]! + CALLERS_PER_ENTRY),
     );
   }
 
   private _createResult(groups: readonly KeptCallers[]): SoakResult {
     for (const [entry, callers] of groups.entries()) {
-      for (const [what, count] of Object.entries(callers.countEnds("cut", "unanswered"))) {
-        this._violations.push(`entry ${entry}: ${count} ${what}`);
+      for (const [description, count] of Object.entries(callers.countEnds("cut", "unanswered"))) {
+        this._violations.push(`entry ${entry}: ${count} ${description}`);
       }
     }
     return {
@@ -222,14 +232,14 @@
 
   private _drawHead() {
     const heads = this._cluster.workers.filter(({ place }) => place?.state === "open" && place.rank === 0);
-    return heads.length === 0 ? undefined : this._drawOne(heads);
+    return heads.length === 0 ? undefined : this._drawElement(heads);
   }
 
-  private _drawOne<T>(among: readonly T[]): T {
-    return among[this._draw(among.length)]!;
+  private _drawElement<T>(elements: readonly T[]): T {
+    return elements[this._drawInteger(elements.length)]!;
   }
 
-  private _draw(bound: number): number {
+  private _drawInteger(bound: number): number {
     return Math.floor(this._random.next() * bound);
   }
 }
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -1,12 +1,12 @@
 /**
- * A randomised soak: the real programs as processes on this machine, faults from outside them,
- * and the promises checked from what callers and workers see.
+ * A randomised soak test: the real programs run as processes on this machine, faults are injected from
+ * outside, and the guarantees are checked from what callers and workers observe.
  *
- * Covered: processes killed, frozen and stopped as planned, workers that crash, leave and start again
- * under their ids, their hosts' clocks set back meanwhile, reports of another writer, a request that
- * crashes the workers that run it, connections to workers that are delayed, reset, cut one way or
- * silenced beside all that, and configurations meanwhile.
- * Not covered yet: links between the system's own processes, and storage that misbehaves.
+ * Covered: control processes and entries that are killed, paused or stopped; workers that crash, leave or
+ * restart under their ids, also after their host's clock was set back; invalid reports in the name of a
+ * worker; a request that crashes the workers that run it; connections to workers that are delayed, reset, or
+ * cut in one or both directions while other faults are active; and configuration changes.
+ * Not covered yet: faults of links between the system's own processes and of storage.
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig, MODEL, STREAM } from "../platform/createConfig";
@@ -17,7 +17,7 @@
 import { waitUntil } from "../support/waitUntil";
 import { SoakLedger } from "./SoakLedger";
 
-/** What a soak came to. */
+/** Result of a soak run. */
 export interface SoakResult {
   readonly seed: number;
   readonly calls: number;
@@ -29,25 +29,27 @@
 const CALLERS = 6;
 const ENGINES = 7;
 const FIRST_VERSION = 3;
-/** Pause between two faults, milliseconds: at least, and how much more. */
+/** Pause between two faults, milliseconds: the minimum, and the length of the random part. */
 const MIN_PAUSE_MS = 300;
 const PAUSE_SPAN_MS = 1_200;
-const MAX_AWAY_MS = 1_500;
+const MAX_DOWNTIME_MS = 1_500;
 const MAX_DELAY_MS = 300;
-const CRASHING_TRIES = 2;
+const CRASHING_ATTEMPTS = 2;
 const MAX_CRASHES = 6;
 const CALLER_PAUSE_MS = 10;
-/** How far a host's clock is set back between two starts of its worker. */
+/** How far the clock of a host is set back between two starts of its worker. */
 const CLOCK_STEP_MS = 3_600_000;
 const REPLICA_SIZE = 2;
-/** All replicas are formed again within this time once every fault is over, milliseconds. */
+/** Maximum time until all replicas are formed again after the last fault has ended, milliseconds. */
 const REPAIR_MS = 15_000;
-/** How a refusal names a request that did. */
-const KEPT_AWAY = "kept_away";
-/** Workers have run for long: the count of a next life is far behind. */
+/** Error code with which the system refuses a request that has crashed workers. */
+const BLOCKED_CODE = "kept_away";
+/**
+ * Report count of workers that have run for a long time; the count of their next incarnation is far lower.
+ */
 const REPORT_COUNT = 500;
 
-/** Faults of the first soaks, in the order in which their seeds draw them. */
+/** Faults of the first soak runs. The order matters: the same seed selects other faults if it changes. */
 export const FIRST_FAULTS = [
   "killControl",
   "freezeControl",
@@ -62,44 +64,45 @@
   "silenceLink",
   "cutLinkOneWay",
 ] as const;
-/** With lives that begin under an earlier one's id, and reports of another writer. */
-export const LIFE_FAULTS = [
+/** The first faults, restarts of workers under the same id, and invalid reports. */
+export const INCARNATION_FAULTS = [
   ...FIRST_FAULTS,
   "restartWorker",
   "restartWithOlderClock",
   "sendOddReports",
 ] as const;
 /** All faults. */
-export const ALL_FAULTS = [...LIFE_FAULTS, "sendCrashingRequest"] as const;
-/** The name of a fault. */
+export const ALL_FAULTS = [...INCARNATION_FAULTS, "sendCrashingRequest"] as const;
+/** Name of a fault. */
 export type FaultName = (typeof ALL_FAULTS)[number];
 
-/** How a soak is run. */
+/** Options of a soak run. */
 export interface SoakOptions {
-  /** A seed draws among these, in this order. */
+  /** Faults to choose from. The order matters: the same seed selects other faults if it changes. */
   readonly faults: readonly FaultName[];
-  /** A defect on purpose: no worker tells when it started. */
-  readonly hidesStarts?: boolean;
+  /** Injects a defect: no worker reports its start time. */
+  readonly omitsStartTimes?: boolean;
 }
 
-/** One soak. */
+/** A soak run. */
 export class Soak {
   private readonly _seed: number;
   private readonly _random: SeededRandom;
   private readonly _ledger = new SoakLedger();
-  private readonly _faults = new Map<string, number>();
+  private readonly _faultCounts = new Map<string, number>();
   private _cluster!: PlatformCluster;
   private _version = FIRST_VERSION;
-  private _workers = ENGINES;
-  private _requests = 0;
-  private _isOver = false;
-  private readonly _healing = new Set<Promise<void>>();
+  private _nextWorker = ENGINES;
+  private _requestCount = 0;
+  private _isFinished = false;
+  private readonly _pendingHeals = new Set<Promise<void>>();
 
   private readonly _options: SoakOptions;
 
   /**
-   * @param seed - Decides which faults come when; what runs beside them is not repeated exactly.
-   * @param options - Faults to choose from.
+   * @param seed - Determines which faults are injected and when. The concurrent work is not reproduced
+   * exactly.
+   * @param options - Faults to choose from; all of them by default.
    */
   constructor(seed: number, options: SoakOptions = { faults: ALL_FAULTS }) {
     this._seed = seed;
@@ -107,30 +110,33 @@
     this._random = new SeededRandom(seed);
   }
 
-  /** Runs for some time, then lets everything come back and checks that work goes on. */
+  /**
+   * Injects faults for the given time, then waits for all processes to recover and checks that requests are
+   * served.
+   */
   async run(durationMs: number): Promise<SoakResult> {
     this._cluster = await PlatformCluster.start(ENGINES, {
       areWorkersRelayed: true,
       firstReportCount: REPORT_COUNT,
-      hidesStarts: this._options.hidesStarts,
-      returnMs: MAX_AWAY_MS,
+      hidesStarts: this._options.omitsStartTimes,
+      returnMs: MAX_DOWNTIME_MS,
     });
     try {
-      await waitUntil("the first configuration is taken", () => this._putConfig(FIRST_VERSION, 0));
+      await waitUntil("the first configuration is accepted", () => this._putConfig(FIRST_VERSION, 0));
       await this._waitForService();
-      const callers = Array.from({ length: CALLERS }, () => this._callUntilOver());
+      const callers = Array.from({ length: CALLERS }, () => this._callRepeatedly());
       const endAt = performance.now() + durationMs;
       while (performance.now() < endAt) await this._injectFault();
-      this._isOver = true;
+      this._isFinished = true;
       await Promise.all(callers);
-      await Promise.all(this._healing);
+      await Promise.all(this._pendingHeals);
       await this._waitForService();
       await this._checkCrashes();
       await this._checkReplicas();
-      await this._readBack();
+      await this._readConfig();
       return this._createResult();
     } finally {
-      this._isOver = true;
+      this._isFinished = true;
       await this._cluster.stop();
     }
   }
@@ -138,42 +144,42 @@
   private async _injectFault(): Promise<void> {
     const faults: Record<FaultName, () => Promise<unknown>> = {
       killControl: () => this._killControl(),
-      freezeControl: () => this._freezeControl(),
+      freezeControl: () => this._pauseControl(),
       stopControl: () => this._stopControl(),
       killEntry: () => this._killEntry(),
       stopEntry: () => this._stopEntry(),
       crashWorker: () => this._replaceWorker((worker) => worker.crash()),
       drainWorker: () => this._replaceWorker((worker) => void worker.drain().then(() => worker.crash())),
       changeConfig: () => this._changeConfig(),
-      delayLink: () => this._spoilLink((relay) => relay.setDelay(1 + this._draw(MAX_DELAY_MS))),
-      resetLink: () => this._spoilLink((relay) => relay.reset()),
-      silenceLink: () => this._spoilLink((relay) => relay.cut("both")),
+      delayLink: () => this._disturbLink((relay) => relay.setDelay(1 + this._drawInteger(MAX_DELAY_MS))),
+      resetLink: () => this._disturbLink((relay) => relay.reset()),
+      silenceLink: () => this._disturbLink((relay) => relay.cut("both")),
       cutLinkOneWay: () =>
-        this._spoilLink((relay) => relay.cut(this._draw(2) === 0 ? "toTarget" : "fromTarget")),
+        this._disturbLink((relay) => relay.cut(this._drawInteger(2) === 0 ? "toTarget" : "fromTarget")),
       restartWorker: () => this._restartWorker({}),
       restartWithOlderClock: () => this._restartWorker({ born: Date.now() - CLOCK_STEP_MS }),
-      sendOddReports: () => this._sendOddReports(),
+      sendOddReports: () => this._sendInvalidReports(),
       sendCrashingRequest: () => this._sendCrashingRequest(),
     };
-    const name = this._options.faults[this._draw(this._options.faults.length)]!;
-    this._faults.set(name, (this._faults.get(name) ?? 0) + 1);
+    const name = this._options.faults[this._drawInteger(this._options.faults.length)]!;
+    this._faultCounts.set(name, (this._faultCounts.get(name) ?? 0) + 1);
     await faults[name]!();
-    await pause(MIN_PAUSE_MS + this._draw(PAUSE_SPAN_MS));
+    await pause(MIN_PAUSE_MS + this._drawInteger(PAUSE_SPAN_MS));
   }
 
-  /** One control process is away at a time: as many losses as the system bears. */
+  /** Stops one control process at a time, because the system tolerates the loss of one. */
   private async _killControl(): Promise<void> {
     const control = this._drawControl();
     await control.kill();
-    await pause(this._draw(MAX_AWAY_MS));
+    await pause(this._drawInteger(MAX_DOWNTIME_MS));
     control.start();
     await this._waitForControl();
   }
 
-  private async _freezeControl(): Promise<void> {
+  private async _pauseControl(): Promise<void> {
     const control = this._drawControl();
     control.freeze();
-    await pause(this._draw(MAX_AWAY_MS));
+    await pause(this._drawInteger(MAX_DOWNTIME_MS));
     control.thaw();
     await this._waitForControl();
   }
@@ -196,91 +202,98 @@
   }
 
   private async _replaceWorker(end: (worker: WorkerStandin) => void): Promise<void> {
-    end(this._drawRunning("llm-"));
-    await this._cluster.addWorker(`llm-${this._workers++}`, "llm", "d0");
+    end(this._drawRunningWorker("llm-"));
+    await this._cluster.addWorker(`llm-${this._nextWorker++}`, "llm", "d0");
   }
 
-  /** It starts again under its id, at once or a little later, at another port. */
+  /** Restarts a worker under its id and at another port, at once or up to 1.5 s later. */
   private async _restartWorker(init: WorkerInit): Promise<void> {
-    const worker = this._drawRunning("llm-");
+    const worker = this._drawRunningWorker("llm-");
     worker.crash();
-    await pause(this._draw(MAX_AWAY_MS));
+    await pause(this._drawInteger(MAX_DOWNTIME_MS));
     await this._cluster.restartWorker(worker, init);
   }
 
-  /** Another writer's reports, in the name of a worker that runs. */
-  private async _sendOddReports(): Promise<void> {
-    const control = this._cluster.controlAddresses[this._draw(this._cluster.controls.length)]!;
-    const statuses = await sendOddReports(control, this._drawRunning("").id);
-    if (statuses.includes(200)) this._ledger.addViolation("an odd report was taken");
+  /** Sends invalid reports from another client in the name of a running worker. */
+  private async _sendInvalidReports(): Promise<void> {
+    const control = this._cluster.controlAddresses[this._drawInteger(this._cluster.controls.length)]!;
+    const statuses = await sendOddReports(control, this._drawRunningWorker("").id);
+    if (statuses.includes(200)) this._ledger.addViolation("an invalid report was accepted");
   }
 
-  /** As its caller does: again at once after a failure. */
+  /** Sends the crashing request and resends it at once after a failure, as its caller does. */
   private async _sendCrashingRequest(): Promise<void> {
-    for (let i = 0; i < CRASHING_TRIES; i++) {
+    for (let i = 0; i < CRASHING_ATTEMPTS; i++) {
       const call = this._cluster.call("/llm/draft", MODEL, { body: CRASHING_BODY });
       const answer = await call.catch(() => undefined);
       if (answer?.status === 503) return;
     }
   }
 
-  /** Three crashes are proof, and as many sends are allowed to entries that can't know of them yet. */
+  /**
+   * Three crashes confirm the cause, and three further sends are allowed to entries that can't have received
+   * the crash records yet.
+   */
   private async _checkCrashes(): Promise<void> {
     if (this._cluster.crashes.length === 0) return;
     await this._sendCrashingRequest();
-    // Those that it crashed come back under other ids: whoever counts replicas before has not all workers.
-    await waitUntil("all workers are back", () => this._getEngines().length >= ENGINES);
+    // Crashed workers return under other ids, so the number of replicas is wrong until all workers have
+    // returned.
+    await waitUntil("all workers have returned", () => this._getEngines().length >= ENGINES);
     const { length } = this._cluster.crashes;
     if (length > MAX_CRASHES) this._ledger.addViolation(`one request crashed ${length} workers`);
   }
 
-  private _drawRunning(idStart: string): WorkerStandin {
-    const running = this._cluster.workers.filter(({ id, isRunning }) => isRunning && id.startsWith(idStart));
-    return running[this._draw(running.length)]!;
+  private _drawRunningWorker(idPrefix: string): WorkerStandin {
+    const running = this._cluster.workers.filter(({ id, isRunning }) => isRunning && id.startsWith(idPrefix));
+    return running[this._drawInteger(running.length)]!;
   }
 
-  /** The link heals by itself a while later, whatever else is done meanwhile. */
-  private async _spoilLink(spoil: (relay: Relay) => void): Promise<void> {
-    const { relay } = this._drawRunning("");
+  /** Disturbs the link of a worker and heals it after up to 1.5 s, while other faults continue. */
+  private async _disturbLink(disturb: (relay: Relay) => void): Promise<void> {
+    const { relay } = this._drawRunningWorker("");
     if (relay === undefined) return;
-    spoil(relay);
-    const heal = pause(this._draw(MAX_AWAY_MS)).then(() => {
+    disturb(relay);
+    const heal = pause(this._drawInteger(MAX_DOWNTIME_MS)).then(() => {
       relay.setDelay(0);
       relay.heal();
     });
-    this._healing.add(heal);
-    void heal.finally(() => this._healing.delete(heal));
+    this._pendingHeals.add(heal);
+    void heal.finally(() => this._pendingHeals.delete(heal));
   }
 
   private async _changeConfig(): Promise<void> {
-    this._version += 1 + this._draw(3);
-    await this._putConfig(this._version, this._draw(3)).catch(() => false);
-    await this._readBack().catch(() => {});
+    this._version += 1 + this._drawInteger(3);
+    await this._putConfig(this._version, this._drawInteger(3)).catch(() => false);
+    await this._readConfig().catch(() => {});
   }
 
   private async _putConfig(version: number, control: number): Promise<boolean> {
-    const isTaken = (await this._cluster.putConfig(control, createConfig(version))) === 200;
-    if (isTaken) this._ledger.addAcknowledged(version);
-    return isTaken;
+    const isAccepted = (await this._cluster.putConfig(control, createConfig(version))) === 200;
+    if (isAccepted) this._ledger.addAcknowledged(version);
+    return isAccepted;
   }
 
-  /** Reads at any control process that is certain of the newest. */
-  private async _readBack(): Promise<void> {
-    const before = this._ledger.acknowledgedVersion;
-    const answer = await this._cluster.getConfig(this._draw(3));
+  /**
+   * Reads the configuration from a random control process and checks that it is not older than the last
+   * acknowledged one. Control processes that can't confirm the newest configuration don't answer with 200.
+   */
+  private async _readConfig(): Promise<void> {
+    const acknowledgedBefore = this._ledger.acknowledgedVersion;
+    const answer = await this._cluster.getConfig(this._drawInteger(3));
     if (answer.status !== 200) return;
-    this._ledger.addRead((JSON.parse(answer.body) as { version: number }).version, before);
+    this._ledger.addRead((JSON.parse(answer.body) as { version: number }).version, acknowledgedBefore);
   }
 
-  private async _callUntilOver(): Promise<void> {
-    while (!this._isOver) {
-      await this._call(this._requests++ % 2 === 0 ? "repeatable" : "once");
+  private async _callRepeatedly(): Promise<void> {
+    while (!this._isFinished) {
+      await this._call(this._requestCount++ % 2 === 0 ? "repeatable" : "once");
       await pause(CALLER_PAUSE_MS);
     }
   }
 
   private async _call(kind: "repeatable" | "once"): Promise<number | undefined> {
-    const id = `soak-${this._requests++}`;
+    const id = `soak-${this._requestCount++}`;
     const isStream = kind === "repeatable";
     const [path, headers] = isStream ? ["/llm/draft", MODEL] : ["/app/x", {}];
     const expectedBody = isStream ? STREAM : "tenant-a POST /app/x hello";
@@ -288,8 +301,9 @@
     const answer = await call.catch(() => undefined);
     const { status, body = "" } = answer ?? {};
     this._ledger.addCall({ id, kind, status, body, expectedBody });
-    // All of them have one caller, path and body, and most of them are served.
-    if (body.includes(KEPT_AWAY)) this._ledger.addViolation(`${id}: taken for one that crashes workers`);
+    // All requests have the same caller, path and body, and most of them succeed, so none may be blocked.
+    if (body.includes(BLOCKED_CODE))
+      this._ledger.addViolation(`${id}: blocked as a request that crashes workers`);
     return status;
   }
 
@@ -298,15 +312,17 @@
     await waitUntil("a plain call is served", async () => (await this._call("once")) === 200);
   }
 
-  /** Once all is well again no worker that runs is left out. */
+  /** Checks that all running workers are in replicas again after the faults have ended. */
   private async _checkReplicas(): Promise<void> {
     const engines = this._getEngines();
-    const wanted = Math.floor(engines.length / REPLICA_SIZE);
+    const expected = Math.floor(engines.length / REPLICA_SIZE);
     const countOpen = () => engines.filter(({ place }) => place?.state === "open").length;
     const endAt = performance.now() + REPAIR_MS;
-    while (countOpen() < wanted && performance.now() < endAt) await pause(CALLER_PAUSE_MS);
-    if (countOpen() >= wanted) return;
-    this._ledger.addViolation(`${countOpen()} replicas of ${engines.length} workers serve, not ${wanted}`);
+    while (countOpen() < expected && performance.now() < endAt) await pause(CALLER_PAUSE_MS);
+    if (countOpen() >= expected) return;
+    this._ledger.addViolation(
+      `${countOpen()} replicas of ${engines.length} workers serve, expected ${expected}`,
+    );
   }
 
   private _getEngines(): WorkerStandin[] {
@@ -329,16 +345,16 @@
       seed: this._seed,
       calls: this._ledger.callCount,
       served: this._ledger.servedCount,
-      faults: Object.fromEntries(this._faults),
+      faults: Object.fromEntries(this._faultCounts),
       violations: this._ledger.getViolations(workers.flatMap((worker) => worker.ran)),
     };
   }
 
   private _drawControl() {
-    return this._cluster.controls[this._draw(this._cluster.controls.length)]!;
+    return this._cluster.controls[this._drawInteger(this._cluster.controls.length)]!;
   }
 
-  private _draw(bound: number): number {
+  private _drawInteger(bound: number): number {
     return Math.floor(this._random.next() * bound);
   }
 }
--- a/test/soak/SoakLedger.test.ts
+++ b/test/soak/SoakLedger.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from "vitest";
-import { type SeenCall, SoakLedger } from "./SoakLedger";
+import { type CallResult, SoakLedger } from "./SoakLedger";
 
-function createCall(change: Partial<SeenCall> = {}): SeenCall {
+function createCall(change: Partial<CallResult> = {}): CallResult {
   return { id: "a", kind: "once", status: 200, body: "whole", expectedBody: "whole", ...change };
 }
 
-/** Each check of the soak has to be able to fail. */
+/** Every check of the soak has to be able to fail. */
 describe("SoakLedger", () => {
-  it("finds nothing where everything was kept", () => {
+  it("finds no violation if all guarantees hold", () => {
     const ledger = new SoakLedger();
     ledger.addCall(createCall());
     ledger.addCall(createCall({ id: "b", status: 503, body: "" }));
@@ -19,17 +19,17 @@
     expect([ledger.servedCount, ledger.callCount, ledger.acknowledgedVersion]).toEqual([2, 4, 7]);
   });
 
-  it("finds a request that ran twice, and one that ran though it was told as not run", () => {
+  it("finds a request that ran twice and one that ran after its refusal promised that it did not", () => {
     const ledger = new SoakLedger();
     ledger.addCall(createCall());
     ledger.addCall(createCall({ id: "b", status: 503, body: "" }));
     expect(ledger.getViolations(["a", "a", "b"])).toEqual([
       "a ran 2 times",
-      "b was told as not run (503), and ran",
+      "b ran although its refusal (503) promised that it did not",
     ]);
   });
 
-  it("finds a success that is not whole, an older configuration, and what workers saw", () => {
+  it("finds an incomplete success, a read of an older configuration and a violation that a worker reported", () => {
     const ledger = new SoakLedger();
     ledger.addCall(createCall({ body: "who" }));
     ledger.addRead(6, 7);
--- a/test/soak/SoakLedger.ts
+++ b/test/soak/SoakLedger.ts
@@ -1,61 +1,61 @@
 /**
- * What a soak saw of callers and workers, and which promises that breaks. Pure.
+ * Records what callers and workers observe in a soak and finds broken guarantees. Pure.
  *
- * Only what callers and workers see on their sockets counts; nothing is asked of the system.
+ * Only what callers and workers see on their sockets counts. The system itself is not queried.
  */
 
-/** How often a request may run. */
+/** Whether a request may run more than once. */
 export type RequestKind = "repeatable" | "once";
 
-/** A caller's view of one request; without a status its connection broke. */
-export interface SeenCall {
+/** The result of one request for its caller; the status is `undefined` if the connection broke. */
+export interface CallResult {
   readonly id: string;
   readonly kind: RequestKind;
   readonly status: number | undefined;
   readonly body: string;
-  /** The whole answer that a worker gives to it. */
+  /** The complete answer of a worker to this request. */
   readonly expectedBody: string;
 }
 
-/** Statuses that promise that the request did not run and never will. */
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee that the request did not run and never will. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** The book of one soak. */
+/** The record of one soak. */
 export class SoakLedger {
-  private readonly _calls: SeenCall[] = [];
+  private readonly _calls: CallResult[] = [];
   private readonly _violations: string[] = [];
   private _acknowledgedVersion = 0;
 
-  /** Gets how many requests were answered whole. */
+  /** Gets the number of requests that were answered successfully. */
   get servedCount(): number {
     return this._calls.filter((call) => call.status === 200).length;
   }
 
-  /** Gets how many requests ended, in whatever way. */
+  /** Gets the number of requests that have ended, successfully or not. */
   get callCount(): number {
     return this._calls.length;
   }
 
-  /** Gets the highest version that was acknowledged. */
+  /** Gets the highest acknowledged version. */
   get acknowledgedVersion(): number {
     return this._acknowledgedVersion;
   }
 
-  /** Notes how a request ended for its caller. */
-  addCall(call: SeenCall): void {
+  /** Records the result of a request and reports a success with an incomplete answer. */
+  addCall(call: CallResult): void {
     this._calls.push(call);
     if (call.status === 200 && call.body !== call.expectedBody) {
-      this._violations.push(`${call.id}: a success that is not the worker's whole answer`);
+      this._violations.push(`${call.id}: a success whose body is not the worker's complete answer`);
     }
   }
 
-  /** Notes that a configuration was acknowledged. */
+  /** Records that a configuration was acknowledged. */
   addAcknowledged(version: number): void {
     this._acknowledgedVersion = Math.max(this._acknowledgedVersion, version);
   }
 
   /**
-   * Notes a configuration that was read back.
+   * Records the version of a configuration that was read and reports one that is too old.
    * @param acknowledgedBefore - The highest version acknowledged before the read was sent.
    */
   addRead(version: number, acknowledgedBefore: number): void {
@@ -63,14 +63,14 @@
     this._violations.push(`version ${version} was read after ${acknowledgedBefore} was acknowledged`);
   }
 
-  /** Notes a violation that a worker saw. */
+  /** Records a violation that was found outside this ledger. */
   addViolation(violation: string): void {
     this._violations.push(violation);
   }
 
   /**
-   * Gets all that was broken.
-   * @param runs - Ids of requests that workers ran, each as often as it ran.
+   * Gets all broken guarantees.
+   * @param runs - Ids of requests that workers ran, one element for each run.
    */
   getViolations(runs: readonly string[]): string[] {
     const counts = new Map<string, number>();
@@ -79,8 +79,10 @@
       const count = counts.get(id) ?? 0;
       if (kind !== "once") return [];
       if (count > 1) return [`${id} ran ${count} times`];
-      const wasPromised = status !== undefined && NOT_RUN.has(status);
-      return wasPromised && count > 0 ? [`${id} was told as not run (${status}), and ran`] : [];
+      const isReportedNotRun = status !== undefined && NOT_RUN_STATUSES.has(status);
+      return isReportedNotRun && count > 0
+        ? [`${id} ran although its refusal (${status}) promised that it did not`]
+        : [];
     });
     return [...this._violations, ...broken];
   }
--- a/test/soak/answers.test.ts
+++ b/test/soak/answers.test.ts
@@ -4,20 +4,20 @@
 const CI_SEEDS = [20_261_204, 20_261_205];
 const CI_DURATION_MS = 15_000;
 
-describe("the soak of answers that take seconds", () => {
-  it.each(CI_SEEDS)("cuts none and leaves no request unanswered with seed %i", async (seed) => {
+describe("soak of answers that take seconds", () => {
+  it.each(CI_SEEDS)("cuts no answer and leaves no request unanswered with seed %i", async (seed) => {
     const result = await new AnswerSoak(seed).run(CI_DURATION_MS);
     expect(result.violations).toEqual([]);
     expect(result.served).toBeGreaterThan(0);
   });
 
-  it("cuts none with six seconds to stop and endpoints that stand still for up to 1.5 s", async () => {
-    const soak = new AnswerSoak(CI_SEEDS[0]!, { graceS: 6, maxStillMs: 1_500 });
+  it("cuts no answer with six seconds to stop and endpoints that stall for up to 1.5 s", async () => {
+    const soak = new AnswerSoak(CI_SEEDS[0]!, { graceS: 6, maxStallMs: 1_500 });
     const result = await soak.run(CI_DURATION_MS);
     expect(result.violations).toEqual([]);
   });
 
-  it("sees answers that are cut where a stopping entry is killed (a defect on purpose)", async () => {
+  it("detects cut answers if a stopping entry is killed (injected defect)", async () => {
     const soak = new AnswerSoak(CI_SEEDS[0]!, { faults: ["stopEntry"], killsStoppingEntries: true });
     const result = await soak.run(CI_DURATION_MS / 2);
     expect(result.violations.join()).toContain("cut 200");
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,4 +1,7 @@
-/** `npm run soak -- --seed N --minutes M`: one line of JSON a seed; ends with 1 when a promise was broken. */
+/**
+ * `npm run soak -- --seed N --minutes M`: prints one line of JSON for each seed and exits with 1 if a
+ * guarantee was broken.
+ */
 import { Command } from "commander";
 import { AnswerSoak } from "./AnswerSoak";
 import { ALL_FAULTS, FIRST_FAULTS, Soak } from "./Soak";
@@ -6,12 +9,12 @@
 const MINUTE_MS = 60_000;
 
 const program = new Command("soak")
-  .description("runs the system's processes under faults and checks its promises")
+  .description("runs the system's processes under faults and checks its guarantees")
   .option("--seed <number>", "first seed", Number, Math.floor(Math.random() * 1e9))
-  .option("--seeds <count>", "how many seeds, one after the other", Number, 1)
-  .option("--minutes <minutes>", "how long each seed runs", Number, 1)
-  .option("--answers", "answers that take seconds, and troubles none of which may cut one")
-  .option("--first-faults", "only the faults that the earliest seeds drew among");
+  .option("--seeds <count>", "number of consecutive seeds to run", Number, 1)
+  .option("--minutes <minutes>", "duration of each seed, in minutes", Number, 1)
+  .option("--answers", "run the soak of answers that take seconds, with faults that must not cut an answer")
+  .option("--first-faults", "choose only from the faults of the first soak runs");
 program.parse();
 const options = program.opts<{
   seed: number;
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -1,53 +1,53 @@
 import { describe, expect, it } from "vitest";
-import { ALL_FAULTS, FIRST_FAULTS, LIFE_FAULTS, Soak } from "./Soak";
+import { ALL_FAULTS, FIRST_FAULTS, INCARNATION_FAULTS, Soak } from "./Soak";
 
-/** Seeds that failed once, each with a line on its cause; rerun with every change. */
+/** Seeds that failed before, each with its cause. They run with every change. */
 const REGRESSION_SEEDS: readonly number[] = [
-  // A control process that woke from a freeze ended: its peers had closed its sessions, and
-  // their errors came when no call listened any more (GuardedSessionManager).
+  // A control process ended when it resumed after a pause: its peers had closed its sessions, and the errors
+  // arrived when no call was listening any more (ReconnectingSessionManager).
   101, 102,
-  // An instance took a place while its own head was open: the time after which the head must have broken
-  // was taken for proof against its own report (GivenUpPlaces).
+  // An instance took a place while the head of its previous replica was open: the time after which that head
+  // should have ended was taken as proof although the head reported otherwise (LeaveConfirmations).
   41000,
 ];
-/** Seeds that failed with all faults, one in some runs, each with a line on its cause. */
+/** Seeds that failed in at least some runs with all faults, each with its cause. */
 const ALL_FAULTS_SEEDS: readonly number[] = [
-  // An ordinary request was refused for good: two runs that broke off at one instance counted as two crashes in a row, and
-  // a request that was kept away had no run left that could have cleared it (CrashLedger).
+  // An ordinary request was refused permanently: two runs that broke at the same instance counted as two
+  // consecutive crashes, and a blocked request had no remaining run that could clear it (CrashLedger).
   71010,
 ];
 const ALL_FAULTS_MS = 12_000;
 const CI_SEED = 20_261_202;
 const CI_DURATION_MS = 10_000;
 
-describe("the soak", () => {
-  it.each([CI_SEED, ...REGRESSION_SEEDS])("breaks no promise with seed %i", async (seed) => {
+describe("soak", () => {
+  it.each([CI_SEED, ...REGRESSION_SEEDS])("breaks no guarantee with seed %i", async (seed) => {
     const result = await new Soak(seed, { faults: FIRST_FAULTS }).run(CI_DURATION_MS);
     expect(result.violations).toEqual([]);
     expect(result.served).toBeGreaterThan(0);
   });
 
-  it("breaks no promise with workers that start again under their ids, and odd reports", async () => {
-    const result = await new Soak(CI_SEED, { faults: LIFE_FAULTS }).run(CI_DURATION_MS);
+  it("breaks no guarantee with workers that restart under their ids and invalid reports", async () => {
+    const result = await new Soak(CI_SEED, { faults: INCARNATION_FAULTS }).run(CI_DURATION_MS);
     expect(result.violations).toEqual([]);
     expect(result.served).toBeGreaterThan(0);
   });
 
-  it("breaks no promise with a request that crashes the workers that run it", async () => {
+  it("breaks no guarantee with a request that crashes the workers that run it", async () => {
     const faults = ["sendCrashingRequest", "crashWorker", "killEntry", "killControl"] as const;
     const result = await new Soak(CI_SEED, { faults }).run(CI_DURATION_MS);
     expect(result.violations).toEqual([]);
     expect(result.served).toBeGreaterThan(0);
   });
 
-  it.each(ALL_FAULTS_SEEDS)("breaks no promise with all faults and seed %i", async (seed) => {
+  it.each(ALL_FAULTS_SEEDS)("breaks no guarantee with all faults and seed %i", async (seed) => {
     const result = await new Soak(seed, { faults: ALL_FAULTS }).run(ALL_FAULTS_MS);
     expect(result.violations).toEqual([]);
     expect(result.served).toBeGreaterThan(0);
   });
 
-  it("sees that workers are missed where their starts are not told (a defect on purpose)", async () => {
-    const soak = new Soak(CI_SEED, { faults: ["restartWorker"], hidesStarts: true });
+  it("detects unused workers if workers don't report their start times (injected defect)", async () => {
+    const soak = new Soak(CI_SEED, { faults: ["restartWorker"], omitsStartTimes: true });
     const result = await soak.run(CI_DURATION_MS / 2);
     expect(result.violations.join()).toContain("workers serve");
   });
