--- a/test/support/Throttle.ts
+++ b/test/support/Throttle.ts
@@ -22,7 +22,7 @@
     this._runMs = PERIOD_MS * share;
   }
 
-  /** Starts to throttle. The running phases of the processes are spread over the period. */
+  /** Starts throttling. The running phases of the processes are spread over the period. */
   start(): void {
     this._isOn = true;
     for (const [index, handle] of this._handles.entries()) {
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Stops to throttle and resumes all processes. */
+  /** Stops throttling and resumes all processes. */
   stop(): void {
     this._isOn = false;
     for (const timer of this._timers) clearTimeout(timer);
--- a/test/system/path.test.ts
+++ b/test/system/path.test.ts
@@ -65,7 +65,7 @@
   });
 
   describe("bad input", () => {
-    async function doTest(request: EntryRequest, status: number, code: string) {
+    async function expectRefusal(request: EntryRequest, status: number, code: string) {
       const before = getRunCount();
       const answer = await call(request);
       expect(answer.status).toBe(status);
@@ -73,41 +73,43 @@
       expect(getRunCount()).toBe(before);
     }
 
-    it("refuses a body that is not JSON", () => doTest({ body: "{" }, 400, "malformed_request"));
-    it("refuses a body without messages", () => doTest({ body: '{"model":"m"}' }, 400, "malformed_request"));
+    it("refuses a body that is not JSON", () => expectRefusal({ body: "{" }, 400, "malformed_request"));
+    it("refuses a body without messages", () =>
+      expectRefusal({ body: '{"model":"m"}' }, 400, "malformed_request"));
     it("refuses too many tokens", () =>
-      doTest({ body: createChat("a", { maxTokens: 51 }) }, 400, "malformed_request"));
+      expectRefusal({ body: createChat("a", { maxTokens: 51 }) }, 400, "malformed_request"));
     it("refuses an invalid deadline", () =>
-      doTest(
+      expectRefusal(
         { body: createChat("a"), headers: { "ploverstage-deadline-ms": "soon" } },
         400,
         "malformed_request",
       ));
     it("refuses a body that is too long", () =>
-      doTest({ body: createChat("a".repeat(3_000)) }, 413, "body_too_large"));
+      expectRefusal({ body: createChat("a".repeat(3_000)) }, 413, "body_too_large"));
     it("refuses an unknown organisation", () =>
-      doTest(
+      expectRefusal(
         { body: createChat("a"), headers: { "ploverstage-organisation": "gamma" } },
         403,
         "unknown_organisation",
       ));
     it("refuses an unknown model", () =>
-      doTest(
+      expectRefusal(
         { body: JSON.stringify({ model: "x", messages: [{ role: "user", content: "a" }] }) },
         404,
         "unknown_model",
       ));
     it("refuses an unknown adapter", () =>
-      doTest(
+      expectRefusal(
         { body: JSON.stringify({ model: "m/x", messages: [{ role: "user", content: "a" }] }) },
         404,
         "unknown_model",
       ));
     it("refuses an unknown service", () =>
-      doTest({ path: "/v1/services/nothing/", body: "" }, 404, "unknown_service"));
-    it("refuses an unknown path", () => doTest({ path: "/v2/anything", body: "" }, 404, "not_found"));
-    it("refuses an unsupported method", () => doTest({ method: "PUT", body: "" }, 405, "method_not_allowed"));
+      expectRefusal({ path: "/v1/services/nothing/", body: "" }, 404, "unknown_service"));
+    it("refuses an unknown path", () => expectRefusal({ path: "/v2/anything", body: "" }, 404, "not_found"));
+    it("refuses an unsupported method", () =>
+      expectRefusal({ method: "PUT", body: "" }, 405, "method_not_allowed"));
     it("refuses paths of control processes", () =>
-      doTest({ path: "/ploverstage.v1.OperatorService/Status", body: "" }, 404, "not_found"));
+      expectRefusal({ path: "/ploverstage.v1.OperatorService/Status", body: "" }, 404, "not_found"));
   });
 });
