--- a/bench/containment.ts
+++ b/bench/containment.ts
@@ -3,10 +3,10 @@
  * request and with as many as are kept; and whether a request that was only there is ever refused.
  */
 import { create } from "@bufbuild/protobuf";
-import { CrashLedger, getRequestDigest, KEPT_CRASH_RECORDS, type RequestContent } from "../src/containment";
+import { CrashLedger, getRequestDigest, MAX_CRASH_RECORDS, type RequestContent } from "../src/containment";
 import { CrashMonitor } from "../src/gateway/CrashMonitor";
 import { CrashRecordSchema } from "../src/gen/ploverstage/v1/state_pb";
-import { SilentMetrics } from "../src/metrics";
+import { NoopMetrics } from "../src/metrics";
 import { createConfig } from "../test/platform/createConfig";
 import { PlatformCluster } from "../test/platform/PlatformCluster";
 import type { Bench, Figure } from "./Figure";
@@ -53,7 +53,7 @@
 /** Gives what one request costs: it is looked for before it is sent, and its good end is noted. */
 function measureChecks(ledger: CrashLedger): number {
   const logger = { info: () => {}, warn: () => {} } as never;
-  const watch = new CrashMonitor({ ledger, logger, metrics: new SilentMetrics(), onChange: () => {} });
+  const watch = new CrashMonitor({ ledger, logger, metrics: new NoopMetrics(), onChange: () => {} });
   const body = Buffer.alloc(BODY_BYTES, "x");
   const startedAt = performance.now();
   for (let i = 0; i < ROUNDS; i++) {
@@ -73,12 +73,12 @@
 
 function createFullLedger(): CrashLedger {
   const ledger = new CrashLedger();
-  const records = Array.from({ length: KEPT_CRASH_RECORDS }, (_, i) => {
+  const records = Array.from({ length: MAX_CRASH_RECORDS }, (_, i) => {
     const digest = getRequestDigest({ organisation: "a", method: "POST", path: `/${i}`, body: Buffer.of() });
     const crashes = [1, 2, 3].map((depth) => ({ life: `life-${i}-${depth}`, depth }));
     return create(CrashRecordSchema, { digest, crashes });
   });
-  ledger.addAgreed(0, records);
+  ledger.addCommitted(0, records);
   return ledger;
 }
 
@@ -95,14 +95,14 @@
     }
     for (const from of ledgers) {
       const told = from.takePending();
-      for (const ledger of ledgers) ledger.addAgreed(startedAt + 60, told);
+      for (const ledger of ledgers) ledger.addCommitted(startedAt + 60, told);
     }
-    refused += ledgers.filter((ledger) => ledger.isKeptAway(startedAt + 60, digest)).length;
+    refused += ledgers.filter((ledger) => ledger.isBlocked(startedAt + 60, digest)).length;
     // One good end, at one entry, told to the others.
     const [first] = ledgers;
-    first!.addGoodEnd(startedAt + 70, digest);
+    first!.addSuccess(startedAt + 70, digest);
     const cleared = first!.takePending();
-    for (const ledger of ledgers) ledger.addAgreed(startedAt + 80, cleared);
+    for (const ledger of ledgers) ledger.addCommitted(startedAt + 80, cleared);
   }
   return refused;
 }
--- a/bench/planner.ts
+++ b/bench/planner.ts
@@ -15,13 +15,13 @@
 import { InstanceId, ReplicaId } from "../src/ids";
 import {
   type Action,
-  ExpectedRepair,
   ImmediateRepair,
   type InstanceFacts,
+  LeastOutageRepair,
+  LongestWaitRepair,
   Planner,
   type PlanningFacts,
   type RepairPolicy,
-  WaitingRepair,
 } from "../src/planner";
 import { PresenceTable } from "../src/presence";
 import type { Bench, Figure } from "./Figure";
@@ -83,8 +83,8 @@
 ];
 
 const POLICIES: readonly { name: string; create: () => RepairPolicy }[] = [
-  { name: "ours", create: () => new ExpectedRepair() },
-  { name: "wait", create: () => new WaitingRepair() },
+  { name: "ours", create: () => new LeastOutageRepair() },
+  { name: "wait", create: () => new LongestWaitRepair() },
   { name: "rebuild", create: () => new ImmediateRepair() },
 ];
 
@@ -194,9 +194,9 @@
     return {
       instances: this._machines.map((machine) => this._getInstance(now, machine)),
       replicas: this._replicas,
-      isClear: true,
+      areOldLeasesExpired: true,
       retiredInForce: new Set(retired),
-      drained: new Set(),
+      drainedReplicas: new Set(),
       inFlight: new Map(),
       absences: this._presence.getAbsences(),
     };
--- a/bench/surge/index.ts
+++ b/bench/surge/index.ts
@@ -3,10 +3,10 @@
 import { SeededRandom } from "../../src/consensus";
 import {
   LeastReportedPlacement,
+  LeastWorkPlacement,
   OwnInFlightPlacement,
   RetryBudget,
   RoundRobinPlacement,
-  WeighedPlacement,
 } from "../../src/routing";
 import type { Bench, Figure } from "../Figure";
 import { type Scenario, type Strategy, Surge, type SurgeResult } from "./Surge";
@@ -20,14 +20,14 @@
 const CAPACITY = 20;
 const LOADS = [0.8, 1.2, 3] as const;
 
-const OURS: Strategy = { name: "ours", createPlacement: () => new WeighedPlacement(), isFifo: false };
+const OURS: Strategy = { name: "ours", createPlacement: () => new LeastWorkPlacement(), isFifo: false };
 const STRATEGIES: readonly Strategy[] = [
   OURS,
   { name: "round_robin", createPlacement: () => new RoundRobinPlacement(), isFifo: false },
   { name: "least_reported", createPlacement: () => new LeastReportedPlacement(), isFifo: false },
   { name: "own_in_flight", createPlacement: () => new OwnInFlightPlacement(), isFifo: false },
-  { name: "no_reuse", createPlacement: () => new WeighedPlacement(0), isFifo: false },
-  { name: "fifo", createPlacement: () => new WeighedPlacement(), isFifo: true },
+  { name: "no_reuse", createPlacement: () => new LeastWorkPlacement(0), isFifo: false },
+  { name: "fifo", createPlacement: () => new LeastWorkPlacement(), isFifo: true },
 ];
 
 async function runSurge(): Promise<Figure[]> {
--- a/src/admission/CallOrder.ts
+++ b/src/admission/CallScheduler.ts
@@ -29,7 +29,7 @@
 const MAX_WAITING = 1_000;
 
 /** The calls of one process. */
-export class CallOrder {
+export class CallScheduler {
   private readonly _metrics: Metrics;
   private readonly _waiting = new Map<CallClass, ArrivedCall[]>();
   private _begun = 0;
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,2 +1,2 @@
 /** Which calls a process begins, and when. */
-export { type ArrivedCall, CALL_CLASSES, type CallClass, CallOrder } from "./CallOrder";
+export { type ArrivedCall, CALL_CLASSES, type CallClass, CallScheduler } from "./CallScheduler";
--- a/src/consensus/ConsensusDriver.ts
+++ b/src/consensus/ConsensusDriver.ts
@@ -19,7 +19,7 @@
 import { type Command, CommandSchema } from "../gen/ploverstage/v1/state_pb";
 import { MemberId } from "../ids";
 import type { Storage } from "../log";
-import { type Result, StateMachine } from "../state";
+import { type CommandResult, StateMachine } from "../state";
 import { getMember, getNextMembership, getTrimmedMembership, type MembershipContext } from "./membership";
 import type { RaftNode } from "./RaftNode";
 import type { ConfirmedBarrier, Ready } from "./Ready";
@@ -51,7 +51,7 @@
 interface PendingProposal {
   readonly index: number;
   readonly term: number;
-  readonly resolve: (result: Result | undefined) => void;
+  readonly resolve: (result: CommandResult | undefined) => void;
   readonly reject: (error: unknown) => void;
 }
 
@@ -177,7 +177,7 @@
    * @throws UnknownProposal - When this member loses its leadership before the command is applied.
    * @throws FullProposalQueue
    */
-  propose(body: Command["body"]): Promise<Result | undefined> {
+  propose(body: Command["body"]): Promise<CommandResult | undefined> {
     const bytes = toBinary(CommandSchema, create(CommandSchema, { body }));
     if (this._proposals.size >= MAX_PENDING_PROPOSALS) {
       return Promise.reject(new FullProposalQueue({ limit: MAX_PENDING_PROPOSALS }));
--- a/src/containment/CrashLedger.ts
+++ b/src/containment/CrashLedger.ts
@@ -7,7 +7,7 @@
 import { create } from "@bufbuild/protobuf";
 import { type CrashRecord, CrashRecordSchema } from "../gen/ploverstage/v1/state_pb";
 import { CrashTable, type CrashVerdict } from "./CrashTable";
-import { getCrashDepth, isCrashRecordKnown } from "./crashRecords";
+import { getCrashDepth, isCrashRecordIncluded } from "./crashRecords";
 import type { RequestDigest } from "./RequestDigest";
 
 /** An instance that ended while it ran a request. */
@@ -34,9 +34,9 @@
  * Accounts that are agreed on, in all: those of two crashes in a row and more stay. Kept by each entry and
  * in the agreed state; with three crashes of 25 bytes each some 150 bytes an account.
  */
-export const KEPT_CRASH_RECORDS = 1_024;
+export const MAX_CRASH_RECORDS = 1_024;
 /** An entry holds what it has yet to tell besides. */
-const KEPT_AT_ENTRY = 2 * KEPT_CRASH_RECORDS;
+const KEPT_AT_ENTRY = 2 * MAX_CRASH_RECORDS;
 /** Accounts that one call tells. */
 const TOLD_AT_ONCE = 256;
 /** One that was told so often without being agreed on is one that the agreed state has no room for. */
@@ -47,10 +47,10 @@
  * and a good end clears it. Without that one that only was there is refused for minutes: it had no run any more that
  * could have cleared it (two of 25 soaks of a popular request beside a guilty one).
  */
-export const DOUBT_MS = 1_000;
+export const TRIAL_DELAY_MS = 1_000;
 
 /** Whether a request may be sent to endpoints now; a trial is the one run of a doubted request. */
-export type Admittance = "admitted" | "trial" | "keptAway";
+export type AdmissionDecision = "admitted" | "trial" | "keptAway";
 
 /** The accounts of one entry. */
 export class CrashLedger {
@@ -68,21 +68,21 @@
   }
 
   /** Decides whether a request may be sent to endpoints; a trial that is given is taken. */
-  admit(now: number, digest: RequestDigest): Admittance {
-    if (this.isKeptAway(now, digest)) return "keptAway";
+  admit(now: number, digest: RequestDigest): AdmissionDecision {
+    if (this.isBlocked(now, digest)) return "keptAway";
     if (this._table.getVerdict(digest) === "free") return "admitted";
     this._delayTrial(now, digest);
     return "trial";
   }
 
   /** Checks whether a request is kept away from endpoints now. */
-  isKeptAway(now: number, digest: RequestDigest): boolean {
+  isBlocked(now: number, digest: RequestDigest): boolean {
     const verdict = this._table.getVerdict(digest);
     return verdict === "proven" || (verdict === "doubted" && now < (this._trialAt.get(digest) ?? 0));
   }
 
   /** Checks whether a request is proven guilty. */
-  isProven(digest: RequestDigest): boolean {
+  isConfirmedCause(digest: RequestDigest): boolean {
     return this._table.getVerdict(digest) === "proven";
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Counts the requests that are proven guilty. */
-  countProven(): number {
+  countConfirmedCauses(): number {
     return this._table.countProven();
   }
 
@@ -121,7 +121,7 @@
    * Notes that a request came to a good end: what ends each instance never does.
    * @returns Whether anything was held against it.
    */
-  addGoodEnd(now: number, digest: RequestDigest): boolean {
+  addSuccess(now: number, digest: RequestDigest): boolean {
     const known = this._table.getRecord(digest);
     if (known === undefined || (known.crashes.length === 0 && known.releases === 0)) return false;
     this._add(now, create(CrashRecordSchema, { digest, generation: known.generation + 1 }));
@@ -130,7 +130,7 @@
   }
 
   /** Takes over what was agreed on. */
-  addAgreed(now: number, records: readonly CrashRecord[]): void {
+  addCommitted(now: number, records: readonly CrashRecord[]): void {
     for (const record of records) {
       this._agreed.addRecord(record);
       this._add(now, record);
@@ -168,7 +168,7 @@
 
   private _delayTrial(now: number, digest: string): void {
     this._trialAt.delete(digest);
-    this._trialAt.set(digest, now + DOUBT_MS);
+    this._trialAt.set(digest, now + TRIAL_DELAY_MS);
     if (this._trialAt.size > KEPT_AT_ENTRY) this._trialAt.delete(this._trialAt.keys().next().value!);
   }
 
@@ -179,7 +179,7 @@
 
   private _keepPending(digest: string): void {
     const record = this._table.getRecord(digest);
-    const isAgreed = record === undefined || isCrashRecordKnown(record, this._agreed.getRecord(digest));
+    const isAgreed = record === undefined || isCrashRecordIncluded(record, this._agreed.getRecord(digest));
     if (isAgreed) this._pending.delete(digest);
     else this._pending.set(digest, this._pending.get(digest) ?? 0);
   }
--- a/src/containment/CrashTable.ts
+++ b/src/containment/CrashTable.ts
@@ -6,7 +6,7 @@
  * between, while the others either come to a good end or were not there. Pure.
  */
 import type { CrashRecord, RequestCrash } from "../gen/ploverstage/v1/state_pb";
-import { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
+import { getCrashDepth, isCrashRecordIncluded, joinCrashRecords } from "./crashRecords";
 
 /** So many crashes in a row prove a request guilty, whatever else ran beside it. */
 const PROVEN_DEPTH = 3;
@@ -53,7 +53,7 @@
    */
   addRecord(record: CrashRecord): CrashRecord | undefined {
     const known = this._records.get(record.digest);
-    if (isCrashRecordKnown(record, known)) return undefined;
+    if (isCrashRecordIncluded(record, known)) return undefined;
     const joined = joinCrashRecords(known ?? record, record);
     this._remove(record.digest);
     this._records.set(record.digest, joined);
--- a/src/containment/crashRecords.ts
+++ b/src/containment/crashRecords.ts
@@ -34,7 +34,7 @@
 }
 
 /** Checks whether an account says nothing that another one does not. */
-export function isCrashRecordKnown(record: CrashRecord, known: CrashRecord | undefined): boolean {
+export function isCrashRecordIncluded(record: CrashRecord, known: CrashRecord | undefined): boolean {
   if (known === undefined) {
     return record.generation === 0 && record.crashes.length === 0 && record.releases === 0;
   }
--- a/src/containment/index.ts
+++ b/src/containment/index.ts
@@ -1,13 +1,13 @@
 /** What requests did to the endpoints that ran them, and which requests are kept away from endpoints. */
 export {
-  type Admittance,
+  type AdmissionDecision,
   CrashLedger,
-  DOUBT_MS,
-  KEPT_CRASH_RECORDS,
+  MAX_CRASH_RECORDS,
   type ObservedCrash,
+  TRIAL_DELAY_MS,
 } from "./CrashLedger";
 export { CrashTable, type CrashVerdict } from "./CrashTable";
 export { checkCrashRecord } from "./checkCrashRecord";
-export { getCrashDepth, isCrashRecordKnown, joinCrashRecords } from "./crashRecords";
+export { getCrashDepth, isCrashRecordIncluded, joinCrashRecords } from "./crashRecords";
 export { getRequestDigest, type RequestContent, type RequestDigest } from "./RequestDigest";
-export { createRelease, isReleaseDue, KEEP_AWAY_MS } from "./release";
+export { BLOCK_MS, createRelease, isReleaseDue } from "./release";
--- a/src/control/ControlProcess.ts
+++ b/src/control/ControlProcess.ts
@@ -19,7 +19,7 @@
   createInitialSnapshot,
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   LeaderGuard,
   LeadershipWatch,
@@ -123,10 +123,10 @@
     }
   }
   const members = peers.map((peer) =>
-    createMember(peer.name, getFirstId(peer.name), peer.address, peer.failureDomain),
+    createMember(peer.name, getBootstrapMemberId(peer.name), peer.address, peer.failureDomain),
   );
   const snapshot = createInitialSnapshot(createMembership(members));
-  await FileStorage.create(dataFolder, getFirstId(settings.process.name), snapshot);
+  await FileStorage.create(dataFolder, getBootstrapMemberId(settings.process.name), snapshot);
 }
 
 async function holdsState(address: string, secret: string): Promise<boolean> {
--- a/src/control/Leadership.ts
+++ b/src/control/Leadership.ts
@@ -119,13 +119,13 @@
     return {
       instances: this._getInstanceFacts(configuration),
       replicas,
-      isClear: this.leases.isClear(now),
+      areOldLeasesExpired: this.leases.haveEarlierLeasesExpired(now),
       retiredInForce: new Set(
         retiring
           .filter((replica) => this.leases.isAssignmentInForce(now, replica.changedAtIndex))
           .map((replica) => replica.id),
       ),
-      drained: new Set(
+      drainedReplicas: new Set(
         retiring
           .filter((replica) => now - this._retiringSince.get(replica.id)! > configuration.timing.drain)
           .map((replica) => replica.id),
@@ -216,7 +216,7 @@
     this.monitor.presence.update(now, presenceWindow, configuration.planning.maxWait);
     this.leases.removeExpired(now, lease);
     this.entries.removeUnleased(now, this.leases);
-    this.burn.removeOld(getMinute(this._options.clock.getWallMs()));
+    this.burn.removeExpired(getMinute(this._options.clock.getWallMs()));
   }
 
   private _reportLosses(): void {
--- a/src/control/routes/entryRoutes.ts
+++ b/src/control/routes/entryRoutes.ts
@@ -56,7 +56,7 @@
 
 /** A request whose entry is gone will never be told of: whether it ran is unknown for good. */
 function describeExisting(leadership: Leadership, claim: RequestClaim, now: number): RequestClaim {
-  if (claim.state !== ClaimState.RUNNING || !leadership.leases.isClear(now)) return claim;
+  if (claim.state !== ClaimState.RUNNING || !leadership.leases.haveEarlierLeasesExpired(now)) return claim;
   const isLive = leadership.leases.getLiveHolders(now).some((holder) => holder.entryId === claim.entryId);
   return isLive ? claim : { ...claim, state: ClaimState.UNKNOWN };
 }
--- a/src/control/routes/operatorRoutes.ts
+++ b/src/control/routes/operatorRoutes.ts
@@ -6,7 +6,7 @@
 import { InvalidFile } from "../../errors";
 import { ApplyOutcome, type ApplyRequest, OperatorService } from "../../gen/ploverstage/v1/control_pb";
 import type { LeaderGuard } from "../../membership";
-import type { Result } from "../../state";
+import type { CommandResult } from "../../state";
 import type { ConfigurationCache } from "../ConfigurationCache";
 import type { Leadership } from "../Leadership";
 import { createLossStatuses, createStatus } from "./status";
@@ -34,7 +34,7 @@
       return guard.run((leadership) => {
         const now = clock.getMonotonicMs();
         const inForce = leadership.leases.isConfigurationInForce(now, request.version);
-        const holders = leadership.leases.getHoldersBefore(now, request.version);
+        const holders = leadership.leases.getOutdatedHolders(now, request.version);
         return { inForce, waitingFor: holders.map((holder) => holder.entryId) };
       });
     },
@@ -90,7 +90,7 @@
   return toApplyResponse(result);
 }
 
-function toApplyResponse(result: Result | undefined) {
+function toApplyResponse(result: CommandResult | undefined) {
   if (result?.kind === "acceptedConfiguration") {
     return { outcome: ApplyOutcome.ACCEPTED, version: result.version };
   }
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -140,7 +140,7 @@
     const probe = () => {
       const timing = view.configuration?.declared.timing;
       router.probe(timing?.presenceWindow ?? CONNECT_MS);
-      router.followCaches(timing?.presenceWindow ?? CONNECT_MS);
+      router.fetchCacheEvents(timing?.presenceWindow ?? CONNECT_MS);
       probeTimer = setTimeout(probe, timing?.probe ?? DEFAULT_PROBE_MS);
     };
     probe();
@@ -150,7 +150,7 @@
     }, UPDATE_MS);
     const reports = setInterval(() => {
       metrics.gauge("queue_length", admission.queueLength);
-      metrics.gauge("lease_left_ms", keeper.lease.getLeftMs(clock.getMonotonicMs()));
+      metrics.gauge("lease_left_ms", keeper.lease.getRemainingMs(clock.getMonotonicMs()));
       metrics.gauge("configuration_version", view.configuration?.version ?? 0);
       metrics.gauge("assignment_index", view.assignmentIndex);
     }, REPORT_MS);
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -5,7 +5,7 @@
 import { Connections, listen } from "../http";
 import type { EntryLease } from "../leases";
 import type { LoadFacts } from "../policy";
-import { answerHealth } from "../process";
+import { handleHealthRequest } from "../process";
 import { createAnswerWriter, writeRefusal } from "./AnswerWriter";
 import type { Claims } from "./Claims";
 import type { ActiveConfiguration, ClusterView } from "./ClusterView";
@@ -93,12 +93,12 @@
   /** Serves on, but ends each connection with its answer. */
   announceStop(): void {
     this._isStopping = true;
-    this._connections.announceEnd();
+    this._connections.announceClose();
   }
 
   /** Stops listening; resolves once every answer is over and no caller uses its connection any more. */
   async stop(): Promise<void> {
-    await this._connections.end(MAX_ACCEPT_MS);
+    await this._connections.drain(MAX_ACCEPT_MS);
     this._server.close();
   }
 
@@ -123,7 +123,7 @@
 
   /** Answers what needs no endpoint. */
   private _answerQuestion(url: string, response: ServerResponse): boolean {
-    if (answerHealth(url, response, () => this.getUnreadyReason())) return true;
+    if (handleHealthRequest(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
     else if (url === "/v1/models") sendJson(response, this._createModels());
     else return false;
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from "../../clock";
 import type { RandomSource } from "../../consensus";
-import { AdmissionQueue, type Refused, type Ticket } from "../../routing";
+import { AdmissionQueue, type AdmissionRefusal, type Ticket } from "../../routing";
 import { Refusal, type RefusalCode } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
@@ -19,7 +19,7 @@
   /** Checks whether a target has any endpoint at all. */
   hasEndpoint(now: number, target: string): boolean;
   /** Code of the refusal when it has none. */
-  readonly absenceCode: RefusalCode;
+  readonly unavailableCode: RefusalCode;
 }
 
 interface Waiter {
@@ -31,7 +31,7 @@
 
 /** Retry times are spread by this share, so that callers don't all return together. */
 const RETRY_SPREAD = 0.5;
-const CODES: Readonly<Record<Refused["reason"], RefusalCode>> = {
+const CODES: Readonly<Record<AdmissionRefusal["reason"], RefusalCode>> = {
   queueFull: "queue_full",
   infeasible: "deadline_infeasible",
   expired: "deadline_expired",
@@ -113,7 +113,7 @@
   }
 
   /** Makes a refusal whose time to come back is spread. */
-  createRefusal(refused: Refused): Refusal {
+  createRefusal(refused: AdmissionRefusal): Refusal {
     return new Refusal({
       code: CODES[refused.reason],
       outcome: "not-run",
@@ -180,7 +180,7 @@
 
   private _createAbsence<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
     return new Refusal({
-      code: placer.absenceCode,
+      code: placer.unavailableCode,
       outcome: "not-run",
       reason: `nothing serves "${request.target}" now`,
       retryAfterMs: this.spread(ABSENCE_RETRY_MS),
@@ -189,7 +189,7 @@
 }
 
 const ABSENCE_RETRY_MS = 2_000;
-const REASONS: Readonly<Record<Refused["reason"], string>> = {
+const REASONS: Readonly<Record<AdmissionRefusal["reason"], string>> = {
   queueFull: "too many requests wait already",
   infeasible: "it could not be answered before its deadline",
   expired: "it could not be answered before its deadline any more",
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -13,7 +13,7 @@
 import type { ServiceEndpoint } from "../../gen/ploverstage/v1/control_pb";
 import type { HttpClient } from "../../http";
 import type { EntryLease } from "../../leases";
-import { type Candidate, EndpointPool, RetryBudget, WeighedPlacement, type Work } from "../../routing";
+import { type Candidate, EndpointPool, LeastWorkPlacement, RetryBudget, type Work } from "../../routing";
 import { ANSWER_HEADER } from "../AnswerWriter";
 import type { Claims } from "../Claims";
 import type { ActiveConfiguration, ClusterView } from "../ClusterView";
@@ -71,7 +71,7 @@
   private readonly _options: ServiceDispatchOptions;
   private readonly _budget = new RetryBudget();
   private readonly _pool = new EndpointPool();
-  private readonly _placement = new WeighedPlacement();
+  private readonly _placement = new LeastWorkPlacement();
 
   /**
    * @param options - Clock, view, client and the other parts of the entry.
@@ -171,7 +171,7 @@
 
   private _createPlacer(active: ActiveConfiguration, excluded: ReadonlySet<string>): Placer<ServiceRoute> {
     return {
-      absenceCode: "no_endpoint",
+      unavailableCode: "no_endpoint",
       tryPlace: (now, request) => this._tryPlace(now, request, active, excluded),
       getSlots: (now, target) => {
         const endpoints = this._getOpenEndpoints(now, target, excluded);
--- a/src/gateway/CrashMonitor.ts
+++ b/src/gateway/CrashMonitor.ts
@@ -8,7 +8,7 @@
  * turn every 0.3 s.
  */
 import { pause } from "../clock";
-import type { Admittance, CrashLedger, RequestDigest } from "../containment";
+import type { AdmissionDecision, CrashLedger, RequestDigest } from "../containment";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
@@ -61,7 +61,7 @@
    * Decides whether a request may be sent to endpoints.
    * @param getDigest - Only called when the ledger contains crashes.
    */
-  admit(now: number, getDigest: () => RequestDigest): Admittance {
+  admit(now: number, getDigest: () => RequestDigest): AdmissionDecision {
     const { ledger } = this._options;
     return ledger.isEmpty ? "admitted" : ledger.admit(now, getDigest());
   }
@@ -69,13 +69,13 @@
   /** Checks whether a request is blocked from endpoints at the moment. */
   isBlocked(now: number, getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isKeptAway(now, getDigest());
+    return !ledger.isEmpty && ledger.isBlocked(now, getDigest());
   }
 
   /** Checks whether a request is the confirmed cause of crashes. */
   isConfirmedCause(getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
-    return !ledger.isEmpty && ledger.isProven(getDigest());
+    return !ledger.isEmpty && ledger.isConfirmedCause(getDigest());
   }
 
   /**
@@ -104,8 +104,8 @@
     const { ledger, logger, metrics } = this._options;
     const digests = records.map(({ digest }) => digest);
     const oldVerdicts = digests.map((digest) => ledger.getVerdict(digest));
-    ledger.addAgreed(now, records);
-    metrics.gauge("gateway_kept_away", ledger.countProven());
+    ledger.addCommitted(now, records);
+    metrics.gauge("gateway_kept_away", ledger.countConfirmedCauses());
     for (const [i, digest] of digests.entries()) {
       const verdict = ledger.getVerdict(digest);
       if (verdict !== oldVerdicts[i])
@@ -121,7 +121,7 @@
     const { ledger, logger, onChange } = this._options;
     if (ledger.isEmpty) return;
     const digest = getDigest();
-    if (!ledger.addGoodEnd(now, digest)) return;
+    if (!ledger.addSuccess(now, digest)) return;
     logger.info({ event: "request_cleared", digest });
     onChange();
   }
@@ -141,7 +141,7 @@
       ran_ms: Math.round(brokeAt - startedAt),
       answered: wasAnswered,
       depth,
-      kept_away: ledger.isKeptAway(brokeAt, digest),
+      kept_away: ledger.isBlocked(brokeAt, digest),
     });
     onChange();
   }
--- a/src/gateway/GatewayRefusal.ts
+++ b/src/gateway/GatewayRefusal.ts
@@ -1,6 +1,6 @@
 /** Refusals with which the gateway itself ends a request. */
 import { Data } from "effect";
-import { DOUBT_MS, KEEP_AWAY_MS } from "../containment";
+import { BLOCK_MS, TRIAL_DELAY_MS } from "../containment";
 
 /** Refusal codes, as written to logs and answers. */
 export type GatewayRefusalCode =
@@ -46,7 +46,7 @@
 export function createBlockedRefusal(isConfirmedCause: boolean): GatewayRefusal {
   const reason =
     "the last endpoints that ran this request crashed while running it, so it is blocked temporarily";
-  return createNotRunRefusal("kept_away", reason, isConfirmedCause ? KEEP_AWAY_MS : DOUBT_MS);
+  return createNotRunRefusal("kept_away", reason, isConfirmedCause ? BLOCK_MS : TRIAL_DELAY_MS);
 }
 
 /** Creates the refusal of a request that may have run. */
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -159,7 +159,7 @@
   /** Continues to serve, but closes each connection after its answer. */
   announceStop(): void {
     this._isStopping = true;
-    this._connections.announceEnd();
+    this._connections.announceClose();
   }
 
   /** Refuses new requests; those in progress continue. */
@@ -181,7 +181,7 @@
    * @param maxAcceptMs - How long callers that keep connecting may delay this.
    */
   async endConnections(maxAcceptMs: number): Promise<void> {
-    await this._connections.end(maxAcceptMs);
+    await this._connections.drain(maxAcceptMs);
   }
 
   /** Closes the server and all its connections. */
--- a/src/http/Connections.ts
+++ b/src/http/Connections.ts
@@ -49,7 +49,7 @@
   }
 
   /** Has each answer from now on tell its caller that its connection ends with it. */
-  announceEnd(): void {
+  announceClose(): void {
     this._isEnding = true;
   }
 
@@ -57,8 +57,8 @@
    * Takes no new connections; resolves once those that are open have been used a last time, or rest.
    * @param maxAcceptMs - How long callers that connect without a pause may hold that up.
    */
-  async end(maxAcceptMs: number): Promise<void> {
-    this.announceEnd();
+  async drain(maxAcceptMs: number): Promise<void> {
+    this.announceClose();
     await this._acceptAll(this._getNow() + maxAcceptMs);
     // The HTTP server's own close would end resting connections at once, with what is on its way to them.
     NetServer.prototype.close.call(this._server);
--- a/src/http/HttpClient.ts
+++ b/src/http/HttpClient.ts
@@ -58,7 +58,7 @@
   }
 
   /** Closes connections that carry nothing now: after a suspension the other sides may have closed them long ago. */
-  dropIdle(): void {
+  closeIdle(): void {
     for (const sockets of Object.values(this._agent.freeSockets)) {
       for (const socket of [...(sockets ?? [])]) socket.destroy();
     }
--- a/src/http/JsonServer.ts
+++ b/src/http/JsonServer.ts
@@ -1,7 +1,7 @@
 /** A plain server of HTTP/1.1 whose calls are short and whose answers are JSON. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import { Effect, type Scope } from "effect";
-import type { CallClass, CallOrder } from "../admission";
+import type { CallClass, CallScheduler } from "../admission";
 import { pause } from "../clock";
 import { Connections } from "./Connections";
 import { listen } from "./listen";
@@ -21,7 +21,7 @@
   /** Makes the answer to a call that failed. */
   readonly createFailure: (cause: unknown) => JsonAnswer;
   /** Begins calls at their time. */
-  readonly calls: CallOrder;
+  readonly calls: CallScheduler;
   readonly getCallClass: (path: string) => CallClass;
 }
 
@@ -54,7 +54,7 @@
 
   /** Answers what its callers have sent on connections that they keep, then closes them. */
   async stop(): Promise<void> {
-    await Promise.race([this._connections.end(MAX_ACCEPT_MS), pause(MAX_END_MS)]);
+    await Promise.race([this._connections.drain(MAX_ACCEPT_MS), pause(MAX_END_MS)]);
     this._server.close();
     this._server.closeAllConnections();
   }
--- a/src/leases/EntryLease.ts
+++ b/src/leases/EntryLease.ts
@@ -26,7 +26,7 @@
   }
 
   /** Gets how long the lease still runs, 0 when it has run out. */
-  getLeftMs(now: number): number {
+  getRemainingMs(now: number): number {
     return Math.max(0, this._expiresAt - now);
   }
 }
--- a/src/leases/LeaseTable.ts
+++ b/src/leases/LeaseTable.ts
@@ -67,7 +67,7 @@
   }
 
   /** Checks whether leases of earlier leaders have all run out. */
-  isClear(now: number): boolean {
+  haveEarlierLeasesExpired(now: number): boolean {
     return now >= this._clearAt;
   }
 
@@ -77,18 +77,21 @@
   }
 
   /** Gets live entries that may still act on a configuration older than a version. */
-  getHoldersBefore(now: number, version: number): LeaseHolder[] {
+  getOutdatedHolders(now: number, version: number): LeaseHolder[] {
     return this.getLiveHolders(now).filter((holder) => holder.knownConfiguration < version);
   }
 
   /** Checks whether a configuration version is in force everywhere. */
   isConfigurationInForce(now: number, version: number): boolean {
-    return this.isClear(now) && this.getHoldersBefore(now, version).length === 0;
+    return this.haveEarlierLeasesExpired(now) && this.getOutdatedHolders(now, version).length === 0;
   }
 
   /** Checks whether no lease allows anything that an assignment index has ended. */
   isAssignmentInForce(now: number, index: number): boolean {
-    return this.isClear(now) && this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index);
+    return (
+      this.haveEarlierLeasesExpired(now) &&
+      this.getLiveHolders(now).every((holder) => holder.knownAssignment >= index)
+    );
   }
 
   /** Forgets entries whose lease ran out long ago. */
--- a/src/membership/index.ts
+++ b/src/membership/index.ts
@@ -6,7 +6,7 @@
 export {
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   openDataFolder,
   serveRpc,
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -29,7 +29,7 @@
 const VOTER_PATIENCE_MS = 2_000;
 
 /** Gets the id of a member that is there from the first start. */
-export function getFirstId(name: string): MemberId {
+export function getBootstrapMemberId(name: string): MemberId {
   return MemberId(`${name}.0`);
 }
 
@@ -124,14 +124,14 @@
  * One that votes mostly hears of no leader because there is none yet: it takes part in electing
  * one, and asks nobody meanwhile. Pure.
  */
-export class VoterPatience {
+export class JoinTimeout {
   private _leaderlessSince: number | undefined;
 
   /**
    * Checks whether the member has to ask now.
    * @param isSettling - Whether it hears a leader, or a majority that elects one.
    */
-  isOver(now: number, votes: boolean, isSettling: boolean): boolean {
+  isExpired(now: number, votes: boolean, isSettling: boolean): boolean {
     if (!votes) return true;
     if (isSettling) {
       this._leaderlessSince = undefined;
@@ -157,13 +157,13 @@
     clock,
   };
   let client: LeaderClient<typeof ConsensusService> | undefined;
-  const patience = new VoterPatience();
+  const patience = new JoinTimeout();
   const step = Effect.promise(async () => {
     const { node } = driver;
     const votes = isVoter(node.membership, node.id);
     const now = clock.getMonotonicMs();
     const isSettling = node.leaderId !== "" || node.isElecting(now);
-    if (!patience.isOver(now, votes, isSettling) || getAddresses().length === 0) return;
+    if (!patience.isExpired(now, votes, isSettling) || getAddresses().length === 0) return;
     client ??= new LeaderClient(ConsensusService, clientOptions);
     await client
       .call((leader, timeoutMs) => leader.join({ member }, { timeoutMs }), JOIN_MS)
--- a/src/planner/Planner.ts
+++ b/src/planner/Planner.ts
@@ -10,7 +10,7 @@
 import { FreePool, getLoads } from "./FreePool";
 import type { Action, InstanceFacts, PlanningConfiguration, PlanningFacts } from "./facts";
 import type { GroupView } from "./GroupView";
-import { ExpectedRepair, type RepairPolicy } from "./RepairPolicy";
+import { LeastOutageRepair, type RepairPolicy } from "./RepairPolicy";
 import { StagePlanner } from "./StagePlanner";
 
 /** Reasons told with a change of a replica; also the causes of downtime in reports. */
@@ -50,7 +50,7 @@
   /**
    * @param repair - How long a replica waits for a missing instance.
    */
-  constructor(repair: RepairPolicy = new ExpectedRepair()) {
+  constructor(repair: RepairPolicy = new LeastOutageRepair()) {
     this._repair = repair;
   }
 
@@ -173,9 +173,9 @@
   }
 
   private _releaseIfOver(replica: Replica): void {
-    if (!this._facts.isClear || !this._facts.retiredInForce.has(replica.id)) return;
+    if (!this._facts.areOldLeasesExpired || !this._facts.retiredInForce.has(replica.id)) return;
     const inFlight = this._facts.inFlight.get(replica.id) ?? 0;
-    if (inFlight > 0 && !this._facts.drained.has(replica.id)) return;
+    if (inFlight > 0 && !this._facts.drainedReplicas.has(replica.id)) return;
     this._actions.push({ kind: "releaseReplica", replica });
   }
 
--- a/src/planner/RepairPolicy.ts
+++ b/src/planner/RepairPolicy.ts
@@ -24,7 +24,7 @@
 }
 
 /** Waits as long as is allowed: a baseline. */
-export class WaitingRepair implements RepairPolicy {
+export class LongestWaitRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
   /** Gets the longest wait allowed. */
@@ -57,7 +57,7 @@
 ];
 
 /** Waits as long as makes the expected end of the outage soonest. */
-export class ExpectedRepair implements RepairPolicy {
+export class LeastOutageRepair implements RepairPolicy {
   readonly isLossFinal = false;
 
   /** Gets the wait with the least expected outage; ties go to the shorter one. */
--- a/src/planner/facts.ts
+++ b/src/planner/facts.ts
@@ -54,11 +54,11 @@
   /** Replicas of the agreed state that are not released. */
   readonly replicas: readonly Replica[];
   /** Whether leases of earlier leaders have run out, so that instances may be moved. */
-  readonly isClear: boolean;
+  readonly areOldLeasesExpired: boolean;
   /** Retiring replicas that no lease allows any more. */
   readonly retiredInForce: ReadonlySet<string>;
   /** Retiring replicas whose time to drain is over. */
-  readonly drained: ReadonlySet<string>;
+  readonly drainedReplicas: ReadonlySet<string>;
   /** Requests in flight by replica, as live entries report them. */
   readonly inFlight: ReadonlyMap<string, number>;
   /** How long instances were away lately before they came back, or gave up on; milliseconds. */
--- a/src/planner/index.ts
+++ b/src/planner/index.ts
@@ -3,9 +3,9 @@
 export type * from "./facts";
 export { Planner, REASON } from "./Planner";
 export {
-  ExpectedRepair,
   ImmediateRepair,
+  LeastOutageRepair,
+  LongestWaitRepair,
   type RepairFacts,
   type RepairPolicy,
-  WaitingRepair,
 } from "./RepairPolicy";
--- a/src/registration/CrashRegistry.ts
+++ b/src/registration/CrashRegistry.ts
@@ -7,7 +7,7 @@
  */
 import type { Clock } from "../clock";
 import type { ConsensusDriver } from "../consensus";
-import { checkCrashRecord, createRelease, isCrashRecordKnown, isReleaseDue } from "../containment";
+import { checkCrashRecord, createRelease, isCrashRecordIncluded, isReleaseDue } from "../containment";
 import type { InvalidCrashRecord } from "../errors";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger } from "../metrics";
@@ -41,7 +41,7 @@
   async addRecords(records: readonly CrashRecord[]): Promise<void> {
     const { machine } = this._options.driver;
     const isNew = (record: CrashRecord) =>
-      this._isValid(record) && !isCrashRecordKnown(record, machine.getCrashRecord(record.digest));
+      this._isValid(record) && !isCrashRecordIncluded(record, machine.getCrashRecord(record.digest));
     const newRecords = records.filter(isNew);
     if (newRecords.length > 0) await this._propose(newRecords);
   }
@@ -55,7 +55,7 @@
     const wallNow = clock.getWallMs();
     const due = machine.getCrashRecords().filter((record) => isReleaseDue(wallNow, record));
     if (due.length === 0) return;
-    await this._propose(due.map((record) => createRelease(record, machine.isProven(record.digest))));
+    await this._propose(due.map((record) => createRelease(record, machine.isConfirmedCause(record.digest))));
     logger.info({ event: "requests_released", digests: due.map(({ digest }) => digest) });
   }
 
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -7,8 +7,8 @@
  */
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
-import { CallOrder } from "../admission";
-import { getProcessorMs, getSuspensionClock, LoopLag, SystemClock } from "../clock";
+import { CallScheduler } from "../admission";
+import { EventLoopLag, getProcessorMs, getSuspensionClock, SystemClock } from "../clock";
 import { createMembership, getVoterCount } from "../consensus";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
 import { splitAddress } from "../http";
@@ -19,7 +19,7 @@
   createInitialSnapshot,
   createMember,
   createMemberDriver,
-  getFirstId,
+  getBootstrapMemberId,
   joinMembership,
   LeaderGuard,
   LeadershipWatch,
@@ -28,7 +28,7 @@
   serveRpc,
 } from "../membership";
 import { CallLoad, type Logger, type Metrics, WorkMeter } from "../metrics";
-import { LoadWatch, SuspensionWatch } from "../process";
+import { LoadMonitor, SuspensionMonitor } from "../process";
 import { createCallCounter, TransportPool } from "../rpc";
 import type { FleetControlSettings, LiveSettings } from "../settings";
 import { ControlCallCounter } from "./ControlCallCounter";
@@ -104,7 +104,7 @@
     const loopLag = yield* Effect.acquireRelease(
       Effect.sync(
         () =>
-          new LoopLag(clock, ({ lagMs, cpuMs }) =>
+          new EventLoopLag(clock, ({ lagMs, cpuMs }) =>
             logger.warn({
               event: "process_stalled",
               lag_ms: Math.round(lagMs),
@@ -152,16 +152,16 @@
     });
     const guard = new LeaderGuard(driver, getLeadership);
     const callLoad = new CallLoad(options.metrics);
-    const callOrder = new CallOrder(options.metrics);
+    const callOrder = new CallScheduler(options.metrics);
     yield* Effect.acquireRelease(
       Effect.sync(
-        () => new LoadWatch({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
+        () => new LoadMonitor({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
       ),
       (started) => Effect.sync(() => started.stop()),
     );
     const serverOptions = {
       interceptors: [createCallCounter(callLoad, clock)],
-      onSession: () => callLoad.addSession(),
+      onSession: () => callLoad.recordSession(),
       calls: callOrder,
     };
     const addRoutes = (router: ConnectRouter) => {
@@ -189,11 +189,11 @@
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
     );
-    const suspensionWatch = new SuspensionWatch({
+    const suspensionWatch = new SuspensionMonitor({
       clock: getSuspensionClock(),
       logger,
       metrics: options.metrics,
-      onWake: () => relay.restart(),
+      onResume: () => relay.restart(),
     });
     yield* Effect.acquireRelease(
       Effect.sync(() => suspensionWatch.start()),
@@ -269,10 +269,10 @@
   if (isBootstrapMember && (await FileStorage.getMemberId(dataFolder)) === undefined) {
     const bootstrapMembers = [...seeds]
       .sort()
-      .map((seed) => createMember(seed, getFirstId(seed), getRpcAddress(settings, seed), ""));
+      .map((seed) => createMember(seed, getBootstrapMemberId(seed), getRpcAddress(settings, seed), ""));
     await FileStorage.create(
       dataFolder,
-      getFirstId(publicAddress),
+      getBootstrapMemberId(publicAddress),
       createInitialSnapshot(createMembership(bootstrapMembers)),
     );
     logger.info({ event: "data_folder_founded", founders: seeds });
--- a/src/registration/FollowedView.ts
+++ b/src/registration/FollowedView.ts
@@ -5,7 +5,7 @@
  * committed, and the highest version applies, whichever process publishes it. A declaration with a lower
  * version than the current one is dropped, so that a watcher never returns to an older declaration. Pure.
  */
-import { CrashTable, KEPT_CRASH_RECORDS } from "../containment";
+import { CrashTable, MAX_CRASH_RECORDS } from "../containment";
 import type { EntryEndpoint, Target, ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord, Declaration } from "../gen/ploverstage/v1/state_pb";
 
@@ -21,7 +21,7 @@
   private _entryCount = 0;
   private _controlAddresses: readonly string[] = [];
   private _declaration: Declaration | undefined;
-  private readonly _crashes = new CrashTable(KEPT_CRASH_RECORDS);
+  private readonly _crashes = new CrashTable(MAX_CRASH_RECORDS);
   private _term = RECOVERED_TERM;
 
   /** Gets the term of the newest leader whose view was received. */
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -54,9 +54,9 @@
     return {
       instances,
       replicas,
-      isClear: true,
+      areOldLeasesExpired: true,
       retiredInForce: ended,
-      drained: ended,
+      drainedReplicas: ended,
       inFlight: new Map(),
       absences: [],
     };
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -7,7 +7,7 @@
  * them acknowledges them and forwards them to the leader a moment later.
  */
 
-import type { CallOrder } from "../admission";
+import type { CallScheduler } from "../admission";
 import { type Clock, pause } from "../clock";
 import { type Declaration, type DeclarationFormat, packDocument, unpackDocument } from "../declaration";
 import { InvalidReport, UnreachableControl } from "../errors";
@@ -18,7 +18,7 @@
   InstanceReport,
 } from "../gen/ploverstage/v1/fleet_pb";
 import type { Declaration as CommittedDeclaration } from "../gen/ploverstage/v1/state_pb";
-import type { Life } from "../ids";
+import type { Incarnation } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import { CallTrace, type LeaderClient } from "../rpc";
 import type { ControlCallCounter } from "./ControlCallCounter";
@@ -36,7 +36,7 @@
    * Checks whether an incarnation has departed, according to the committed state that this process has
    * applied.
    */
-  readonly hasDeparted: (incarnation: Life) => boolean;
+  readonly hasDeparted: (incarnation: Incarnation) => boolean;
   /** Checks whether this process had contact with a leader recently enough to accept reports for it. */
   readonly hasLeaderContact: () => boolean;
   /** Gets the entries that callers may use; without a current list, the last known entries. */
@@ -45,7 +45,7 @@
   readonly sender: ReportSender;
   readonly calls: ControlCallCounter;
   /** The order in which calls begin, including calls over the platform. */
-  readonly callOrder: CallOrder;
+  readonly callOrder: CallScheduler;
   readonly client: LeaderClient<typeof FleetService>;
   readonly getSeeds: () => readonly string[];
   readonly format: DeclarationFormat;
@@ -90,7 +90,7 @@
   }
 
   /** Gets the order in which this process begins calls. */
-  get callOrder(): CallOrder {
+  get callOrder(): CallScheduler {
     return this._options.callOrder;
   }
 
@@ -168,7 +168,7 @@
       bytes: document.length,
       took_ms: this._getElapsedMs(receivedAt),
       leader: trace.lastAddress,
-      tries: trace.tries,
+      tries: trace.attemptCount,
       failures: trace.getFailures(),
     });
     const { logger, metrics } = this._options;
@@ -195,7 +195,7 @@
       this._options.logger.warn({
         event: "declaration_unread",
         took_ms: this._getElapsedMs(receivedAt),
-        tries: trace.tries,
+        tries: trace.attemptCount,
         failures: trace.getFailures(),
         reason: String(cause),
       });
--- a/src/routing/AdmissionQueue.ts
+++ b/src/routing/AdmissionQueue.ts
@@ -26,7 +26,7 @@
 }
 
 /** Why a ticket was refused, and when to come back. */
-export interface Refused {
+export interface AdmissionRefusal {
   readonly reason: "queueFull" | "infeasible" | "expired";
   readonly retryAfterMs: number;
 }
@@ -76,7 +76,7 @@
   }
 
   /** Gets why a ticket can't be answered before its deadline, if it can't. */
-  getInfeasibility(now: number, ticket: Ticket): Refused | undefined {
+  getInfeasibility(now: number, ticket: Ticket): AdmissionRefusal | undefined {
     const serviceMs = this._getTarget(ticket.target).rate.getServiceMs(ticket.cost);
     const lateMs = now + this.getWaitMs(ticket) + serviceMs - ticket.deadlineAt;
     return lateMs > 0 ? this._refuse("infeasible", lateMs) : undefined;
@@ -87,7 +87,7 @@
    * @param maxLength - Tickets that may wait.
    * @returns Why it was refused; `undefined` when it waits now.
    */
-  add(ticket: Ticket, maxLength: number): Refused | undefined {
+  add(ticket: Ticket, maxLength: number): AdmissionRefusal | undefined {
     if (this._length >= maxLength) return this._refuse("queueFull", this.getWaitMs(ticket));
     const level = this._getLevel(ticket);
     const queue = getOrganisationQueue(level, ticket);
@@ -125,8 +125,8 @@
   }
 
   /** Takes out tickets that can't be answered in time any more. */
-  takeExpired(now: number): { ticket: Ticket; refused: Refused }[] {
-    const expired: { ticket: Ticket; refused: Refused }[] = [];
+  takeExpired(now: number): { ticket: Ticket; refused: AdmissionRefusal }[] {
+    const expired: { ticket: Ticket; refused: AdmissionRefusal }[] = [];
     for (const [name, target] of this._targets) {
       for (const level of target.levels.values()) {
         for (const queue of level.organisations.values()) {
@@ -181,7 +181,7 @@
     return undefined;
   }
 
-  private _refuse(reason: Refused["reason"], ms: number): Refused {
+  private _refuse(reason: AdmissionRefusal["reason"], ms: number): AdmissionRefusal {
     return { reason, retryAfterMs: Math.max(MIN_RETRY_MS, ms > 0 ? ms : DEFAULT_RETRY_MS) };
   }
 
--- a/src/routing/Placement.ts
+++ b/src/routing/Placement.ts
@@ -40,7 +40,7 @@
 const SAMPLE_SIZE = 3;
 
 /** Weighs queued work against the prefill that a held prefix saves. */
-export class WeighedPlacement implements Placement {
+export class LeastWorkPlacement implements Placement {
   private readonly _reuseWeight: number;
   private readonly _sampleSize: number;
 
--- a/src/routing/PrefixTable.ts
+++ b/src/routing/PrefixTable.ts
@@ -66,7 +66,7 @@
   }
 
   /** Gets how many leading characters of a prompt a replica probably holds. */
-  getHeldCharacters(replicaId: string, digests: PrefixDigests): number {
+  getCachedCharacters(replicaId: string, digests: PrefixDigests): number {
     const known = this._replicas.get(replicaId);
     if (known === undefined) return 0;
     for (let blocks = digests.length; blocks > 0; blocks--) {
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,14 +1,14 @@
 /** Decisions about where and whether a request goes. */
-export { AdmissionQueue, type Refused, type Ticket } from "./AdmissionQueue";
+export { AdmissionQueue, type AdmissionRefusal, type Ticket } from "./AdmissionQueue";
 export { EndpointHealth } from "./EndpointHealth";
 export { type EndpointFacts, EndpointPool, getSlowness, Work, type WorkEnd } from "./EndpointPool";
 export {
   type Candidate,
   LeastReportedPlacement,
+  LeastWorkPlacement,
   OwnInFlightPlacement,
   type Placement,
   RoundRobinPlacement,
-  WeighedPlacement,
 } from "./Placement";
 export { BLOCK_CHARACTERS, getPrefixDigests, type PrefixDigests, PrefixTable } from "./PrefixTable";
 export { RetryBudget } from "./RetryBudget";
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -11,13 +11,13 @@
 } from "node:http2";
 import type { ConnectRouter, Interceptor } from "@connectrpc/connect";
 import { connectNodeAdapter } from "@connectrpc/connect-node";
-import type { CallOrder } from "../admission";
+import type { CallScheduler } from "../admission";
 import { SystemClock } from "../clock";
 import { ConsensusService } from "../gen/ploverstage/v1/consensus_pb";
 import { listen } from "../http";
 import { getCallClass } from "./callClasses";
 import { SESSION_SETTINGS, widenWindow } from "./flowControl";
-import { SessionPings } from "./SessionPings";
+import { SessionPings } from "./SessionPinger";
 
 /** What a server serves, and to whom. */
 export interface RpcServerOptions {
@@ -26,7 +26,7 @@
   readonly routes: (router: ConnectRouter) => void;
   readonly interceptors: Interceptor[];
   /** Begins calls at their time; each begins as it comes in without it. */
-  readonly calls?: CallOrder;
+  readonly calls?: CallScheduler;
   /** Called when a peer has opened a session. */
   readonly onSession?: () => void;
 }
@@ -99,7 +99,7 @@
 }
 
 function addCall(
-  calls: CallOrder,
+  calls: CallScheduler,
   serve: ReturnType<typeof connectNodeAdapter>,
   request: Http2ServerRequest,
   response: Http2ServerResponse,
--- a/src/state/Result.ts
+++ b/src/state/CommandResult.ts
@@ -58,7 +58,7 @@
 }
 
 /** Any result of a command. */
-export type Result =
+export type CommandResult =
   | AcceptedConfiguration
   | ConflictingConfiguration
   | ChangedReplica
--- a/src/state/StateMachine.ts
+++ b/src/state/StateMachine.ts
@@ -6,7 +6,7 @@
  */
 import { clone, create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import { getConfigurationDigest } from "../configuration/ConfigurationPatch";
-import { CrashTable, KEPT_CRASH_RECORDS } from "../containment";
+import { CrashTable, MAX_CRASH_RECORDS } from "../containment";
 import type { LogEntry } from "../gen/ploverstage/v1/consensus_pb";
 import {
   type ClaimRequest,
@@ -33,9 +33,9 @@
   type State,
   StateSchema,
 } from "../gen/ploverstage/v1/state_pb";
-import { getLifeKey, type Life, type LifeKey } from "../ids";
-import { ClaimOrder } from "./ClaimOrder";
-import type { Result } from "./Result";
+import { getIncarnationKey, type Incarnation, type IncarnationKey } from "../ids";
+import { ClaimOrder } from "./ClaimQueue";
+import type { CommandResult } from "./CommandResult";
 
 /** Configurations whose whole text is kept; older ones keep their digest. */
 const KEPT_TEXTS = 20;
@@ -50,8 +50,8 @@
 export class StateMachine {
   private readonly _state: State;
   private readonly _claimOrder: ClaimOrder;
-  private readonly _departed: Map<LifeKey, Departure>;
-  private readonly _crashes = new CrashTable(KEPT_CRASH_RECORDS);
+  private readonly _departed: Map<IncarnationKey, Departure>;
+  private readonly _crashes = new CrashTable(MAX_CRASH_RECORDS);
   private _crashIndex = 0;
 
   /**
@@ -61,7 +61,9 @@
     this._state =
       snapshot === undefined ? create(StateSchema, { nextEpoch: 1 }) : fromBinary(StateSchema, snapshot);
     this._claimOrder = new ClaimOrder(Object.values(this._state.claims));
-    this._departed = new Map(this._state.departures.map((departure) => [getLifeKey(departure), departure]));
+    this._departed = new Map(
+      this._state.departures.map((departure) => [getIncarnationKey(departure), departure]),
+    );
     for (const record of this._state.crashRecords) {
       this._crashes.addRecord(record);
       this._crashIndex = Math.max(this._crashIndex, record.changedAtIndex);
@@ -131,14 +133,14 @@
    * Checks whether a life of an instance said that it leaves. Where the start of the one that did is not
    * known, every life that had begun by then counts as left.
    */
-  hasDeparted(life: Life): boolean {
-    if (this._departed.has(getLifeKey(life))) return true;
-    const unborn = this._departed.get(getLifeKey({ instanceId: life.instanceId, born: 0 }));
+  hasDeparted(life: Incarnation): boolean {
+    if (this._departed.has(getIncarnationKey(life))) return true;
+    const unborn = this._departed.get(getIncarnationKey({ instanceId: life.instanceId, born: 0 }));
     return unborn !== undefined && life.born <= unborn.atMs;
   }
 
   /** Gets the lives that said that they leave, the newest ones. */
-  getDepartures(): Life[] {
+  getDepartures(): Incarnation[] {
     return [...this._departed.values()];
   }
 
@@ -158,7 +160,7 @@
   }
 
   /** Checks whether a request is proven guilty of the ends of instances that ran it. */
-  isProven(digest: string): boolean {
+  isConfirmedCause(digest: string): boolean {
     return this._crashes.getVerdict(digest) === "proven";
   }
 
@@ -172,7 +174,7 @@
    * Applies a committed entry.
    * @returns The command's result; `undefined` for entries without a command.
    */
-  apply(entry: LogEntry): Result | undefined {
+  apply(entry: LogEntry): CommandResult | undefined {
     this._state.appliedIndex = entry.index;
     if (entry.body.case !== "command") return undefined;
     const command = fromBinary(CommandSchema, entry.body.value).body;
@@ -198,7 +200,7 @@
     }
   }
 
-  private _setConfiguration(index: number, change: SetConfiguration): Result {
+  private _setConfiguration(index: number, change: SetConfiguration): CommandResult {
     const seen = this._state.changeOutcomes[change.changeId];
     if (seen !== undefined) return { kind: "acceptedConfiguration", version: Number(seen) };
     const newest = this.getConfiguration();
@@ -229,7 +231,7 @@
     delete this._state.changeOutcomes[forgotten.changeId];
   }
 
-  private _formReplica(index: number, form: FormReplica): Result {
+  private _formReplica(index: number, form: FormReplica): CommandResult {
     const holders = this._getHolders();
     const taken = form.members.find((member) => holders.has(member.instanceId));
     if (taken !== undefined) {
@@ -270,7 +272,7 @@
     return holders;
   }
 
-  private _moveReplica(index: number, move: MoveReplica): Result {
+  private _moveReplica(index: number, move: MoveReplica): CommandResult {
     const replica = this._state.replicas[move.replicaId];
     if (replica === undefined || replica.epoch !== move.epoch) {
       return { kind: "refusedReplica", reason: `${move.replicaId} has no epoch ${move.epoch}` };
@@ -299,7 +301,7 @@
     }
   }
 
-  private _addClaim(request: ClaimRequest): Result {
+  private _addClaim(request: ClaimRequest): CommandResult {
     const now = this._advanceClock(request.atMs);
     this._forgetOldClaims(now - request.retentionMs);
     const existing = this._state.claims[request.key];
@@ -327,7 +329,7 @@
     }
   }
 
-  private _settleClaim(settle: SettleRequest): Result {
+  private _settleClaim(settle: SettleRequest): CommandResult {
     const claim = this._state.claims[settle.key];
     if (claim === undefined || claim.requestId !== settle.requestId) return { kind: "settledClaim" };
     if (claim.state !== ClaimState.RUNNING) return { kind: "settledClaim" };
@@ -340,7 +342,7 @@
     return { kind: "settledClaim" };
   }
 
-  private _putDeclaration(put: PutDeclaration): Result {
+  private _putDeclaration(put: PutDeclaration): CommandResult {
     const held = this._state.declaration?.version ?? 0;
     if (put.version <= held) return { kind: "heldDeclaration", version: held };
     this._state.declaration = create(DeclarationSchema, {
@@ -351,21 +353,21 @@
     return { kind: "heldDeclaration", version: put.version };
   }
 
-  private _recordDepartures(index: number, record: RecordDepartures): Result {
+  private _recordDepartures(index: number, record: RecordDepartures): CommandResult {
     const atMs = this._advanceClock(record.atMs);
     for (const { instanceId, born } of record.lives) {
       const departure = create(DepartureSchema, { instanceId, born, logIndex: index, atMs });
-      if (this._departed.has(getLifeKey(departure))) continue;
-      this._departed.set(getLifeKey(departure), departure);
+      if (this._departed.has(getIncarnationKey(departure))) continue;
+      this._departed.set(getIncarnationKey(departure), departure);
       this._state.departures.push(departure);
     }
     while (this._state.departures.length > KEPT_DEPARTURES) {
-      this._departed.delete(getLifeKey(this._state.departures.shift()!));
+      this._departed.delete(getIncarnationKey(this._state.departures.shift()!));
     }
     return { kind: "recordedDepartures" };
   }
 
-  private _recordCrashes(index: number, { records, atMs }: RecordCrashes): Result {
+  private _recordCrashes(index: number, { records, atMs }: RecordCrashes): CommandResult {
     const crashedAtMs = this._advanceClock(atMs);
     for (const record of records) {
       const joined = this._crashes.addRecord(record);
--- a/src/state/index.ts
+++ b/src/state/index.ts
@@ -1,3 +1,3 @@
 /** The agreed state and its commands. */
-export type * from "./Result";
+export type * from "./CommandResult";
 export { StateMachine } from "./StateMachine";
--- a/test/admission/CallOrder.test.ts
+++ b/test/admission/CallScheduler.test.ts
@@ -1,10 +1,10 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { type CallClass, CallOrder } from "../../src/admission/CallOrder";
+import { type CallClass, CallScheduler } from "../../src/admission/CallScheduler";
 
 const PER_TURN = 4;
 
 describe("CallOrder", () => {
-  let order: CallOrder;
+  let order: CallScheduler;
   let begun: string[];
   let refused: string[];
   let counted: string[];
@@ -13,7 +13,7 @@
     begun = [];
     refused = [];
     counted = [];
-    order = new CallOrder({
+    order = new CallScheduler({
       increment: (name: string, count: number, labels: Record<string, string>) =>
         counted.push(`${name} ${count} ${labels.class} ${labels.reason}`),
     } as never);
--- a/test/consensus/ConsensusModel.ts
+++ b/test/consensus/ConsensusModel.ts
@@ -26,7 +26,7 @@
   SnapshotSchema,
 } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type Command, CommandSchema, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { type Result, StateMachine } from "../../src/state";
+import { type CommandResult, StateMachine } from "../../src/state";
 import { createLife } from "../support/createLife";
 
 /** One step of a schedule. Indexes are reduced modulo the number of members or messages. */
@@ -472,7 +472,7 @@
     this._recordAcceptedVersion(entry, result);
   }
 
-  private _recordAcceptedVersion(entry: LogEntry, result: Result | undefined): void {
+  private _recordAcceptedVersion(entry: LogEntry, result: CommandResult | undefined): void {
     if (result?.kind !== "acceptedConfiguration") return;
     const known = this._acceptedVersions.get(result.version);
     const content = describeEntry(entry);
--- a/test/consensus/FailureSeries.ts
+++ b/test/consensus/FailureSeries.ts
@@ -29,7 +29,7 @@
   type Snapshot,
   SnapshotSchema,
 } from "../../src/gen/ploverstage/v1/consensus_pb";
-import { VoterPatience } from "../../src/membership/member";
+import { JoinTimeout } from "../../src/membership/member";
 
 /** Failures and changes that the simulation can inject. */
 export const FAILURES = [
@@ -67,7 +67,7 @@
   /** Time until which the machine computes or is paused. */
   busyUntil: number;
   isLeader: boolean;
-  joinTimeout: VoterPatience;
+  joinTimeout: JoinTimeout;
   nextJoinAt: number;
   /** Names of the machines configured as seeds when the machine started. */
   seeds: readonly string[];
@@ -320,7 +320,7 @@
       node: undefined,
       busyUntil: 0,
       isLeader: false,
-      joinTimeout: new VoterPatience(),
+      joinTimeout: new JoinTimeout(),
       nextJoinAt: 0,
       seeds: [],
     };
@@ -344,7 +344,7 @@
     });
     machine.busyUntil = this._now;
     machine.isLeader = false;
-    machine.joinTimeout = new VoterPatience();
+    machine.joinTimeout = new JoinTimeout();
     machine.seeds = this.machines.slice(0, BOOTSTRAP_MEMBERS).map(({ name }) => name);
   }
 
@@ -458,7 +458,7 @@
     machine.nextJoinAt = this._now + JOIN_INTERVAL_MS;
     const isVoting = isVoter(node.membership, node.id);
     const isElecting = node.leaderId !== "" || node.isElecting(this._now);
-    if (!machine.joinTimeout.isOver(this._now, isVoting, isElecting)) return;
+    if (!machine.joinTimeout.isExpired(this._now, isVoting, isElecting)) return;
     const leader = this._findLeader(machine);
     if (leader?.node === undefined || !leader.node.isEstablished() || leader.busyUntil > this._now) return;
     this._addJoiningMember(leader.node, createMember(machine.name, machine.disk.id));
--- a/test/containment/CrashLedger.test.ts
+++ b/test/containment/CrashLedger.test.ts
@@ -1,13 +1,13 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { CrashLedger, CrashTable, KEPT_CRASH_RECORDS, type RequestDigest } from "../../src/containment";
+import { CrashLedger, CrashTable, MAX_CRASH_RECORDS, type RequestDigest } from "../../src/containment";
 
 const GUILTY = "guilty" as RequestDigest;
 const POPULAR = "popular" as RequestDigest;
 
 /** Entries and what they have agreed on, as the agreed state joins it. */
 class Fleet {
-  readonly agreed = new CrashTable(KEPT_CRASH_RECORDS);
+  readonly agreed = new CrashTable(MAX_CRASH_RECORDS);
   readonly entries: readonly CrashLedger[];
   private _now = 0;
 
@@ -28,13 +28,13 @@
   }
 
   goodEnd(entry: number, digest: RequestDigest): void {
-    this.entries[entry]!.addGoodEnd(this._now, digest);
+    this.entries[entry]!.addSuccess(this._now, digest);
   }
 
   /** What an entry has to tell is agreed on, and all are told. */
   tell(entry: number): void {
     for (const record of this.entries[entry]!.takePending()) this.agreed.addRecord(record);
-    for (const ledger of this.entries) ledger.addAgreed(this._now, this.agreed.getRecords());
+    for (const ledger of this.entries) ledger.addCommitted(this._now, this.agreed.getRecords());
   }
 }
 
@@ -44,10 +44,10 @@
     expect(fleet.crash(0, GUILTY, "a")).toBe(1);
     fleet.tell(0);
     expect(fleet.crash(1, GUILTY, "b")).toBe(2);
-    expect(fleet.entries[1]!.isKeptAway(fleet.now, GUILTY)).toBe(true);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, GUILTY)).toBe(false);
+    expect(fleet.entries[1]!.isBlocked(fleet.now, GUILTY)).toBe(true);
+    expect(fleet.entries[0]!.isBlocked(fleet.now, GUILTY)).toBe(false);
     fleet.tell(1);
-    expect(fleet.entries[0]!.isKeptAway(fleet.now, GUILTY)).toBe(true);
+    expect(fleet.entries[0]!.isBlocked(fleet.now, GUILTY)).toBe(true);
     expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false]);
   });
 
@@ -57,7 +57,7 @@
       const crash = { digest: POPULAR, life: `rack-${i}`, startedAt: 0, brokeAt: 100, wasAnswered: false };
       expect(ledger.addCrash(crash)).toBe(1);
     }
-    expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
+    expect(ledger.isBlocked(100, POPULAR)).toBe(false);
   });
 
   it("begins anew after a good end, at whichever entry that was", () => {
@@ -68,7 +68,7 @@
       fleet.goodEnd((i + 1) % 3, POPULAR);
       fleet.tell((i + 1) % 3);
     }
-    expect(fleet.entries.some((ledger) => ledger.isKeptAway(fleet.now, POPULAR))).toBe(false);
+    expect(fleet.entries.some((ledger) => ledger.isBlocked(fleet.now, POPULAR))).toBe(false);
   });
 
   it("comes to the same at all entries, in whatever order and however often they tell", () => {
@@ -88,7 +88,7 @@
         }
         for (const entry of [0, 1, 2, 3, 0, 1, 2, 3]) fleet.tell(entry);
         for (const digest of [GUILTY, POPULAR]) {
-          const verdicts = fleet.entries.map((ledger) => ledger.isProven(digest));
+          const verdicts = fleet.entries.map((ledger) => ledger.isConfirmedCause(digest));
           expect(new Set([...verdicts, fleet.agreed.getVerdict(digest) === "proven"]).size).toBe(1);
         }
         expect(fleet.entries.map((ledger) => ledger.hasPending)).toEqual([false, false, false, false]);
@@ -102,7 +102,7 @@
         const fleet = new Fleet(9);
         let crashes = 0;
         for (const entry of tries) {
-          if (fleet.entries[entry]!.isKeptAway(fleet.now, GUILTY)) continue;
+          if (fleet.entries[entry]!.isBlocked(fleet.now, GUILTY)) continue;
           fleet.crash(entry, GUILTY, `life-${crashes++}`);
           // Another request broke off at the same instance, and never came again.
           const life = `life-${crashes - 1}`;
@@ -126,7 +126,7 @@
     const crash = { digest: POPULAR, life: "a", wasAnswered: false };
     expect(ledger.addCrash({ ...crash, startedAt: 0, brokeAt: 50 })).toBe(1);
     expect(ledger.addCrash({ ...crash, startedAt: 60, brokeAt: 100 })).toBe(1);
-    expect(ledger.isKeptAway(100, POPULAR)).toBe(false);
+    expect(ledger.isBlocked(100, POPULAR)).toBe(false);
   });
 
   it("lets one run of a request through that is only doubted, a second after the last crash", () => {
@@ -138,7 +138,7 @@
     expect(ledger!.admit(now, POPULAR)).toBe("keptAway");
     expect(ledger!.admit(now + 1_000, POPULAR)).toBe("trial");
     expect(ledger!.admit(now + 1_001, POPULAR)).toBe("keptAway");
-    ledger!.addGoodEnd(now + 1_100, POPULAR);
+    ledger!.addSuccess(now + 1_100, POPULAR);
     expect(ledger!.admit(now + 1_101, POPULAR)).toBe("admitted");
   });
 
--- a/test/gateway/GatewayServer.test.ts
+++ b/test/gateway/GatewayServer.test.ts
@@ -72,7 +72,7 @@
         "the trial run has ended",
         async () => (await harness.call({ body: "guilty" })).status === 502,
       );
-      await waitUntil("the request is a confirmed cause", () => harness.ledger.countProven() === 1);
+      await waitUntil("the request is a confirmed cause", () => harness.ledger.countConfirmedCauses() === 1);
       const refused = await harness.call({ body: "guilty" });
       expect(refused).toMatchObject({ status: 503, isWhole: true });
       expect(refused.headers["retry-after"]).toBe("600");
@@ -106,7 +106,7 @@
       expect((await harness.call()).status).toBe(200);
       await waitUntil("the request is cleared", () => harness.ledger.takePending().some(isCleared));
       expect((await harness.call()).status).toBe(200);
-      expect(harness.ledger.countProven()).toBe(0);
+      expect(harness.ledger.countConfirmedCauses()).toBe(0);
     });
 
     it("are withdrawn from endpoints that have not answered once they are a confirmed cause", async () => {
--- a/test/http/Connections.test.ts
+++ b/test/http/Connections.test.ts
@@ -68,7 +68,7 @@
     };
     const callers = Array.from({ length: CALLERS }, () => callUntilGone(createAgent()));
     await waitUntil("all have called", () => seen.length >= CALLERS * MIN_ANSWERS);
-    await connections.end(MAX_ACCEPT_MS);
+    await connections.drain(MAX_ACCEPT_MS);
     await Promise.all(callers);
     expect(seen.filter((what) => what === "unanswered")).toEqual([]);
     expect(connections.count).toBe(0);
@@ -78,7 +78,7 @@
     await start((_request, response) => setTimeout(() => response.end("ok"), SLOW_MS));
     const answered = call(createAgent());
     await waitUntil("it is connected", () => connections.count === 1);
-    await connections.end(MAX_ACCEPT_MS);
+    await connections.drain(MAX_ACCEPT_MS);
     expect(await answered).toBe("answered");
   });
 
@@ -87,7 +87,7 @@
     expect(await call(createAgent())).toBe("answered");
     expect(connections.count).toBe(1);
     const startedAt = performance.now();
-    await connections.end(MAX_ACCEPT_MS);
+    await connections.drain(MAX_ACCEPT_MS);
     expect(connections.count).toBe(0);
     expect(performance.now() - startedAt).toBeLessThan(MAX_REST_MS);
   });
--- a/test/http/JsonServer.test.ts
+++ b/test/http/JsonServer.test.ts
@@ -1,6 +1,6 @@
 import { Agent, request } from "node:http";
 import { afterEach, describe, expect, it } from "vitest";
-import type { CallOrder } from "../../src/admission";
+import type { CallScheduler } from "../../src/admission";
 import { pause } from "../../src/clock";
 import { createJson, JsonServer } from "../../src/http";
 import { getFreeAddresses } from "../support/ports";
@@ -12,7 +12,7 @@
 const PAUSE_MS = 20;
 
 /** Begins each call at once. */
-const calls = { add: ({ begin }: { begin: () => void }) => begin() } as unknown as CallOrder;
+const calls = { add: ({ begin }: { begin: () => void }) => begin() } as unknown as CallScheduler;
 
 describe("JsonServer", () => {
   const agents: Agent[] = [];
--- a/test/leases/leases.test.ts
+++ b/test/leases/leases.test.ts
@@ -15,7 +15,7 @@
     lease.renew(100, LEASE_MS);
     expect(lease.isHeld(1_099)).toBe(true);
     expect(lease.isHeld(1_100)).toBe(false);
-    expect(lease.getLeftMs(600)).toBe(500);
+    expect(lease.getRemainingMs(600)).toBe(500);
   });
 
   it("is not held once it was given up", () => {
@@ -43,8 +43,8 @@
   describe("isClear", () => {
     it("waits until every earlier leader's lease has run out", () => {
       const table = new LeaseTable(10_000, LEASE_MS);
-      expect(table.isClear(10_000 + LEASE_MS)).toBe(false);
-      expect(table.isClear(10_000 + getSafeWait(LEASE_MS))).toBe(true);
+      expect(table.haveEarlierLeasesExpired(10_000 + LEASE_MS)).toBe(false);
+      expect(table.haveEarlierLeasesExpired(10_000 + getSafeWait(LEASE_MS))).toBe(true);
     });
   });
 
--- a/test/membership/member.test.ts
+++ b/test/membership/member.test.ts
@@ -4,7 +4,7 @@
 import { type ConsensusDriver, createMembership } from "../../src/consensus";
 import { ConsensusService } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { MemberId } from "../../src/ids";
-import { createMember, joinMembership, VoterPatience } from "../../src/membership/member";
+import { createMember, JoinTimeout, joinMembership } from "../../src/membership/member";
 import type { Logger } from "../../src/metrics";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
@@ -12,13 +12,13 @@
 
 describe("VoterPatience", () => {
   it("lets a member that does not vote ask at once, and one that votes after an election's time", () => {
-    const patience = new VoterPatience();
-    expect(patience.isOver(0, false, false)).toBe(true);
-    expect(patience.isOver(0, true, false)).toBe(false);
-    expect(patience.isOver(2_000, true, false)).toBe(false);
-    expect(patience.isOver(2_001, true, false)).toBe(true);
-    expect(patience.isOver(2_100, true, true)).toBe(false);
-    expect(patience.isOver(2_200, true, false)).toBe(false);
+    const patience = new JoinTimeout();
+    expect(patience.isExpired(0, false, false)).toBe(true);
+    expect(patience.isExpired(0, true, false)).toBe(false);
+    expect(patience.isExpired(2_000, true, false)).toBe(false);
+    expect(patience.isExpired(2_001, true, false)).toBe(true);
+    expect(patience.isExpired(2_100, true, true)).toBe(false);
+    expect(patience.isExpired(2_200, true, false)).toBe(false);
   });
 });
 
--- a/test/planner/Planner.property.test.ts
+++ b/test/planner/Planner.property.test.ts
@@ -59,7 +59,7 @@
         epoch: hasJoined || i % 2 === 0 ? Math.floor(i / SIZE) + 1 : 0,
       })),
       replicas,
-      isClear,
+      areOldLeasesExpired: isClear,
       retiredInForce: new Set(isInForce ? ids : []),
       inFlight: new Map(ids.map((id) => [id, inFlight])),
     });
@@ -89,7 +89,7 @@
 function checkOne(facts: PlanningFacts, action: Action): void {
   if (action.kind === "releaseReplica") {
     expect(action.replica.phase).toBe(ReplicaPhase.RETIRING);
-    expect(facts.isClear && facts.retiredInForce.has(action.replica.id)).toBe(true);
+    expect(facts.areOldLeasesExpired && facts.retiredInForce.has(action.replica.id)).toBe(true);
     expect(facts.inFlight.get(action.replica.id)).toBe(0);
   }
   if (action.kind === "serveReplica") {
--- a/test/planner/Planner.test.ts
+++ b/test/planner/Planner.test.ts
@@ -29,7 +29,11 @@
   }
 }
 
-function doTest(facts: Parameters<typeof createFacts>[0], options: TestConfigurationOptions, ...expected: string[]) {
+function doTest(
+  facts: Parameters<typeof createFacts>[0],
+  options: TestConfigurationOptions,
+  ...expected: string[]
+) {
   expect(plan(facts, options).map(describeAction)).toEqual(expected);
 }
 
@@ -289,11 +293,11 @@
     it("frees the instances once no lease allows them and nothing is in flight", () =>
       doTest(base, none, "release g-1"));
     it("waits for leases that may allow them", () => doTest({ ...base, retiredInForce: new Set() }, none));
-    it("waits for leases of earlier leaders", () => doTest({ ...base, isClear: false }, none));
+    it("waits for leases of earlier leaders", () => doTest({ ...base, areOldLeasesExpired: false }, none));
     it("waits for work in flight", () => doTest({ ...base, inFlight: new Map([[replica.id, 1]]) }, none));
     it("waits no longer than the time to drain", () =>
       doTest(
-        { ...base, inFlight: new Map([[replica.id, 1]]), drained: new Set([replica.id]) },
+        { ...base, inFlight: new Map([[replica.id, 1]]), drainedReplicas: new Set([replica.id]) },
         none,
         "release g-1",
       ));
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -175,7 +175,7 @@
   }
 
   /** Its streams stand still for some time, milliseconds, and go on by themselves. */
-  standStill(milliseconds: number): void {
+  pauseStreams(milliseconds: number): void {
     this._stillUntil = performance.now() + milliseconds;
   }
 
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -1,7 +1,7 @@
 import { create } from "@bufbuild/protobuf";
 import { beforeEach, describe, expect, it } from "vitest";
 import type { ConsensusDriver } from "../../src/consensus";
-import { KEEP_AWAY_MS, KEPT_CRASH_RECORDS } from "../../src/containment";
+import { BLOCK_MS, MAX_CRASH_RECORDS } from "../../src/containment";
 import { LogEntrySchema } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type Command, type CrashRecord, CrashRecordSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { CrashRegistry } from "../../src/registration/CrashRegistry";
@@ -48,7 +48,7 @@
     await registry.addRecords([createRecord(DIGEST, 3)]);
     await registry.addRecords([createRecord(DIGEST, 1)]);
     expect(index).toBe(1);
-    expect(machine.isProven(DIGEST)).toBe(true);
+    expect(machine.isConfirmedCause(DIGEST)).toBe(true);
 
     const view = new FleetView();
     registry.publish(view);
@@ -78,7 +78,7 @@
     }
     const published = view.createUpdate(1, undefined, 0).crashRecords.map(({ digest }) => digest);
     expect(published).toContain(DIGEST);
-    expect(published.length).toBe(KEPT_CRASH_RECORDS);
+    expect(published.length).toBe(MAX_CRASH_RECORDS);
   });
 
   it("restores its records from a snapshot", async () => {
@@ -86,7 +86,10 @@
     const restored = new StateMachine(machine.encode());
     expect(restored.getCrashRecords()).toEqual(machine.getCrashRecords());
     expect(restored.crashIndex).toBe(machine.crashIndex);
-    expect([restored.isProven(DIGEST), restored.isProven(OTHER_DIGEST)]).toEqual([true, false]);
+    expect([restored.isConfirmedCause(DIGEST), restored.isConfirmedCause(OTHER_DIGEST)]).toEqual([
+      true,
+      false,
+    ]);
   });
 
   it("skips each invalid crash record, and accepts the valid one in the same call", async () => {
@@ -111,7 +114,7 @@
     const heldBackMs: number[] = [];
     for (let i = 0; i < 3; i++) {
       const since = now;
-      while (machine.isProven(DIGEST)) {
+      while (machine.isConfirmedCause(DIGEST)) {
         now += 60_000;
         await registry.releaseDueRequests(now);
       }
@@ -119,9 +122,9 @@
       const { generation, releases } = machine.getCrashRecord(DIGEST)!;
       const crash = { digest: DIGEST, generation, releases, crashes: [{ life: `again-${i}`, depth: 1 }] };
       await registry.addRecords([create(CrashRecordSchema, crash)]);
-      expect(machine.isProven(DIGEST)).toBe(true);
+      expect(machine.isConfirmedCause(DIGEST)).toBe(true);
     }
-    expect(heldBackMs).toEqual([KEEP_AWAY_MS, 6 * KEEP_AWAY_MS, 36 * KEEP_AWAY_MS]);
+    expect(heldBackMs).toEqual([BLOCK_MS, 6 * BLOCK_MS, 36 * BLOCK_MS]);
     expect(machine.getCrashRecord(OTHER_DIGEST)).toMatchObject({ crashes: [], releases: 0 });
   });
 });
--- a/test/routing/routing.test.ts
+++ b/test/routing/routing.test.ts
@@ -6,9 +6,9 @@
   EndpointPool,
   getPrefixDigests,
   getSlowness,
+  LeastWorkPlacement,
   PrefixTable,
   RetryBudget,
-  WeighedPlacement,
 } from "../../src/routing";
 
 const random = new SeededRandom(1);
@@ -30,7 +30,7 @@
 describe("WeighedPlacement", () => {
   describe("choose", () => {
     function doTest(candidates: readonly Candidate[], expected: string | undefined, promptTokens = 100) {
-      expect(new WeighedPlacement().choose(candidates, promptTokens, random)?.replicaId).toBe(expected);
+      expect(new LeastWorkPlacement().choose(candidates, promptTokens, random)?.replicaId).toBe(expected);
     }
 
     it("takes the one with the least work", () =>
@@ -57,7 +57,7 @@
       );
       const chosen = Array.from(
         { length: 9 },
-        (_, i) => new WeighedPlacement().choose(candidates, 0, new SeededRandom(i))!.replicaId,
+        (_, i) => new LeastWorkPlacement().choose(candidates, 0, new SeededRandom(i))!.replicaId,
       );
       expect(new Set(chosen).size).toBeGreaterThan(3);
     });
@@ -172,14 +172,14 @@
   it("finds the longest held prefix", () => {
     const table = new PrefixTable(100);
     table.addPrefixes("a", getPrefixDigests("s", prompt.slice(0, 520)));
-    expect(table.getHeldCharacters("a", getPrefixDigests("s", prompt))).toBe(512);
-    expect(table.getHeldCharacters("b", getPrefixDigests("s", prompt))).toBe(0);
+    expect(table.getCachedCharacters("a", getPrefixDigests("s", prompt))).toBe(512);
+    expect(table.getCachedCharacters("b", getPrefixDigests("s", prompt))).toBe(0);
   });
 
   it("keeps scopes apart", () => {
     const table = new PrefixTable(100);
     table.addPrefixes("a", getPrefixDigests("one", prompt));
-    expect(table.getHeldCharacters("a", getPrefixDigests("other", prompt))).toBe(0);
+    expect(table.getCachedCharacters("a", getPrefixDigests("other", prompt))).toBe(0);
   });
 
   it("forgets the longest unused ones first", () => {
@@ -187,8 +187,8 @@
     const [first, second] = [getPrefixDigests("1", prompt), getPrefixDigests("2", prompt)];
     table.addPrefixes("a", first);
     table.addPrefixes("a", second);
-    expect(table.getHeldCharacters("a", first)).toBe(0);
-    expect(table.getHeldCharacters("a", second)).toBe(768);
+    expect(table.getCachedCharacters("a", first)).toBe(0);
+    expect(table.getCachedCharacters("a", second)).toBe(768);
   });
 
   it("gives a short prompt no digests", () => expect(getPrefixDigests("s", "short")).toEqual([]));
--- a/test/rpc/callOrder.test.ts
+++ b/test/rpc/callOrder.test.ts
@@ -1,6 +1,6 @@
 import { createClient } from "@connectrpc/connect";
 import { expect, it } from "vitest";
-import { CallOrder } from "../../src/admission";
+import { CallScheduler } from "../../src/admission";
 import { FleetService } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
@@ -13,7 +13,7 @@
   const server = await RpcServer.start({
     listen,
     interceptors: [],
-    calls: new CallOrder({ increment: () => {} } as never),
+    calls: new CallScheduler({ increment: () => {} } as never),
     routes: (router) => {
       router.service(FleetService, {
         suspect: () => {
--- a/test/soak/AnswerSoak.ts
+++ b/test/soak/AnswerSoak.ts
@@ -8,7 +8,7 @@
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig } from "../platform/createConfig";
-import { KeptCallers } from "../platform/KeptCallers";
+import { KeepAliveCallers } from "../platform/KeepAliveCallers";
 import { PlatformCluster } from "../platform/PlatformCluster";
 import type { EndlessKind } from "../platform/WorkerStandin";
 import type { ProcessHandle } from "../support/ProcessHandle";
@@ -113,9 +113,9 @@
     }
   }
 
-  private _startCallers(entry: number): KeptCallers {
+  private _startCallers(entry: number): KeepAliveCallers {
     const address = this._cluster.getEntryAddress(entry);
-    const callers = new KeptCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
+    const callers = new KeepAliveCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
     callers.start(CALLERS_PER_ENTRY);
     return callers;
   }
@@ -139,7 +139,7 @@
       stopControl: () => this._restartControl(),
       reload: async () => this._reloadProcess(),
       standStill: async () =>
-        this._drawHead()?.standStill(this._drawInteger(this._options.maxStallMs ?? MAX_STALL_MS)),
+        this._drawHead()?.pauseStreams(this._drawInteger(this._options.maxStallMs ?? MAX_STALL_MS)),
       sendWithoutEnd: () => this._makeHeadEndless(),
       changeConfig: () => this._changeConfig(),
     };
@@ -208,23 +208,25 @@
     });
   }
 
-  private async _waitForService(groups: readonly KeptCallers[]): Promise<void> {
-    const servedBefore = groups.map((callers) => callers.getEnded("whole").length);
+  private async _waitForService(groups: readonly KeepAliveCallers[]): Promise<void> {
+    const servedBefore = groups.map((callers) => callers.getByOutcome("whole").length);
     await waitUntil("each entry serves", () =>
-      groups.every((callers, i) => callers.getEnded("whole").length > servedBefore[i]! + CALLERS_PER_ENTRY),
+      groups.every(
+        (callers, i) => callers.getByOutcome("whole").length > servedBefore[i]! + CALLERS_PER_ENTRY,
+      ),
     );
   }
 
-  private _createResult(groups: readonly KeptCallers[]): SoakResult {
+  private _createResult(groups: readonly KeepAliveCallers[]): SoakResult {
     for (const [entry, callers] of groups.entries()) {
-      for (const [description, count] of Object.entries(callers.countEnds("cut", "unanswered"))) {
+      for (const [description, count] of Object.entries(callers.countByOutcome("cut", "unanswered"))) {
         this._violations.push(`entry ${entry}: ${count} ${description}`);
       }
     }
     return {
       seed: this._seed,
-      calls: groups.reduce((sum, { seen }) => sum + seen.length, 0),
-      served: groups.reduce((sum, callers) => sum + callers.getEnded("whole").length, 0),
+      calls: groups.reduce((sum, { records: seen }) => sum + seen.length, 0),
+      served: groups.reduce((sum, callers) => sum + callers.getByOutcome("whole").length, 0),
       faults: Object.fromEntries(this._counts),
       violations: this._violations,
     };
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -10,7 +10,7 @@
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig, MODEL, STREAM } from "../platform/createConfig";
-import { sendOddReports } from "../platform/oddReports";
+import { sendInvalidReports } from "../platform/invalidReports";
 import { PlatformCluster, type WorkerInit } from "../platform/PlatformCluster";
 import { CRASHING_BODY, type WorkerStandin } from "../platform/WorkerStandin";
 import type { Relay } from "../support/Relay";
@@ -114,10 +114,10 @@
    */
   async run(durationMs: number): Promise<SoakResult> {
     this._cluster = await PlatformCluster.start(ENGINES, {
-      areWorkersRelayed: true,
+      hasWorkerRelays: true,
       firstReportCount: REPORT_COUNT,
-      hidesStarts: this._options.omitsStartTimes,
-      returnMs: MAX_DOWNTIME_MS,
+      omitsStartTime: this._options.omitsStartTimes,
+      restartMs: MAX_DOWNTIME_MS,
     });
     try {
       await waitUntil("the first configuration is accepted", () => this._putConfig(FIRST_VERSION, 0));
@@ -215,7 +215,7 @@
   /** Sends invalid reports from another client in the name of a running worker. */
   private async _sendInvalidReports(): Promise<void> {
     const control = this._cluster.controlAddresses[this._drawInteger(this._cluster.controls.length)]!;
-    const statuses = await sendOddReports(control, this._drawRunningWorker("").id);
+    const statuses = await sendInvalidReports(control, this._drawRunningWorker("").id);
     if (statuses.includes(200)) this._ledger.addViolation("an invalid report was accepted");
   }
 
--- a/test/state/StateMachine.test.ts
+++ b/test/state/StateMachine.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { LogEntrySchema } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { ClaimState, type Command, CommandSchema, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { type Result, StateMachine } from "../../src/state";
+import { type CommandResult, StateMachine } from "../../src/state";
 import { createLife } from "../support/createLife";
 
 /** Applies commands one after another, as the log would. */
@@ -15,7 +15,7 @@
     this._index = this.state.appliedIndex;
   }
 
-  apply(body: Command["body"]): Result | undefined {
+  apply(body: Command["body"]): CommandResult | undefined {
     this._index += 1;
     const command = toBinary(CommandSchema, create(CommandSchema, { body }));
     return this.state.apply(
--- a/test/support/createMeter.ts
+++ b/test/support/createMeter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../../src/clock";
-import { SilentMetrics, WorkMeter } from "../../src/metrics";
+import { NoopMetrics, WorkMeter } from "../../src/metrics";
 
 /** Creates a meter that discards its metrics and log lines. */
 export function createMeter(clock: Clock): WorkMeter {
-  return new WorkMeter({ clock, logger: { warn: () => {} } as never, metrics: new SilentMetrics() });
+  return new WorkMeter({ clock, logger: { warn: () => {} } as never, metrics: new NoopMetrics() });
 }
--- a/test/support/planning.ts
+++ b/test/support/planning.ts
@@ -65,9 +65,9 @@
   return {
     instances: [],
     replicas: [],
-    isClear: true,
+    areOldLeasesExpired: true,
     retiredInForce: new Set(),
-    drained: new Set(),
+    drainedReplicas: new Set(),
     inFlight: new Map(),
     absences: [],
     ...change,
--- a/test/system/answers.test.ts
+++ b/test/system/answers.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { afterEach, describe, expect, it } from "vitest";
 import { createConfig, MODEL } from "../platform/createConfig";
-import { KeptCallers } from "../platform/KeptCallers";
+import { KeepAliveCallers } from "../platform/KeepAliveCallers";
 import { type ClusterOptions, PlatformCluster } from "../platform/PlatformCluster";
 import { waitUntil } from "../support/waitUntil";
 
@@ -43,9 +43,9 @@
     return cluster.workers.filter(({ place }) => place?.state === "open" && place.rank === 0);
   }
 
-  async function startCallers(count: number, pauseMs = 0): Promise<KeptCallers> {
+  async function startCallers(count: number, pauseMs = 0): Promise<KeepAliveCallers> {
     const { events } = STREAM;
-    const callers = new KeptCallers({ address: cluster.getEntryAddress(0), events, pauseMs });
+    const callers = new KeepAliveCallers({ address: cluster.getEntryAddress(0), events, pauseMs });
     callers.start(count);
     await waitUntil("all replicas stream", () => getHeads().every((head) => head.streamCount >= 2));
     return callers;
@@ -63,9 +63,9 @@
       await new Promise((resolve) => setTimeout(resolve, gapMs));
     }
     expect(await cluster.entry.waitForEnd()).toBe(0);
-    await callers.waitUntilGone();
-    expect(callers.countEnds("cut")).toEqual({});
-    expect(callers.getEnded("whole").length).toBeGreaterThanOrEqual(CALLERS);
+    await callers.waitUntilDisconnected();
+    expect(callers.countByOutcome("cut")).toEqual({});
+    expect(callers.getByOutcome("whole").length).toBeGreaterThanOrEqual(CALLERS);
     const log = readFileSync(cluster.entry.logFile, "utf8");
     expect(log).toContain("gateway_stopped");
     // Signals of the same kind may be merged while one is pending, so a repetition without delay may not be
@@ -99,19 +99,19 @@
     cluster.entry.resume();
     expect(await cluster.entry.waitForEnd()).toBe(0);
     expect(performance.now() - sentAt).toBeLessThan(STOP_TIMEOUT_S * MS_PER_S);
-    await callers.waitUntilGone();
+    await callers.waitUntilDisconnected();
   });
 
   it("are completed although their endpoint stalls and the retry budget is used up", async () => {
     await start({ budgetExtra: RETRY_BUDGET });
     const callers = await startCallers(CALLERS);
     for (const head of [...getHeads(), ...getHeads()]) {
-      head.standStill(STALL_MS);
+      head.pauseStreams(STALL_MS);
       await new Promise((resolve) => setTimeout(resolve, STALL_MS + STALL_MS / 2));
     }
     await callers.stop();
-    expect(callers.countEnds("cut")).toEqual({});
-    expect(callers.getEnded("whole").length).toBeGreaterThanOrEqual(CALLERS);
+    expect(callers.countByOutcome("cut")).toEqual({});
+    expect(callers.getByOutcome("whole").length).toBeGreaterThanOrEqual(CALLERS);
   });
 
   it.each(["event", "body", "head", "informational"] as const)(
@@ -130,13 +130,13 @@
         others.every((head) => head.endlessCount >= CALLERS),
       );
       for (const head of getHeads()) head.endless = undefined;
-      const completeBefore = callers.getEnded("whole").length;
+      const completeBefore = callers.getByOutcome("whole").length;
       await waitUntil(
         "streams are complete again",
-        () => callers.getEnded("whole").length > completeBefore + CALLERS,
+        () => callers.getByOutcome("whole").length > completeBefore + CALLERS,
       );
       await callers.stop();
-      expect(callers.countEnds("cut", "unanswered")).toEqual({});
+      expect(callers.countByOutcome("cut", "unanswered")).toEqual({});
       expect(cluster.entry.isRunning).toBe(true);
       expect(cluster.entry.peakMemoryMb).toBeLessThan(MAX_MEMORY_MB);
     },
@@ -149,8 +149,8 @@
       const callers = await startCallers(count);
       const ended = cluster.entry.stop();
       expect(await ended).toBe(0);
-      await callers.waitUntilGone();
-      expect(callers.countEnds("cut", "unanswered")).toEqual({});
+      await callers.waitUntilDisconnected();
+      expect(callers.countByOutcome("cut", "unanswered")).toEqual({});
     },
   );
 });
--- a/test/system/crashingRequest.test.ts
+++ b/test/system/crashingRequest.test.ts
@@ -64,7 +64,7 @@
   afterEach(() => cluster.stop());
 
   async function start(engines: number): Promise<void> {
-    cluster = await PlatformCluster.start(engines, { entries: ENTRIES, returnMs: RESTART_DELAY_MS });
+    cluster = await PlatformCluster.start(engines, { entries: ENTRIES, restartMs: RESTART_DELAY_MS });
     await waitUntil(
       "the configuration is accepted",
       async () => (await cluster.putConfig(0, createConfig(3, { routes: createRoutes() }))) === 200,
@@ -219,7 +219,7 @@
   afterEach(() => cluster.stop());
 
   it("is still served after any number of crashes", async () => {
-    cluster = await PlatformCluster.start(0, { entries: ENTRIES, returnMs: RESTART_DELAY_MS });
+    cluster = await PlatformCluster.start(0, { entries: ENTRIES, restartMs: RESTART_DELAY_MS });
     await waitUntil(
       "the configuration is accepted",
       async () => (await cluster.putConfig(0, createConfig(3, { routes: createRoutes() }))) === 200,
--- a/test/system/overload.test.ts
+++ b/test/system/overload.test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from "vitest";
-import { ACKNOWLEDGEMENT_MS, CONTACT_MS, playLosses } from "../platform/playLosses";
+import { ACKNOWLEDGEMENT_MS, CONTACT_MS, runPowerLosses } from "../platform/runPowerLosses";
 
 /**
  * Share of a core. It is less than on the smallest machines for control, because the test has fewer workers
@@ -8,7 +8,7 @@
 const SHARE = 0.14;
 
 it("a configuration change sent after the second of two power losses is acknowledged and read back in time", async () => {
-  const { before, after } = await playLosses(SHARE);
+  const { before, after } = await runPowerLosses(SHARE);
   expect(before.readBackMs).toBeLessThan(ACKNOWLEDGEMENT_MS);
   const details = JSON.stringify(after);
   expect(after[0]!.acknowledgedMs, details).toBeLessThan(CONTACT_MS + ACKNOWLEDGEMENT_MS);
