--- a/bench/answers.ts
+++ b/bench/answers.ts
@@ -76,7 +76,7 @@
   const startedAt = performance.now();
   const ended = entry.stop();
   await pause(SECOND_SIGNAL_MS);
-  entry.send("SIGTERM");
+  entry.sendSignal("SIGTERM");
   await ended;
   const tookMs = performance.now() - startedAt;
   entry.start();
--- a/test/registration/FleetLeadership.test.ts
+++ b/test/registration/FleetLeadership.test.ts
@@ -16,7 +16,7 @@
 import { NoopMetrics } from "../../src/metrics";
 import { EntryRoster } from "../../src/registration/EntryRoster";
 import { FleetLeadership } from "../../src/registration/FleetLeadership";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 import { createMeter } from "../support/createMeter";
 import { createInstances, createReplica } from "../support/planning";
 
@@ -100,7 +100,7 @@
       getDeclaration: () => undefined,
       crashIndex: 0,
       getCrashRecords: () => [],
-      getDepartures: () => departures.map((id) => createLife(id)),
+      getDepartures: () => departures.map((id) => createIncarnation(id)),
       hasDeparted: () => false,
     };
     return {
--- a/test/registration/OrderDispatcher.test.ts
+++ b/test/registration/OrderDispatcher.test.ts
@@ -3,12 +3,12 @@
 import { NoopMetrics } from "../../src/metrics";
 import type { InstanceOrders, JoinOrder } from "../../src/registration";
 import { OrderDispatcher } from "../../src/registration/OrderDispatcher";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 const INSTANCES = 200;
 /** Bounds how long one turn may delay heartbeats: an order takes about a millisecond to start. */
 const MAX_PER_TURN = 20;
-const RECEIVER = { ...createLife("i"), address: "i:1" };
+const RECEIVER = { ...createIncarnation("i"), address: "i:1" };
 const JOIN: JoinOrder = { kind: "join", replicaId: "r", epoch: 1, model: "m", members: [] };
 
 describe("OrderDispatcher", () => {
@@ -39,7 +39,7 @@
       return Promise.resolve("begun");
     });
     const sent = Array.from({ length: INSTANCES }, (_, i) =>
-      dispatcher.send({ ...createLife(`i${i}`), address: `i${i}:1` }, JOIN),
+      dispatcher.send({ ...createIncarnation(`i${i}`), address: `i${i}:1` }, JOIN),
     );
     let most = begun;
     for (let before = -1; before < begun; ) {
--- a/test/soak/AnswerSoak.ts
+++ b/test/soak/AnswerSoak.ts
@@ -149,7 +149,7 @@
   private _reloadProcess(): void {
     const handles = [...this._cluster.entries, ...this._cluster.controls];
     const handle = this._drawElement(handles.filter((candidate) => !this._stopping.has(candidate)));
-    handle.send("SIGHUP");
+    handle.sendSignal("SIGHUP");
   }
 
   /** Stops one control process at a time, because the system tolerates the loss of one. */
@@ -166,12 +166,12 @@
       this._drawInteger(MAX_SIGNAL_GAP_MS),
     );
     const signals = gapsMs.map(() => this._drawElement(SIGNALS));
-    handle.send("SIGTERM");
+    handle.sendSignal("SIGTERM");
     const ended = handle.waitForEnd();
     const stoppedAt = performance.now();
     for (const [i, signal] of signals.entries()) {
       await pause(gapsMs[i]!);
-      handle.send(this._options.killsStoppingEntries === true ? "SIGKILL" : signal);
+      handle.sendSignal(this._options.killsStoppingEntries === true ? "SIGKILL" : signal);
     }
     const code = await ended;
     const tookMs = performance.now() - stoppedAt;
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -13,7 +13,7 @@
 import { sendInvalidReports } from "../platform/invalidReports";
 import { PlatformCluster, type WorkerInit } from "../platform/PlatformCluster";
 import { CRASHING_BODY, type WorkerStandin } from "../platform/WorkerStandin";
-import type { Relay } from "../support/Relay";
+import type { TcpProxy } from "../support/TcpProxy";
 import { waitUntil } from "../support/waitUntil";
 import { SoakLedger } from "./SoakLedger";
 
@@ -248,7 +248,7 @@
   }
 
   /** Disturbs the link of a worker and heals it after up to 1.5 s, while other faults continue. */
-  private async _disturbLink(disturb: (relay: Relay) => void): Promise<void> {
+  private async _disturbLink(disturb: (relay: TcpProxy) => void): Promise<void> {
     const { relay } = this._drawRunningWorker("");
     if (relay === undefined) return;
     disturb(relay);
--- a/test/support/Cluster.ts
+++ b/test/support/Cluster.ts
@@ -14,7 +14,7 @@
 import { callEntry, createChat } from "./callEntry";
 import { ProcessHandle } from "./ProcessHandle";
 import { getFreeAddresses } from "./ports";
-import { Relay } from "./Relay";
+import { TcpProxy } from "./TcpProxy";
 import { waitUntil } from "./waitUntil";
 
 /** Size and layout of a system. */
@@ -28,7 +28,7 @@
   readonly withProxies?: boolean;
   readonly logLevel?: string;
   /** Number of engine instances in each fabric domain. By default all of them are in one domain. */
-  readonly perFabric?: number;
+  readonly instancesPerFabricDomain?: number;
 }
 
 const BINARY = process.env.PLOVERSTAGE_BINARY ?? "dist/test/ploverstage.cjs";
@@ -49,7 +49,7 @@
   readonly engines: EngineStandin[] = [];
   readonly services: ServiceStandin[] = [];
   /** TCP proxies from one control process to another: `proxies[from][to]`. */
-  readonly proxies: (Relay | undefined)[][] = [];
+  readonly proxies: (TcpProxy | undefined)[][] = [];
   platform!: PlatformStandin;
   private readonly _options: Required<ClusterOptions>;
   private _controlAddresses: string[] = [];
@@ -63,7 +63,7 @@
       engine: {},
       withProxies: false,
       logLevel: "info",
-      perFabric: 1_000,
+      instancesPerFabricDomain: 1_000,
       ...options,
     };
   }
@@ -168,7 +168,7 @@
     for (const proxy of this._getProxiesOf(i)) proxy.heal();
   }
 
-  private _getProxiesOf(i: number): Relay[] {
+  private _getProxiesOf(i: number): TcpProxy[] {
     const inbound = this.proxies.map((row) => row[i]);
     return [...inbound, ...this.proxies[i]!].filter((proxy) => proxy !== undefined);
   }
@@ -178,7 +178,12 @@
     for (let i = 0; i < this._options.engines; i++) {
       const engine = await EngineStandin.start({ id: `engine-${i}`, ...this._options.engine });
       this.engines.push(engine);
-      this._registerInstance(engine.id, engine.address, "engine", Math.floor(i / this._options.perFabric));
+      this._registerInstance(
+        engine.id,
+        engine.address,
+        "engine",
+        Math.floor(i / this._options.instancesPerFabricDomain),
+      );
     }
     for (let i = 0; i < this._options.services; i++) {
       const service = await ServiceStandin.start(`guichet-${i}`);
@@ -229,7 +234,7 @@
     for (let from = 0; from < count; from++) {
       this.proxies[from] = [];
       for (let to = 0; to < count; to++) {
-        this.proxies[from]![to] = from === to ? undefined : await Relay.start(this._controlAddresses[to]!);
+        this.proxies[from]![to] = from === to ? undefined : await TcpProxy.start(this._controlAddresses[to]!);
       }
     }
   }
--- a/test/support/Relay.test.ts
+++ b/test/support/TcpProxy.test.ts
@@ -1,12 +1,12 @@
 import type { AddressInfo } from "node:net";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { Relay } from "./Relay";
+import { TcpProxy } from "./TcpProxy";
 import { waitUntil } from "./waitUntil";
 
 describe("TcpProxy", () => {
   let server: Server;
-  let proxy: Relay;
+  let proxy: TcpProxy;
   let client: Socket;
   let receivedByServer: string;
   let receivedByClient: string;
@@ -25,7 +25,7 @@
       });
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    proxy = await Relay.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+    proxy = await TcpProxy.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
     const [host, port] = proxy.address.split(":");
     client = connect(Number(port), host);
     client.on("error", () => {
--- a/test/support/Relay.ts
+++ b/test/support/TcpProxy.ts
@@ -11,7 +11,7 @@
 export type CutDirection = "both" | "toTarget" | "fromTarget";
 
 /** A TCP proxy in front of one address. */
-export class Relay {
+export class TcpProxy {
   address = "";
   private readonly _target: string;
   private readonly _sockets = new Set<Socket>();
@@ -27,8 +27,8 @@
   }
 
   /** Starts a proxy on a free loopback port. */
-  static async start(target: string): Promise<Relay> {
-    const proxy = new Relay(target);
+  static async start(target: string): Promise<TcpProxy> {
+    const proxy = new TcpProxy(target);
     const server = createServer((socket) => proxy._proxyConnection(socket));
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
     proxy._server = server;
--- a/test/system/answers.test.ts
+++ b/test/system/answers.test.ts
@@ -59,7 +59,7 @@
     await start();
     const callers = await startCallers(CALLERS);
     for (const signal of signals) {
-      cluster.entry.send(signal);
+      cluster.entry.sendSignal(signal);
       await new Promise((resolve) => setTimeout(resolve, gapMs));
     }
     expect(await cluster.entry.waitForEnd()).toBe(0);
@@ -83,7 +83,7 @@
       // Node.js itself catches SIGINT and SIGTERM before the program does, but never SIGHUP. A caught SIGHUP
       // shows that the program has installed its handlers.
       await waitUntil("the process handles signals", () => handle.handlesSignal("SIGHUP"));
-      for (const signal of ["SIGHUP", "SIGTERM", "SIGHUP", "SIGTERM"] as const) handle.send(signal);
+      for (const signal of ["SIGHUP", "SIGTERM", "SIGHUP", "SIGTERM"] as const) handle.sendSignal(signal);
       const code = await handle.waitForEnd();
       expect(code, handle.lastOutput).toBe(0);
     },
@@ -93,7 +93,7 @@
     await start();
     const callers = await startCallers(CALLERS);
     cluster.entry.pause();
-    cluster.entry.send("SIGTERM");
+    cluster.entry.sendSignal("SIGTERM");
     const sentAt = performance.now();
     await new Promise((resolve) => setTimeout(resolve, SIGNAL_DELAY_MS));
     cluster.entry.resume();
--- a/test/system/endpoints.test.ts
+++ b/test/system/endpoints.test.ts
@@ -82,7 +82,7 @@
   });
 
   it("complete their work when they are leaving, and get no new work", async () => {
-    await start({ engines: 8, perFabric: 4, engine: { tokenMs: 30 } });
+    await start({ engines: 8, instancesPerFabricDomain: 4, engine: { tokenMs: 30 } });
     await cluster.waitForRouting(1);
     const members = await getMembers();
     let hasBegun = false;
@@ -115,7 +115,7 @@
   });
 
   it("run a new version after a rollout during which every request was served", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     let isFinished = false;
     let refused = 0;
@@ -136,7 +136,7 @@
   });
 
   it("never have an instance in two replicas during losses and changes", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     const operator = await cluster.getOperator();
     let isFinished = false;
@@ -162,7 +162,7 @@
   });
 
   it("serve in the other failure domains when a whole domain is lost at once", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     await Promise.all([
       cluster.controls[0]!.kill(),
