--- a/bench/surge/ReplicaModel.ts
+++ b/bench/surge/ReplicaModel.ts
@@ -1,18 +1,18 @@
 /**
- * A replica that batches: a small model in simulated time.
+ * Models a replica with batching in simulated time.
  *
- * Each running request gets one token a step; a step takes longer the more run. Prompts
- * are worked on one after another, taking half of the time while any waits. A prefix that
- * is cached costs no prefill. Load is reported as it was some time ago.
+ * Each running request generates one token per step; a step takes longer with more running requests. Prompts
+ * are processed one after another, and prefill takes half of the time while any prompt waits. A cached prefix
+ * needs no prefill. Reports of the load lag behind by 500 ms.
  */
 import type { CacheEvent, Engine, EngineState } from "../../src/engine";
 import { InstanceId, ReplicaId } from "../../src/ids";
 
-/** One request at a replica. */
+/** A request at a replica. */
 export interface Job {
   readonly id: string;
   readonly promptTokens: number;
-  /** Leading tokens that other requests with the same prefix share. */
+  /** Number of leading tokens shared with other requests of the same prefix. */
   readonly prefixTokens: number;
   readonly prefixDigests: readonly string[];
   readonly outputTokens: number;
@@ -34,23 +34,23 @@
 const PREFILL_TOKENS_PER_MS = 8;
 const CACHED_PREFIXES = 4;
 const REPORT_MS = 500;
-/** The newest events are published late. */
+/** Number of newest cache events that the engine does not publish yet. */
 const HIDDEN_EVENTS = 8;
 
-/** One replica; its only instance has the same name. */
+/** A replica with a single instance of the same name. */
 export class ReplicaModel {
   readonly id: string;
-  /** Slows everything by this factor, although it answers health checks. */
+  /** Factor by which the replica is slower, although it answers health checks. */
   slowness = 1;
   isLost = false;
-  /** Answers health checks, but reports the same load for ever. */
+  /** Whether the replica answers health checks but always reports the same load. */
   isStale = false;
   prefillTokens = 0;
   cachedTokens = 0;
   readonly refused: Job[] = [];
   private _waiting: Running[] = [];
   private _batch: Running[] = [];
-  /** Cached prefixes, the last used one first. */
+  /** Cached prefixes, most recently used first. */
   private _cache: (readonly string[])[] = [];
   private _events: CacheEvent[] = [];
   private _reported = 0;
@@ -60,12 +60,12 @@
     this.id = id;
   }
 
-  /** Gets requests here, running or waiting. */
+  /** Gets the number of waiting and running requests. */
   get count(): number {
     return this._waiting.length + this._batch.length;
   }
 
-  /** Takes a request; its prefix saves prefill if it is cached now. */
+  /** Adds a request. If its prefix is cached now, the prefix needs no prefill. */
   add(job: Job): void {
     const saved = this._touchCache(job) ? job.prefixTokens : 0;
     this.prefillTokens += job.promptTokens - saved;
@@ -75,7 +75,7 @@
     this._waiting.sort((a, b) => a.priority - b.priority);
   }
 
-  /** Takes all requests away: the replica was lost. */
+  /** Removes and returns all requests, because the replica was lost. */
   takeAll(): Job[] {
     const all = [...this._waiting, ...this._batch];
     this._waiting = [];
@@ -83,7 +83,7 @@
     return all;
   }
 
-  /** Lets time pass. */
+  /** Simulates a time step. */
   advance(now: number, ms: number): void {
     this._report(now);
     if (this.isLost) return;
@@ -96,7 +96,9 @@
     this._batch = this._batch.filter((job) => job.made < job.outputTokens);
   }
 
-  /** Gets the engine's interface, of which the entries use the state only. */
+  /**
+   * Creates an engine interface that supports only the methods the entries call: its state and cache events.
+   */
   createEngine(getEpoch: () => number): Engine {
     const getState = async (): Promise<EngineState> => ({
       instanceId: InstanceId(this.id),
@@ -113,7 +115,7 @@
         kvUsed: 0,
       },
     });
-    const unused = () => Promise.reject(new Error("not part of the model"));
+    const unused = () => Promise.reject(new Error("the replica model does not support this method"));
     return {
       address: this.id,
       getState,
@@ -127,7 +129,7 @@
     };
   }
 
-  /** Brings a prefix to the front; gives whether it was there. */
+  /** Moves a prefix to the front of the cache. Returns whether it was cached. */
   private _touchCache(job: Job): boolean {
     const key = job.prefixDigests.at(-1);
     const isHit = this._cache.some((digests) => digests.at(-1) === key);
--- a/bench/surge/Surge.ts
+++ b/bench/surge/Surge.ts
@@ -1,9 +1,9 @@
 /**
- * All organisations calling at once, in simulated time, before the entries' own code.
+ * Simulates concurrent load from all organisations on the code of the entries.
  *
- * Nine entries, each with the real `Admission` and `ReplicaRouter`, decide on what they
- * know: their own work, reports that lag, and their share of limits. Callers who are
- * told to come back do so when they were told, as long as their patience lasts.
+ * Each of nine entries runs the real `Admission` and `ReplicaRouter` and decides from local information: its
+ * own requests, delayed load reports and its share of limits. Callers that are refused retry at the advised
+ * time until they reach their maximum wait.
  */
 
 import { setMaxListeners } from "node:events";
@@ -21,17 +21,17 @@
 import { getPrefixDigests, type Placement } from "../../src/routing";
 import { type Job, ReplicaModel } from "./ReplicaModel";
 
-/** A way to decide, ours or a baseline. */
+/** A scheduling strategy: the product's own or a baseline. */
 export interface Strategy {
   readonly name: string;
   readonly createPlacement: () => Placement;
-  /** First come first served, without classes, shares or shedding. */
+  /** Whether requests are served in the order of arrival, without classes, shares or load shedding. */
   readonly isFifo: boolean;
 }
 
-/** What happens in a run. */
+/** The load and the faults of a run. */
 export interface Scenario {
-  /** Offered load as a multiple of what the replicas can do. */
+  /** Offered load as a multiple of the capacity of the replicas. */
   readonly load: number;
   readonly isReplicaLost?: boolean;
   readonly isReplicaGrey?: boolean;
@@ -39,16 +39,16 @@
   readonly areReportsStale?: boolean;
 }
 
-/** What came of a run. */
+/** The result of a run. */
 export interface SurgeResult {
-  /** Share of callers answered before the deadline they started with, by class and in all. */
+  /** Share of callers answered before the deadline of their first attempt, by class and in total. */
   readonly inTime: Readonly<Record<string, number>>;
   readonly inTimeAll: number;
-  /** Share of callers who were shed at first and answered in the end. */
+  /** Share of the callers with more than one attempt that received an answer. */
   readonly cameBack: number;
-  /** Share of tokens spent on answers that missed the deadline of their last asking. */
+  /** Share of tokens spent on answers that missed the deadline of the last attempt. */
   readonly wasted: number;
-  /** Jain's index over organisations of answers in time, by share. */
+  /** Jain's fairness index of the answers in time over organisations, weighted by their shares. */
   readonly fairness: number;
   readonly firstTokenMs: Readonly<Record<"p50" | "p95" | "p99", number>>;
   readonly prefixHits: number;
@@ -80,7 +80,7 @@
   isDead: boolean;
 }
 
-/** The mailing run as a mix: drafts above all, and members who ask in between. */
+/** The request mix: mostly drafts of a mailing run, and interactive questions of members among them. */
 const KINDS: readonly RequestKind[] = [
   {
     name: "balance",
@@ -123,10 +123,10 @@
 const CHARACTERS_PER_TOKEN = 4;
 const EPOCH = 1;
 const GREY_SLOWNESS = 6;
-/** Requests a second that the replicas answer when kept busy with this mix; see `measureCapacity`. */
+/** Exponent that concentrates callers on the first organisations; 1 is an even load. */
 const LOAD_ORGANISATION_SKEW = 2;
 
-/** A clock that the run sets. */
+/** A clock that the simulation sets. */
 class SimulatedClock implements Clock {
   now = 0;
   getMonotonicMs(): number {
@@ -137,7 +137,7 @@
   }
 }
 
-/** One run. */
+/** A simulated run. */
 export class Surge {
   private readonly _strategy: Strategy;
   private readonly _scenario: Scenario;
@@ -153,9 +153,7 @@
   private _wastedTokens = 0;
   private _allTokens = 0;
 
-  /**
-   * @param capacity - Requests a second that the replicas can do.
-   */
+  /** @param capacity - Requests per second that the replicas can serve. */
   constructor(strategy: Strategy, scenario: Scenario, capacity: number) {
     this._strategy = strategy;
     this._scenario = scenario;
@@ -163,7 +161,7 @@
     this._entries = Array.from({ length: ENTRIES }, (_, i) => this._createEntry(i));
   }
 
-  /** Runs to the end, when every caller was answered or has given up. */
+  /** Runs until every caller has been answered or has reached its maximum wait. */
   async run(): Promise<SurgeResult> {
     let due = 0;
     for (let now = 0; now < END_MS; now += TICK_MS) {
@@ -222,7 +220,7 @@
     if (this._scenario.areReportsStale) for (const replica of this._replicas) replica.isStale = true;
   }
 
-  /** Its requests are broken off; callers of repeatable work ask again at once. */
+  /** Aborts the requests of a replica; callers of repeatable requests retry at once. */
   private _loseReplica(replica: ReplicaModel): void {
     replica.isLost = true;
     for (const job of replica.takeAll()) job.onEnd(Number.NaN);
@@ -230,7 +228,7 @@
 
   private _addCaller(): void {
     const organisations = this._configuration.organisations;
-    // The first organisations call more than their share: a surge is not even.
+    // The first organisations send more than their share, because a surge is uneven.
     const at = Math.floor(organisations.length * this._random.next() ** LOAD_ORGANISATION_SKEW);
     const caller: Caller = {
       id: this._callers.length,
@@ -363,7 +361,7 @@
       }
       if (now % UPDATE_MS === 0) entry.admission.update();
     }
-    // Lets what was promised in this tick happen in it.
+    // Runs the promise callbacks of this tick before the next one.
     await new Promise((resolve) => setImmediate(resolve));
   }
 
@@ -395,14 +393,17 @@
     };
   }
 
-  /** Over the drafts, which are what is short: tokens in time against what each asked for or its share. */
+  /**
+   * Compares the drafts answered in time with each organisation's fair share. Only drafts count, because
+   * their capacity is the scarce one.
+   */
   private _getFairness(): number {
     const drafts = this._callers.filter((caller) => caller.kind.name === "draft");
     const served = this._configuration.organisations.flatMap((organisation) => {
       const own = drafts.filter((caller) => caller.organisation === organisation);
       if (own.length === 0) return [];
       const got = own.filter(isInTime).length;
-      // An organisation that got all it asked for is satisfied, however little that was.
+      // An organisation that received all it requested is satisfied, however little it was.
       return [{ got, asked: own.length, share: organisation.share }];
     });
     const fill = getFairShares(
@@ -416,7 +417,7 @@
   }
 }
 
-/** Splits what was served by weight, giving none more than it asked for (max-min fairness). */
+/** Splits the total by weight without exceeding any request (max-min fairness). */
 function getFairShares(items: readonly { asked: number; share: number }[], total: number): number[] {
   const fair = items.map(() => 0);
   let left = total;
--- a/bench/surge/index.ts
+++ b/bench/surge/index.ts
@@ -1,4 +1,7 @@
-/** `surge` and `faults`: the decisions under load, against simpler ways; `retry`: amplification. */
+/**
+ * Benches of scheduling under load and under faults against baselines (`surge` and `faults`), and of retry
+ * amplification (`retry`).
+ */
 
 import { SeededRandom } from "../../src/consensus";
 import {
@@ -11,12 +14,13 @@
 import type { Bench, Figure } from "../Figure";
 import { type Scenario, type Strategy, Surge, type SurgeResult } from "./Surge";
 
-/** The benches. */
 export const surgeBench: Bench = { name: "surge", run: runSurge };
 export const faultsBench: Bench = { name: "faults", run: runFaults };
 export const retryBench: Bench = { name: "retry", run: runRetry };
 
-/** Requests a second that 12 replicas answer when kept busy with the mix: from a run at three times it. */
+/**
+ * Requests per second that 12 busy replicas serve with the request mix, measured at three times this load.
+ */
 const CAPACITY = 20;
 const LOADS = [0.8, 1.2, 3] as const;
 
@@ -44,7 +48,7 @@
   return figures;
 }
 
-/** Ours against the best of the baselines, as a ratio in one run. */
+/** Compares the product's strategy with the best baseline as a ratio within one run. */
 function compare(load: number, results: ReadonlyMap<string, SurgeResult>): Figure[] {
   const ours = results.get("ours")!;
   const others = [...results].filter(([name]) => name !== "ours" && name !== "no_reuse");
@@ -112,7 +116,7 @@
 const RETRY_RATIO = 0.1;
 const SEED = 7;
 
-/** Attempts a request with half of all attempts failing. */
+/** Measures attempts per request while half of all attempts fail. */
 async function runRetry(): Promise<Figure[]> {
   const budget = new RetryBudget();
   const random = new SeededRandom(SEED);
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -1,7 +1,7 @@
 /**
- * One control process in simulated time. The agreement, the relay of reports, the contact with the leader,
- * the roster of relays and the pace of planning are the product's own; what each thing costs is given.
- * Times are milliseconds.
+ * Models one control process in simulated time. Consensus, the report relay, leader contact, the relay roster
+ * and the planning schedule are the product's own classes; the processor cost of each operation is a
+ * parameter. Times are in milliseconds.
  */
 import { create } from "@bufbuild/protobuf";
 import { createMembership, DEFAULT_TIMING, RaftNode, type Ready, SeededRandom } from "../../src/consensus";
@@ -27,29 +27,38 @@
 import type { Occasion, Simulation } from "./Simulation";
 import { type Update, type Watch, Watcher } from "./Watcher";
 
-/** What all control processes work with. */
+/** The environment that all control processes of a simulation share. */
 export interface World {
   readonly simulation: Simulation;
   readonly network: Network;
   readonly costs: Costs;
   readonly seed: number;
-  /** Instances and entries are so many times as many as at size 1. */
+  /** Multiplier of the instance and entry counts of size 1. */
   readonly size: number;
   /** All control processes. */
   readonly processes: readonly ControlModel[];
   readonly founders: Membership;
   /**
-   * Whether a watcher that holds a newer view than a process can show stays with it; it is shown the older one
-   * in full otherwise, and goes on to the next process.
+   * Whether a process keeps the stream of a watcher that holds a newer view and sends it heartbeats only.
+   * Otherwise the process sends its older view in full, and the watcher switches to the next process.
    */
   readonly keepsWatchers: boolean;
-  /** Whether a process speaks for a leader that it follows in the agreement before it is shown its view. */
+  /**
+   * Whether contact with the leader through consensus lets a process accept calls on its behalf before it
+   * receives the leader's view.
+   */
   readonly speaksByAgreement: boolean;
-  /** Whether a refused entry turns to the leader by name. */
+  /** Whether a process that refuses an entry names the leader, so that the entry switches to it. */
   readonly sendsEntriesToLeader: boolean;
-  /** Whether an entry tells of all targets that stand still in one call, and followers tell the leader with their reports. */
+  /**
+   * Whether an entry reports all stalled targets in one call, and followers pass suspicions on with their
+   * report batches.
+   */
   readonly gathersSuspicions: boolean;
-  /** Gives how many targets stand still now: entries can't replace them before a leader has shown its view. */
+  /**
+   * Gets the current number of stalled targets. Entries can't replace them before a leader has published its
+   * view.
+   */
   readonly countStalledTargets: () => number;
 }
 
@@ -59,26 +68,26 @@
   readonly refuse: () => void;
 }
 
-/** A leader's soft state of one term. */
+/** The soft state of a leader for one term. */
 interface Leadership {
   readonly term: number;
   readonly relays: RelayRoster;
   readonly pace: PlanningSchedule;
-  /** Sequence number of the content that is known of each instance. */
+  /** Sequence number of the last full report of each instance. */
   readonly known: Map<string, number>;
   revision: number;
   published: number;
 }
 
-/** A watcher of this process. */
+/** The stream of view updates to one watcher. */
 interface Shown {
   readonly watch: Watch;
-  /** Whether it was shown the view already, and not only signs of life. */
+  /** Whether the watcher has received the view, not only heartbeats. */
   isFull: boolean;
   revision: number;
 }
 
-/** As in the product. */
+/** Timings of the product, in milliseconds. */
 const TICK_MS = 20;
 const DECLARATION_MS = 3_000;
 const READ_MS = 900;
@@ -92,18 +101,20 @@
 const REPORT_PATIENCE_MS = 2_100;
 const WATCH_HEARTBEAT_MS = 300;
 export const SUSPICION_MS = 500;
-/** Of one target by one process, where each is told by itself. */
+/**
+ * Minimum interval between two suspicions of one target that a process sends to the leader when it does not
+ * batch them.
+ */
 const SUSPICION_PAUSE_MS = 300;
-/** Code of a process that has run for as long is compiled. */
+/** Start time of a process whose code is compiled already. */
 const LONG_AGO_MS = -60_000;
 
-/** A control process. */
 export class ControlModel implements Place {
   readonly processor: Processor;
-  /** Reports of instances that were taken here. */
+  /** Number of instance reports that this process accepted. */
   taken = 0;
   isPowered = true;
-  /** Highest version that the agreement has given to this process. */
+  /** Highest configuration version that this process has applied from the log. */
   version = 0;
   private readonly _world: World;
   private readonly _index: number;
@@ -121,7 +132,7 @@
   private _controls: readonly string[] = [];
   private _viewRevision = 0;
   private _shown = new Set<Shown>();
-  /** When the leader was told of a target last, where each is told by itself. */
+  /** When this process last reported each target to the leader; used only if suspicions are not batched. */
   private readonly _suspectedAt = new Map<number, number>();
   private _proposals = new Map<number, Waiting>();
   private _barriers = new Map<number, Waiting>();
@@ -142,17 +153,16 @@
     this._snapshot = create(SnapshotSchema, { membership: world.founders });
   }
 
-  /** Gets whether it leads and has committed in its term. */
+  /** Checks whether this process leads and has committed an entry in its term. */
   get leads(): boolean {
     return this._node?.isEstablished() === true;
   }
 
-  /** Gets the term of its agreement. */
+  /** Gets the current consensus term; 0 while the process is stopped. */
   get term(): number {
     return this._node?.term ?? 0;
   }
 
-  /** Starts the process. */
   start(isCold: boolean): void {
     const { simulation, seed, processes } = this._world;
     const { now } = simulation;
@@ -187,7 +197,6 @@
     this._schedule(SIGN_MS);
   }
 
-  /** Ends the process. */
   stop(losesPower: boolean): void {
     this._life += 1;
     this.processor.stop();
@@ -199,18 +208,18 @@
     if (this._sendDue !== undefined) this._sendDue.isOff = true;
     this._sendDue = undefined;
     this._isSending = false;
-    // What lost its power says no end to anybody.
+    // A process without power can't close its streams.
     if (!losesPower) for (const { watch } of this._shown) watch.end();
     this._shown = new Set();
   }
 
-  /** Gets what an instance's report costs. */
+  /** Gets the processor time of an instance's report, or of its refusal, in milliseconds. */
   getReportCostMs(): number {
     const { reportMs, refusalMs } = this._world.costs;
     return this.leads || this._isInTouch(REPORT_PATIENCE_MS) ? reportMs : refusalMs;
   }
 
-  /** Takes an instance's report; answers with the process for the next ones. */
+  /** Accepts an instance's report and answers with the name of the process that receives the next ones. */
   serveReport(instanceId: string, sequence: number, call: Call<string>): void {
     const { now } = this._world.simulation;
     const leadership = this._updateLeadership();
@@ -227,7 +236,6 @@
     if (call.isWanted()) this.taken += 1;
   }
 
-  /** Serves an operator's declaration. */
   servePut(version: number, call: Call<number>): void {
     this._callLeader<number>(
       "declaration",
@@ -238,7 +246,6 @@
     );
   }
 
-  /** Serves an operator's read. */
   serveRead(call: Call<number>): void {
     this._callLeader<number>(
       "read",
@@ -249,7 +256,7 @@
     );
   }
 
-  /** Takes what an entry saw of one target, or of all of them together. */
+  /** Accepts an entry's suspicion of one target, or of all stalled targets together. */
   serveSuspicion(target: number, call: Call<void>): void {
     call.answer();
     if (this._world.gathersSuspicions || this.leads) return;
@@ -269,7 +276,7 @@
     });
   }
 
-  /** Gets what beginning a watch costs. */
+  /** Gets the processor time to open a watch, in milliseconds. */
   getWatchCostMs(watch: Watch): number {
     const { firstViewMs, refusalMs, signMs } = this._world.costs;
     const term = this._getShownTerm(watch.isEntry);
@@ -277,7 +284,7 @@
     return this._isKept(watch, term) ? signMs : firstViewMs;
   }
 
-  /** Shows a watcher the view until there is none any more. */
+  /** Sends view updates to a watcher until this process has no view to publish. */
   serveWatch(watch: Watch): void {
     const term = this._getShownTerm(watch.isEntry);
     if (term === undefined) {
@@ -324,7 +331,7 @@
     this._goOnShowing(shown);
   }
 
-  /** Gets the term of the view that a watcher is shown; `undefined` where there is none. */
+  /** Gets the term of the view for a watcher; `undefined` if this process has no view to publish. */
   private _getShownTerm(isEntry: boolean): number | undefined {
     const leadership = this._updateLeadership();
     if (leadership !== undefined) return leadership.term;
@@ -378,7 +385,7 @@
     return this._contact.isRecent(now, patienceMs) || this._isElecting(now);
   }
 
-  /** Asked for each call: within a moment the answer stays. */
+  /** Caches the answer within one simulated instant, because every call needs it. */
   private _isElecting(now: number): boolean {
     if (this._electing.at !== now) this._electing = { at: now, is: this._node?.isElecting(now) === true };
     return this._electing.is;
@@ -482,7 +489,7 @@
     });
   }
 
-  /** As `ReportSender` tells the leader. */
+  /** Sends a report batch to the leader by the rules of `ReportSender`. */
   private _sendReports(): void {
     const { simulation, costs } = this._world;
     if (this.leads || this._node!.leaderId === "") {
@@ -572,7 +579,7 @@
     else waiting.refuse();
   }
 
-  /** What waited for an answer as the leader learns that there will be none. */
+  /** Refuses pending requests that can't complete any more because this process lost leadership. */
   private _refuseLost(): void {
     for (const waiting of [this._proposals, this._barriers]) {
       for (const [key, { term, refuse }] of waiting) {
@@ -583,7 +590,10 @@
     }
   }
 
-  /** The soft state of a leader begins with its term. */
+  /**
+   * Gets the soft state of the current term, which starts empty in each term; `undefined` if this process
+   * does not lead.
+   */
   private _updateLeadership(): Leadership | undefined {
     if (!this.leads) {
       this._leadership = undefined;
@@ -621,7 +631,7 @@
   }
 }
 
-/** Has a process asked to show its view, by an entry or by another control process. */
+/** Opens a watch on a control process for an entry or for another control process. */
 export function openWatch(
   world: World,
   from: ControlModel | undefined,
--- a/test/overload/Discipline.test.ts
+++ b/test/overload/Discipline.test.ts
@@ -11,8 +11,8 @@
   return kinds;
 }
 
-describe("the order of arrival", () => {
-  it("gives all work as it came, wanted or not", () => {
+describe("FifoQueue", () => {
+  it("returns all work in the order of arrival, even if its caller no longer waits", () => {
     const order = new ArrivalOrder();
     for (const work of [createWork("report", false), createWork("agreement")])
       expect(order.add(work)).toEqual([]);
@@ -20,21 +20,21 @@
   });
 });
 
-describe("the order of worth", () => {
-  it("gives worth first", () => {
+describe("PriorityQueue", () => {
+  it("returns work of higher priority first", () => {
     const order = new WorthOrder();
     for (const kind of ["report", "watch", "plan", "read", "agreement"] as const) order.add(createWork(kind));
     expect(takeAll(order)).toEqual(["agreement", "read", "plan", "watch", "report"]);
   });
 
-  it("does not give what nobody waits for any more", () => {
+  it("drops work whose caller no longer waits", () => {
     const order = new WorthOrder();
     order.add(createWork("read", false));
     order.add(createWork("read"));
     expect(takeAll(order)).toEqual(["read"]);
   });
 
-  it("refuses what is too much of one class, and nothing of another", () => {
+  it("refuses work over the limit of its class and accepts work of other classes", () => {
     const order = new WorthOrder([
       { kinds: ["read"], limit: 1 },
       { kinds: ["report"], limit: 1 },
--- a/test/overload/Discipline.ts
+++ b/test/overload/Discipline.ts
@@ -1,6 +1,6 @@
-/** In which order a process does what it is asked for, and what it does not begin. */
+/** Queues that decide in which order a process executes its work and which work it refuses or drops. */
 
-/** Kinds of work, for the order in which it is done and for counting. */
+/** Kinds of work, for ordering and for usage counts. */
 export type WorkKind =
   | "agreement"
   | "answer"
@@ -12,29 +12,31 @@
   | "report"
   | "plan";
 
-/** Something to be done by one process. */
+/** Work for one process. */
 export interface Work {
   readonly kind: WorkKind;
-  /** Processor time, milliseconds; asked for when it is begun, since a refusal costs less. */
+  /** Gets the processor time in milliseconds. Called when the work starts, because a refusal costs less. */
   readonly getCostMs: () => number;
-  /** Checks whether whoever asked still waits. */
+  /** Checks whether the caller still waits. */
   readonly isWanted: () => boolean;
   readonly run: () => void;
-  /** Tells whoever asked that it is not done. */
+  /** Notifies the caller that the process does not execute the work. */
   readonly refuse: () => void;
 }
 
-/** Holds work until the process takes it. */
+/** Queues work until the processor takes it. */
 export interface Discipline {
-  /** Takes work over; what it returns is not done, and refused: the work itself, or what gave way to it. */
+  /**
+   * Adds work. Returns the work that the queue refuses: the work itself, or queued work that it displaced.
+   */
   add(work: Work): readonly Work[];
-  /** Takes what is to be done next. */
+  /** Removes the next work from the queue; `undefined` if there is none. */
   take(): Work | undefined;
-  /** Forgets everything: the process has ended. */
+  /** Removes all work, because the process has ended. */
   clear(): void;
 }
 
-/** First come, first served; everything is done, however late. */
+/** Returns work in the order of arrival and never drops any, however late it is. */
 export class ArrivalOrder implements Discipline {
   private _waiting: Work[] = [];
   private _next = 0;
@@ -60,13 +62,16 @@
   }
 }
 
-/** Kinds of work of one worth, and how much of it may wait. */
+/** Kinds of work with the same priority, and the maximum number of them in the queue. */
 export interface WorkClass {
   readonly kinds: readonly WorkKind[];
   readonly limit: number;
 }
 
-/** In the order of their worth; whoever waits too long has gone, so that there is room for all who ask at size 5. */
+/**
+ * The classes by descending priority. Callers that wait too long abandon their calls, so these limits suffice
+ * for all callers at size 5.
+ */
 const CLASSES: readonly WorkClass[] = [
   { kinds: ["agreement", "answer"], limit: 1_000 },
   { kinds: ["declaration", "read"], limit: 50 },
@@ -75,7 +80,10 @@
   { kinds: ["report"], limit: 2_000 },
 ];
 
-/** Worth goes first; what nobody waits for any more is not begun; of each class a bounded number waits. */
+/**
+ * Returns work of higher priority first, drops work whose caller no longer waits, and limits the queue length
+ * of each class.
+ */
 export class WorthOrder implements Discipline {
   private readonly _classes: readonly WorkClass[];
   private readonly _waiting: Work[][];
--- a/test/overload/LeaderCalls.ts
+++ b/test/overload/LeaderCalls.ts
@@ -1,25 +1,25 @@
-/** Calls the leader in simulated time, by the rules of `LeaderClient`. Times are milliseconds. */
+/** Calls the leader in simulated time by the rules of `LeaderClient`. Times are in milliseconds. */
 import { SearchPause } from "../../src/rpc/SearchPause";
 import type { Outcome, Place } from "./Network";
 import type { Simulation } from "./Simulation";
 
-/** As in `LeaderClient`. */
+/** Timings of `LeaderClient`, in milliseconds. */
 const ATTEMPT_MS = 700;
 const LOOK_MS = 50;
 
-/** One try of a call. */
+/** Makes one attempt of a call. */
 export type Try<R> = (to: Place, timeoutMs: number, onEnd: (outcome: Outcome<R>) => void) => void;
 
-/** What the calls of one process work with. */
+/** The environment of the calls of one process. */
 export interface LeaderCallsOptions {
   readonly simulation: Simulation;
   readonly places: readonly Place[];
-  /** Gives the leader as the agreement knows it here, "" where it does not. */
+  /** Gets the leader from the local consensus state; "" if it is unknown. */
   readonly getLeader: () => string;
   readonly isRunning: () => boolean;
 }
 
-/** The calls of one life of a process. */
+/** Makes the calls of one incarnation of a process. */
 export class LeaderCalls {
   private readonly _options: LeaderCallsOptions;
   private _current: Place;
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Calls until one answers or the time is up.
-   * @param onEnd - Told the answer; `undefined` when there was none in time.
+   * Attempts a call until a process answers or the time is up.
+   * @param onEnd - Receives the answer; `undefined` if none arrived in time.
    */
   call<R>(attempt: Try<R>, totalMs: number, onEnd: (answer: R | undefined) => void): void {
     const { simulation, isRunning } = this._options;
--- a/test/overload/Network.ts
+++ b/test/overload/Network.ts
@@ -1,32 +1,38 @@
-/** Calls between askers and control processes: an answer that comes after the asker gave up is lost. */
+/**
+ * Carries calls between clients and control processes in simulated time. An answer that arrives after the
+ * caller has timed out is lost.
+ */
 import type { WorkKind } from "./Discipline";
 import type { Processor } from "./Processor";
 import type { Simulation } from "./Simulation";
 
-/** Where calls arrive, and which processor their answers are taken with. */
+/** A process that receives calls, and whose processor handles the answers to its own calls. */
 export interface Place {
   readonly name: string;
   readonly processor: Processor;
-  /** Without power nothing is said; a process that ended has its calls refused by its machine. */
+  /**
+   * Whether the machine has power. A machine without power sends nothing; a machine with power refuses calls
+   * to a process that has ended.
+   */
   readonly isPowered: boolean;
 }
 
-/** What came of a call. */
+/** The result of a call. */
 export type Outcome<R> =
   | { readonly kind: "answer"; readonly answer: R }
   | { readonly kind: "refused"; readonly leader: string }
   | { readonly kind: "timeout" };
 
-/** A call as the process sees that is asked. */
+/** A call as the called process sees it. */
 export interface Call<R> {
   readonly isWanted: () => boolean;
   readonly answer: (answer: R) => void;
   readonly refuse: (leader: string) => void;
 }
 
-/** A call to be made. */
+/** The parameters of a call. */
 export interface Request<R> {
-  /** The calling control process; `undefined` for one whose processor doesn't matter here. */
+  /** The calling control process; `undefined` for a client, whose processor is not modelled. */
   readonly from: Place | undefined;
   readonly to: Place;
   readonly kind: WorkKind;
@@ -36,40 +42,41 @@
   readonly onEnd: (outcome: Outcome<R>) => void;
 }
 
-/** One way, milliseconds: between control processes, and from instances, entries and operators to them. */
+/**
+ * One-way latency in milliseconds: between control processes, and between them and instances, entries or
+ * operators.
+ */
 const INNER_MS = 1.5;
 const OUTER_MS = 3;
 
-/** Links, which may be cut. */
+/** A network whose links can be cut. */
 export class Network {
   private readonly _simulation: Simulation;
   private readonly _answerMs: number;
   private readonly _cut = new Set<string>();
 
-  /**
-   * @param answerMs - What taking an answer costs a process, milliseconds of processor time.
-   */
+  /** @param answerMs - Processor time that a process needs to handle an answer, in milliseconds. */
   constructor(simulation: Simulation, answerMs: number) {
     this._simulation = simulation;
     this._answerMs = answerMs;
   }
 
-  /** Cuts processes from others, both ways. */
+  /** Cuts the links between two sets of processes in both directions. */
   cut(names: readonly string[], others: readonly string[]): void {
     for (const name of names) for (const other of others) this._cut.add(getLink(name, other));
   }
 
-  /** Joins all again. */
+  /** Restores all links. */
   heal(): void {
     this._cut.clear();
   }
 
-  /** Checks whether two processes reach each other. */
+  /** Checks whether two processes can reach each other. */
   isWhole(name: string, other: string): boolean {
     return !this._cut.has(getLink(name, other));
   }
 
-  /** Sends a message that nobody answers. */
+  /** Sends a message that needs no answer. */
   send(from: Place, to: Place, costMs: number, receive: () => void): void {
     if (!this.isWhole(from.name, to.name)) return;
     this._simulation.addAfter(INNER_MS, () =>
@@ -83,7 +90,10 @@
     );
   }
 
-  /** Makes a call; its end is told once, to a process that still runs. */
+  /**
+   * Makes a call and reports its outcome once, unless the calling process has stopped. Returns a function
+   * that cancels the call.
+   */
   call<R>(request: Request<R>): () => void {
     const { from, to, timeoutMs } = request;
     let isOver = false;
--- a/test/overload/OverloadSeries.ts
+++ b/test/overload/OverloadSeries.ts
@@ -1,7 +1,8 @@
 /**
- * Control processes, those who ask them, and what befalls them; what they ask follows from what they are answered.
+ * Simulates control processes with their clients under a fault. Clients choose their next calls by the
+ * answers they receive, so that retries can sustain an overload.
  *
- * A test of our own code under simulated time: nothing waits for a clock. Times are milliseconds.
+ * Everything runs in simulated time; nothing waits for a real clock. Times are in milliseconds.
  */
 import { create } from "@bufbuild/protobuf";
 import { createMembership, SeededRandom } from "../../src/consensus";
@@ -14,11 +15,11 @@
 import type { Usage } from "./Processor";
 import { Simulation } from "./Simulation";
 
-/** What befalls control. */
+/** Faults that trigger an overload of the control processes. */
 export const TRIGGERS = ["power", "powerTwice", "killedLeader", "cut"] as const;
 export type Trigger = (typeof TRIGGERS)[number];
 
-/** Rules of the product that a series may be played without. */
+/** Rules of the product that a series can disable. */
 export type Rules = Pick<
   World,
   "keepsWatchers" | "speaksByAgreement" | "sendsEntriesToLeader" | "gathersSuspicions"
@@ -31,69 +32,74 @@
   gathersSuspicions: true,
 };
 
-/** What a series is played with. */
+/** The parameters of a series. */
 export interface SeriesOptions {
   readonly seed: number;
-  /** At 1 there are 222 instances and 56 entries. */
+  /** Multiplier of the load; at 1 there are 222 instances and 56 entries. */
   readonly size: number;
   readonly trigger: Trigger;
-  /** Whether all entries lose their power as well. */
+  /** Whether all entries lose power as well. */
   readonly losesEntries: boolean;
   readonly createDiscipline: () => Discipline;
   readonly costs?: Costs;
-  /** What parts from the rules of the product: defects on purpose. */
+  /** Deviations from the product's rules, which reproduce known defects. */
   readonly defects?: Partial<Rules>;
 }
 
-/** What came of a series; times are of the simulation. */
+/** The result of a series; times are simulated milliseconds. */
 export interface SeriesOutcome {
   readonly seed: number;
   readonly size: number;
   readonly trigger: Trigger;
   readonly losesEntries: boolean;
-  /** Of the reports that instances make, how many were taken before the trigger. */
+  /** Accepted reports before the trigger, as a share of those that instances send. */
   readonly takenBefore: number;
   readonly endedAt: number;
-  /** When the first leader after the trigger's end began; `undefined` if there was none. */
+  /** When the first leader after the end of the trigger was established; `undefined` if there was none. */
   readonly ledAt: number | undefined;
-  /** The first order sent after the trigger's end. */
+  /** The first order sent after the end of the trigger. */
   readonly order: Order;
-  /** When as many reports as before are taken again, and from then on. */
+  /**
+   * When the rate of accepted reports has recovered for the rest of the series; `undefined` if it does not.
+   */
   readonly reportsBackAt: number | undefined;
-  /** When all entries follow a view again. */
+  /** When all entries follow a view again; `undefined` if they do not. */
   readonly entriesBackAt: number | undefined;
-  /** How often another leader began after the first one. */
+  /** Number of leaders established after the first one. */
   readonly laterLeaders: number;
   readonly usages: readonly Usage[];
 }
 
 const PROCESSES = 6;
-/** Replicas that lose instances with the trigger, at size 1, and until when after a leader began they are not replaced. */
+/**
+ * Replicas that lose instances in the trigger, at size 1, and the delay before an established leader has
+ * replaced them.
+ */
 const STALLED_TARGETS = 11;
 const REPLACED_MS = 3_000;
 const VOTERS = 5;
 const INSTANCES = 222;
 const ENTRIES = 56;
 const SETTLING_MS = 8_000;
-/** Entries start once there is a leader, one after the other. */
+/** Entries start 2 s into the series, when there is a leader, spread over 3 s. */
 const FIRST_ENTRY_MS = 2_000;
 const ENTRIES_START_MS = 3_000;
 const OFF_MS = 1_000;
-/** From power until a process listens. */
+/** Time from power-on until a process listens. */
 const START_MS = 430;
 const TWICE_AFTER_MS = 7_000;
 const CUT_MS = 10_000;
-/** Entries lose their power within this time of control. */
+/** Entries lose power within this time after the control processes. */
 const APART_MS = 4_000;
 const WATCHED_MS = 12_000;
 const ORDER_EVERY_MS = 1_500;
 const SAMPLE_MS = 100;
-/** Each instance reports once in it. */
+/** A window in which each instance reports once. */
 export const WINDOW_MS = 1_200;
-/** Reports are back at so much of what they were. */
+/** Share of the previous report rate that counts as recovered. */
 const BACK_SHARE = 0.9;
 
-/** One series. */
+/** A simulated series. */
 export class OverloadSeries {
   private readonly _options: SeriesOptions;
   private readonly _simulation = new Simulation();
@@ -102,10 +108,10 @@
   private readonly _entries: EntryAsker[];
   private readonly _operator: OperatorAsker;
   private readonly _network: Network;
-  /** Reports taken, term and whether all entries follow, every 100 ms. */
+  /** Accepted reports, the leader's term and whether all entries follow a view, every 100 ms. */
   private readonly _samples: Sample[] = [];
   private _endedAt = 0;
-  /** Term of the leader that was seen last, 0 for none, and since when. */
+  /** Term of the last observed leader, 0 for none, and when it was first observed. */
   private _ledTerm = 0;
   private _ledSince = 0;
 
@@ -142,7 +148,7 @@
     this._sample();
   }
 
-  /** Plays it to its end. */
+  /** Runs the series to its end. */
   play(): SeriesOutcome {
     this._simulation.runUntil(SETTLING_MS);
     this._loseEntries();
@@ -172,7 +178,7 @@
     this._endedAt = Math.max(this._endedAt, this._simulation.now);
   }
 
-  /** From the trigger on, until a leader has led for long enough to replace them. */
+  /** Targets are stalled from the trigger until a leader has led for long enough to replace them. */
   private _countStalledTargets(): number {
     const { now } = this._simulation;
     if (now <= SETTLING_MS) return 0;
@@ -201,7 +207,7 @@
     this._simulation.runUntil(this._simulation.now + START_MS);
   }
 
-  /** The leader is cut off together with too few others. */
+  /** Cuts off the leader with one other process, so that its side has no quorum. */
   private _cut(): void {
     const leader = this._getLeader() ?? this._processes[0]!;
     const others = this._processes.filter((process) => process !== leader);
@@ -272,7 +278,7 @@
     return later[lacking + 1]?.at;
   }
 
-  /** Counts the reports that were taken in the window that ends at a time. */
+  /** Counts the reports accepted in the window that ends at a time. */
   private _countAt(at: number): number {
     const i = this._samples.findIndex((sample) => sample.at >= at);
     return this._samples[i]!.taken - this._samples[Math.max(0, i - WINDOW_MS / SAMPLE_MS)]!.taken;
--- a/test/overload/Processor.ts
+++ b/test/overload/Processor.ts
@@ -1,19 +1,22 @@
-/** The processor of one process: it does one thing at a time, at a bounded rate. Times are simulated milliseconds. */
+/**
+ * Models the processor of one process: it executes one unit of work at a time, at a limited rate. Times are
+ * in simulated milliseconds.
+ */
 import type { Costs } from "./costs";
 import type { Discipline, Work, WorkKind } from "./Discipline";
 import type { Simulation } from "./Simulation";
 
-/** Processor time that was used, milliseconds. */
+/** Processor time used by one kind of work, in milliseconds. */
 export interface Usage {
   readonly kind: WorkKind;
-  /** In all, and for those that did not wait any more when it was done. */
+  /** In total, and for work whose caller no longer waited when it completed. */
   usedMs: number;
   wastedMs: number;
   done: number;
   wasted: number;
 }
 
-/** A processor and what waits for it. */
+/** A processor and its work queue. */
 export class Processor {
   readonly usages = new Map<WorkKind, Usage>();
   private readonly _simulation: Simulation;
@@ -23,7 +26,7 @@
   private _life = 0;
   private _isRunning = false;
   private _isBusy = false;
-  /** Of refusals at the door, until the next work is begun. */
+  /** Processor time of refusals by the queue, charged to the next work. */
   private _owedMs = 0;
 
   constructor(simulation: Simulation, discipline: Discipline, costs: Costs) {
@@ -32,12 +35,11 @@
     this._costs = costs;
   }
 
-  /** Gets whether its process runs. */
   get isRunning(): boolean {
     return this._isRunning;
   }
 
-  /** Starts a process; a long one ago runs compiled code from the beginning. */
+  /** Starts a process. If it started at least `coldMs` ago, its code is compiled from the beginning. */
   start(startedAt: number): void {
     this._life += 1;
     this._startedAt = startedAt;
@@ -46,7 +48,7 @@
     this._owedMs = 0;
   }
 
-  /** Ends the process: nothing of what waits is done. */
+  /** Ends the process and drops its queued work. */
   stop(): void {
     this._life += 1;
     this._isRunning = false;
@@ -54,7 +56,7 @@
     this._discipline.clear();
   }
 
-  /** Takes work over. */
+  /** Adds work to the queue; ignores it if the process does not run. */
   add(work: Work): void {
     if (!this._isRunning) return;
     for (const refused of this._discipline.add(work)) {
--- a/test/overload/Simulation.test.ts
+++ b/test/overload/Simulation.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from "vitest";
 import { Simulation } from "./Simulation";
 
-describe("simulated time", () => {
-  it("runs what is due in its order, and what is planned meanwhile", () => {
+describe("Simulation", () => {
+  it("runs due events in order, including events scheduled by other events, and skips cancelled ones", () => {
     const simulation = new Simulation();
     const ran: string[] = [];
     const add = (afterMs: number, name: string) =>
--- a/test/overload/Simulation.ts
+++ b/test/overload/Simulation.ts
@@ -1,31 +1,34 @@
-/** Simulated time: what is due is run in its order, nothing waits for a clock. Times are milliseconds. */
+/**
+ * Discrete-event simulation: runs scheduled events in the order of their times without waiting for a real
+ * clock. Times are in milliseconds.
+ */
 
-/** Something that is to happen; it may be called off. */
+/** A scheduled event, which can be cancelled. */
 export interface Occasion {
   readonly at: number;
-  /** Occasions of one moment happen in the order in which they were planned. */
+  /** Events of the same time run in the order in which they were scheduled. */
   readonly order: number;
   readonly run: () => void;
   isOff: boolean;
 }
 
-/** A clock and what is planned. */
+/** A simulated clock with its event queue. */
 export class Simulation {
   private readonly _heap: Occasion[] = [];
   private _now = 0;
   private _planned = 0;
 
-  /** Gets the present time. */
+  /** Gets the current simulated time. */
   get now(): number {
     return this._now;
   }
 
-  /** Gets how much was planned so far. */
+  /** Gets the total number of events scheduled so far. */
   get planned(): number {
     return this._planned;
   }
 
-  /** Plans something for some time from now. */
+  /** Schedules an event after a delay; a negative delay counts as 0. */
   addAfter(milliseconds: number, run: () => void): Occasion {
     this._planned += 1;
     const occasion = { at: this._now + Math.max(0, milliseconds), order: this._planned, run, isOff: false };
@@ -34,7 +37,7 @@
     return occasion;
   }
 
-  /** Lets time pass. */
+  /** Runs all events up to a time and advances the clock to it. */
   runUntil(at: number): void {
     while (this._heap.length > 0 && this._heap[0]!.at <= at) {
       const occasion = this._takeFirst();
--- a/test/overload/Watcher.ts
+++ b/test/overload/Watcher.ts
@@ -1,55 +1,58 @@
-/** Follows a view in simulated time, by the rules of `ViewWatcher`. Times are milliseconds. */
+/** Follows a view in simulated time by the rules of `ViewWatcher`. Times are in milliseconds. */
 import { SearchPause } from "../../src/rpc/SearchPause";
 import type { Place } from "./Network";
 import type { Simulation } from "./Simulation";
 
-/** What a watcher is told. */
+/** An update that a watcher receives. */
 export interface Update {
   readonly term: number;
-  /** Processes that entries are to watch; empty where there is no news of them. */
+  /** Control processes that entries may watch; empty if they are not part of the update. */
   readonly controls: readonly string[];
-  /** Says only that the process is alive: what the watcher holds is newer than what it could be shown. */
+  /**
+   * Whether the update is only a heartbeat, because the watcher already holds a newer view than the process
+   * has.
+   */
   readonly isSign: boolean;
 }
 
-/** A watch as the process sees that shows the view. */
+/** A watch as the publishing process sees it. */
 export interface Watch {
   readonly isEntry: boolean;
-  /** Of the newest leader whose view the watcher holds. */
+  /** Term of the newest leader whose view the watcher holds. */
   readonly term: number;
-  /** Whether the watcher has not given it up. */
+  /** Checks whether the watcher has not abandoned the watch. */
   readonly isWanted: () => boolean;
   readonly show: (update: Update) => void;
   readonly refuse: (leader: string) => void;
-  /** Ends it: there is nothing to show any more. */
+  /** Ends the watch because the process has no view to publish. */
   readonly end: () => void;
 }
 
-/** What a watcher works with. */
+/** The environment of a watcher. */
 export interface WatcherOptions {
   readonly simulation: Simulation;
   readonly isEntry: boolean;
   readonly places: readonly Place[];
-  /** Gives whom to ask, in this order; nobody where none is known. */
+  /** Gets the processes to try, in order of preference; empty if none is known. */
   readonly getCandidates: (controls: readonly string[]) => readonly string[];
   readonly isWanted: () => boolean;
   readonly isRunning: () => boolean;
   readonly getTerm: () => number;
-  /** Has a process asked to be shown its view. */
+  /** Opens a watch on a process. */
   readonly open: (to: Place, watch: Watch) => void;
-  /** @returns Whether the update is of no older term than others before it. */
+  /** @returns `false` if the update is from an older term than one received before. */
   readonly onUpdate: (update: Update) => boolean;
 }
 
-/** As in `ViewWatcher`. */
+/** Timings of `ViewWatcher`, in milliseconds. */
 const SILENCE_MS = 1_000;
 const FIRST_ANSWER_MS = 700;
 const MAX_FIRST_ANSWER_MS = 2_800;
 const IDLE_MS = 100;
 
-/** A watcher for one life of its process. */
+/** A watcher of one incarnation of its process. */
 export class Watcher {
-  /** Tries that ended before a first answer. */
+  /** Number of attempts that ended before the first update. */
   vainTries = 0;
   private readonly _options: WatcherOptions;
   private readonly _search = new SearchPause();
@@ -66,17 +69,16 @@
     this._options = options;
   }
 
-  /** Gets whether a view is followed now. */
+  /** Checks whether the watcher follows a view now. */
   get isConnected(): boolean {
     return this._isConnected;
   }
 
-  /** Gets the process that is followed, or asked; "" before the first one. */
+  /** Gets the process that the watcher follows or tries; "" before the first one. */
   get current(): string {
     return this._current;
   }
 
-  /** Begins to follow. */
   run(): void {
     const { simulation, isRunning, isWanted } = this._options;
     if (!isRunning()) return;
@@ -116,7 +118,7 @@
     });
   }
 
-  /** A process silent for too long is given up. */
+  /** Abandons a process that has sent no update for 1 s. */
   private _listen(isPresent: () => boolean): void {
     const { simulation } = this._options;
     this._heardAt = simulation.now;
--- a/test/overload/askers.ts
+++ b/test/overload/askers.ts
@@ -1,25 +1,27 @@
-/** Those who ask control from outside: instances, operators and entries. Times are simulated milliseconds. */
+/**
+ * Clients of the control processes: instances, operators and entries. Times are in simulated milliseconds.
+ */
 import type { SeededRandom } from "../../src/consensus";
 import { orderByAffinity } from "../../src/registration/affinity";
 import { type ControlModel, openWatch, SUSPICION_MS, type World } from "./ControlModel";
 import type { Outcome } from "./Network";
 import { type Update, Watcher } from "./Watcher";
 
-/** An instance reports so often, waits so long for an answer, and asks the next process after a failure. */
+/** Report interval of an instance, and its timeout for an answer, after which it tries the next process. */
 const REPORT_MS = 1_200;
 const REPORT_TIMEOUT_MS = 1_000;
-/** An operator gives a try so long, and waits longer and longer between two. */
+/** Timeout of one attempt of an operator, and the bounds of the exponential delay between attempts. */
 const ORDER_TIMEOUT_MS = 1_000;
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 1_000;
-/** A client of the configuration asks so often, wherever. */
+/** Interval at which a client reads the configuration from a random process. */
 const READ_EVERY_MS = 250;
-/** An entry tells of a target that stands still so often. */
+/** Interval at which an entry reports stalled targets. */
 const SUSPICION_PAUSE_MS = 1_000;
-/** Settings name so many control processes. */
+/** Number of control processes named in the settings of an entry. */
 const SEEDS = 3;
 
-/** An instance that reports for as long as the simulation lasts. */
+/** An instance that reports until the simulation ends. */
 export class InstanceAsker {
   private readonly _world: World;
   private readonly _id: string;
@@ -34,7 +36,6 @@
     this._target = this._pick();
   }
 
-  /** Begins to report. */
   start(): void {
     this._world.simulation.addAfter(this._random.next() * REPORT_MS, () => this._report());
   }
@@ -45,7 +46,7 @@
     this._ask(this._sequence, this._world.processes.length);
   }
 
-  /** The next report takes the place of one that nobody has taken yet. */
+  /** Abandons a report that no process has accepted when the next one is due. */
   private _ask(sequence: number, triesLeft: number): void {
     if (sequence !== this._sequence || triesLeft === 0) return;
     const to = this._target;
@@ -76,13 +77,13 @@
   }
 }
 
-/** An order and what came of it. */
+/** An order and its progress. */
 export interface Order {
   readonly version: number;
   readonly sentAt: number;
   tries: number;
   acknowledgedAt: number | undefined;
-  /** When a read gave it, or a newer one. */
+  /** When a read first returned this version or a newer one. */
   readAt: number | undefined;
 }
 
@@ -97,7 +98,7 @@
     this._random = random;
   }
 
-  /** Begins to send orders, and to read. */
+  /** Sends an order at each interval and reads the configuration every 250 ms. */
   start(everyMs: number): void {
     const { simulation } = this._world;
     const sendNext = () => {
@@ -165,7 +166,7 @@
   }
 }
 
-/** An entry that follows a view, until its machine loses power. */
+/** An entry that follows a view until its machine loses power. */
 export class EntryAsker {
   private readonly _world: World;
   private readonly _id: string;
@@ -179,12 +180,11 @@
     this._id = id;
   }
 
-  /** Gets whether it follows a view now. */
+  /** Checks whether the entry follows a view now. */
   get isConnected(): boolean {
     return this._watcher?.isConnected === true;
   }
 
-  /** Starts the process. */
   start(): void {
     const { simulation, processes } = this._world;
     this._life += 1;
@@ -208,7 +208,6 @@
     this._suspectLater(life);
   }
 
-  /** Ends the process. */
   stop(): void {
     this._life += 1;
     this._watcher = undefined;
--- a/test/overload/costs.ts
+++ b/test/overload/costs.ts
@@ -1,35 +1,39 @@
-/** What work costs a control process, milliseconds of processor time, and what processor time it gets. */
+/**
+ * Processor time that work costs a control process, in milliseconds, and the processor share of a process.
+ */
 
-/** Costs of the kinds of work. */
 export interface Costs {
-  /** Part of a processor that a process gets. */
+  /** Share of one processor that a process gets. */
   readonly share: number;
-  /** Of an instance's report that is taken. */
+  /** An accepted instance report. */
   readonly reportMs: number;
-  /** Of a call between processes. */
+  /** A call between control processes. */
   readonly callMs: number;
-  /** Of an operator's declaration: it is parsed. */
+  /** An operator's declaration, including parsing. */
   readonly declarationMs: number;
-  /** Of the first view that a watcher is shown. */
+  /** The first view sent to a watcher. */
   readonly firstViewMs: number;
-  /** Of what has changed in a view since. */
+  /** A later update of a view, which contains only the changes. */
   readonly updateMs: number;
-  /** Of a sign of life to a watcher. */
+  /** A heartbeat to a watcher. */
   readonly signMs: number;
   readonly refusalMs: number;
-  /** Of refusing at the door what is not even begun. */
+  /** A refusal by the queue, before any work starts. */
   readonly doorRefusalMs: number;
-  /** Of taking an answer to a call of its own. */
+  /** Handling the answer to a call of the process itself. */
   readonly answerMs: number;
-  /** Of a message of the agreement. */
+  /** A consensus message. */
   readonly agreementMs: number;
-  /** Of a report in full, and of a sign of life, in a call of a relay. */
+  /** A full report, and a heartbeat, in a relay's batch. */
   readonly relayedReportMs: number;
   readonly relayedSignMs: number;
-  /** Of planning for a leader that has just begun, and of each later one, for as many instances as at size 1. */
+  /** The first planning round of a new leader, and each later one, with the number of instances of size 1. */
   readonly firstPlanMs: number;
   readonly planMs: number;
-  /** Code that has not been compiled yet costs so many times as much, for so long after a process's start. */
+  /**
+   * Cost multiplier of code that is not compiled yet, and the time after a process's start for which it
+   * applies.
+   */
   readonly coldFactor: number;
   readonly coldMs: number;
 }
--- a/test/overload/recovery.test.ts
+++ b/test/overload/recovery.test.ts
@@ -1,6 +1,7 @@
 /**
- * Control on a fifth of a processor after something befell it, with askers that come back when they are not answered.
- * `OVERLOAD_SEED=7 OVERLOAD_RUNS=200 npx vitest run test/overload/recovery.test.ts` plays others.
+ * Guards against an overload of control processes that persists after its trigger: each process gets a fifth
+ * of a processor, and clients retry calls that are not answered.
+ * `OVERLOAD_SEED=7 OVERLOAD_RUNS=200 npx vitest run test/overload/recovery.test.ts` runs other seeds.
  */
 import { describe, expect, it } from "vitest";
 import { ArrivalOrder } from "./Discipline";
@@ -15,14 +16,20 @@
 
 const FIRST_SEED = Number(process.env.OVERLOAD_SEED ?? 1);
 const RUNS = Number(process.env.OVERLOAD_RUNS ?? 50);
-/** Of every eleven series; each comes with each trigger, with and without entries, in eight times as many. */
+/**
+ * Sizes of each eleven consecutive series. Eight consecutive series cover each trigger with and without a
+ * loss of entries.
+ */
 const SIZES = [1, 1, 1, 1, 2, 1, 1, 1, 1, 5, 1];
-/** At this size instances report more than all processes can take. */
+/** The size at which instances send more reports than all processes can handle. */
 const TOO_GREAT = 5;
-/** It counts as calm so long after the last that happened; an order has that much of calm. */
+/** A quiet period begins 4 s after the last fault; an order must complete within 5.75 s of quiet. */
 const CONTACT_MS = 4_000;
 const CALM_MS = 5_750;
-/** After a leader began: an order is acknowledged and read back, and reports are taken; views are complete. */
+/**
+ * After a leader is established: maximum time until an order is acknowledged and read back and reports are
+ * accepted, and until all entries follow a view.
+ */
 const ORDER_MS = 2_000;
 const VIEW_MS = 3_000;
 
@@ -33,7 +40,10 @@
   readonly losesEntries: boolean;
 }
 
-/** Series in which work that nobody waited for any more kept an order from being acknowledged for all the calm. */
+/**
+ * Series in which work whose caller no longer waited kept an order from being acknowledged in the whole quiet
+ * period.
+ */
 const KEPT: readonly Played[] = [
   { seed: 5, size: 2, trigger: "power", losesEntries: true },
   { seed: 17, size: 1, trigger: "power", losesEntries: false },
@@ -53,7 +63,7 @@
   return { seed: FIRST_SEED + i, size: SIZES[i % SIZES.length]!, trigger, losesEntries };
 }
 
-/** Gets when an order was acknowledged and read back. */
+/** Gets the time at which the order was acknowledged and read back; infinite if it was not. */
 function getOrderedAt({ order }: SeriesOutcome): number {
   return Math.max(order.acknowledgedAt ?? Number.POSITIVE_INFINITY, order.readAt ?? Number.POSITIVE_INFINITY);
 }
@@ -67,7 +77,7 @@
   return getOrderedAt(outcome) <= Math.max(ledAt, order.sentAt) + ORDER_MS;
 }
 
-/** The window that is counted begins after the time. */
+/** The counted window of reports begins 2 s after the leader was established, so it ends one window later. */
 function isReportedSoon({ ledAt, reportsBackAt }: SeriesOutcome): boolean {
   return ledAt !== undefined && reportsBackAt !== undefined && reportsBackAt <= ledAt + ORDER_MS + WINDOW_MS;
 }
@@ -76,44 +86,44 @@
   return ledAt !== undefined && entriesBackAt !== undefined && entriesBackAt <= ledAt + VIEW_MS;
 }
 
-/** Tells of those that fail, by what they were played with. */
+/** Gets the parameters of the series that fail a check. */
 function getFailed(outcomes: readonly SeriesOutcome[], holds: (outcome: SeriesOutcome) => boolean): string[] {
   return outcomes
     .filter((outcome) => !holds(outcome))
     .map(({ seed, size, trigger, losesEntries }) => `${seed} ${size} ${trigger} ${losesEntries}`);
 }
 
-describe("control after a trigger of overload", () => {
+describe("control processes after an overload", () => {
   const outcomes = Array.from({ length: RUNS }, (_, i) => play(createPlayed(i)));
   const atSize1 = outcomes.filter(({ size }) => size === 1);
   const kept = KEPT.map((played) => play(played));
 
-  it("takes nearly all reports before it, at sizes that its processes can bear", () => {
+  it("accept at least 90 % of reports before it, at sizes 1 and 2", () => {
     expect(getFailed(outcomes, ({ size, takenBefore }) => size === TOO_GREAT || takenBefore >= 0.9)).toEqual(
       [],
     );
   });
 
-  it("has an order acknowledged and read back in calm at size 1", () => {
+  it("acknowledge and read back an order within the quiet period at size 1", () => {
     const played = [...atSize1, ...kept.filter(({ size }) => size === 1)];
     expect(getFailed(played, isOrderedInCalm)).toEqual([]);
   });
 
-  it("has an order acknowledged and read back two seconds after a leader began at size 1, where control kept its power", () => {
+  it("acknowledge and read back an order within two seconds of a new leader at size 1, if they kept power", () => {
     const powered = atSize1.filter(({ trigger }) => !trigger.startsWith("power"));
     expect(getFailed(powered, isOrderedSoon)).toEqual([]);
   });
 
-  it("takes as many reports as before two seconds after a leader began, and shows all entries its view after three, at size 1", () => {
+  it("accept the previous report rate within two seconds of a new leader, and send its view to all entries within three, at size 1", () => {
     expect(getFailed(atSize1, isReportedSoon)).toEqual([]);
     expect(getFailed(atSize1, isShownSoon)).toEqual([]);
   });
 
-  it("has an order acknowledged and read back two seconds after a leader began", () => {
+  it("acknowledge and read back an order within two seconds of a new leader", () => {
     expect(getFailed(outcomes, isOrderedSoon)).toEqual([]);
   });
 
-  it("has an order acknowledged and read back in calm, takes reports and shows its view, at twice and five times the size", () => {
+  it("acknowledge an order in the quiet period, accept reports and send views at up to five times the size", () => {
     const borne = outcomes.filter(({ size }) => size !== TOO_GREAT);
     const failed = {
       orders: getFailed([...outcomes, ...kept], isOrderedInCalm),
@@ -123,12 +133,12 @@
     expect(failed).toEqual({ orders: [], reports: [], views: [] });
   });
 
-  it("is kept from it at size 1 where entries tell of each target in a call of its own (a defect on purpose)", () => {
+  it("fail to acknowledge an order at size 1 if entries report each target in a separate call (seeded defect)", () => {
     const played = atSize1.map((series) => play(series, { gathersSuspicions: false }));
     expect(getFailed(played, isOrderedInCalm)).not.toEqual([]);
   });
 
-  it("is kept from it at size 1 where entries drop an older view and ask on (a defect on purpose)", () => {
+  it("fail to acknowledge an order at size 1 if entries reject an older view and try the next process (seeded defect)", () => {
     const defects = { keepsWatchers: false, speaksByAgreement: false, sendsEntriesToLeader: true };
     const played = KEPT.filter(({ size }) => size === 1).map((series) => play(series, defects));
     expect(getFailed(played, isOrderedInCalm)).not.toEqual([]);
