--- a/bench/surge/ReplicaModel.ts
+++ b/bench/surge/ReplicaModel.ts
@@ -22,10 +22,10 @@
   readonly onEnd: (now: number) => void;
 }
 
-interface Running extends Job {
-  prefillLeft: number;
-  made: number;
-  noted: number;
+interface RunningJob extends Job {
+  remainingPrefill: number;
+  generatedTokens: number;
+  reportedTokens: number;
 }
 
 const MAX_BATCH = 16;
@@ -33,27 +33,27 @@
 const STEP_PER_REQUEST_MS = 1;
 const PREFILL_TOKENS_PER_MS = 8;
 const CACHED_PREFIXES = 4;
-const REPORT_MS = 500;
+const REPORT_DELAY_MS = 500;
 /** Number of newest cache events that the engine does not publish yet. */
-const HIDDEN_EVENTS = 8;
+const UNPUBLISHED_EVENTS = 8;
 
 /** A replica with a single instance of the same name. */
 export class ReplicaModel {
   readonly id: string;
   /** Factor by which the replica is slower, although it answers health checks. */
-  slowness = 1;
+  slowdownFactor = 1;
   isLost = false;
   /** Whether the replica answers health checks but always reports the same load. */
   isStale = false;
   prefillTokens = 0;
   cachedTokens = 0;
   readonly refused: Job[] = [];
-  private _waiting: Running[] = [];
-  private _batch: Running[] = [];
+  private _waiting: RunningJob[] = [];
+  private _batch: RunningJob[] = [];
   /** Cached prefixes, most recently used first. */
   private _cache: (readonly string[])[] = [];
   private _events: CacheEvent[] = [];
-  private _reported = 0;
+  private _reportedTokens = 0;
   private _reports: { at: number; tokens: number }[] = [];
 
   constructor(id: string) {
@@ -61,16 +61,21 @@
   }
 
   /** Gets the number of waiting and running requests. */
-  get count(): number {
+  get requestCount(): number {
     return this._waiting.length + this._batch.length;
   }
 
   /** Adds a request. If its prefix is cached now, the prefix needs no prefill. */
   add(job: Job): void {
-    const saved = this._touchCache(job) ? job.prefixTokens : 0;
-    this.prefillTokens += job.promptTokens - saved;
-    this.cachedTokens += saved;
-    const running = { ...job, prefillLeft: job.promptTokens - saved, made: 0, noted: 0 };
+    const cachedTokens = this._touchCache(job) ? job.prefixTokens : 0;
+    this.prefillTokens += job.promptTokens - cachedTokens;
+    this.cachedTokens += cachedTokens;
+    const running = {
+      ...job,
+      remainingPrefill: job.promptTokens - cachedTokens,
+      generatedTokens: 0,
+      reportedTokens: 0,
+    };
     this._waiting.push(running);
     this._waiting.sort((a, b) => a.priority - b.priority);
   }
@@ -87,13 +92,13 @@
   advance(now: number, ms: number): void {
     this._report(now);
     if (this.isLost) return;
-    const usableMs = ms / this.slowness;
+    const usableMs = ms / this.slowdownFactor;
     const isPrefilling = this._waiting.length > 0 && this._batch.length < MAX_BATCH;
     if (isPrefilling) this._prefill(usableMs / 2);
     const decodeMs = isPrefilling ? usableMs / 2 : usableMs;
     const tokens = decodeMs / (STEP_BASE_MS + STEP_PER_REQUEST_MS * this._batch.length);
     for (const job of this._batch) this._decode(now, job, tokens);
-    this._batch = this._batch.filter((job) => job.made < job.outputTokens);
+    this._batch = this._batch.filter((job) => job.generatedTokens < job.outputTokens);
   }
 
   /**
@@ -111,21 +116,22 @@
       load: {
         running: this._batch.length,
         waiting: this._waiting.length,
-        pendingTokens: this._reported,
+        pendingTokens: this._reportedTokens,
         kvUsed: 0,
       },
     });
-    const unused = () => Promise.reject(new Error("the replica model does not support this method"));
+    const rejectUnsupported = () =>
+      Promise.reject(new Error("the replica model does not support this method"));
     return {
       address: this.id,
       getState,
-      sendOrder: unused,
-      generate: unused,
-      resume: unused,
-      cancel: unused,
-      getCacheEvents: async (after) => this._events.slice(after, this._events.length - HIDDEN_EVENTS),
-      exportKv: unused,
-      importKv: unused,
+      sendOrder: rejectUnsupported,
+      generate: rejectUnsupported,
+      resume: rejectUnsupported,
+      cancel: rejectUnsupported,
+      getCacheEvents: async (after) => this._events.slice(after, this._events.length - UNPUBLISHED_EVENTS),
+      exportKv: rejectUnsupported,
+      importKv: rejectUnsupported,
     };
   }
 
@@ -147,31 +153,34 @@
     let budget = ms * PREFILL_TOKENS_PER_MS;
     while (budget > 0 && this._waiting.length > 0 && this._batch.length < MAX_BATCH) {
       const job = this._waiting[0]!;
-      const done = Math.min(budget, job.prefillLeft);
-      job.prefillLeft -= done;
-      budget -= done;
-      if (job.prefillLeft > 0) return;
+      const prefilled = Math.min(budget, job.remainingPrefill);
+      job.remainingPrefill -= prefilled;
+      budget -= prefilled;
+      if (job.remainingPrefill > 0) return;
       this._waiting.shift();
       this._batch.push(job);
     }
   }
 
-  private _decode(now: number, job: Running, tokens: number): void {
-    job.made += tokens;
-    const whole = Math.min(job.outputTokens, Math.floor(job.made));
-    if (whole === job.noted) return;
-    if (job.noted === 0) job.onFirstToken(now);
-    job.onTokens(now, whole - job.noted);
-    job.noted = whole;
-    if (job.made >= job.outputTokens) job.onEnd(now);
+  private _decode(now: number, job: RunningJob, tokens: number): void {
+    job.generatedTokens += tokens;
+    const wholeTokens = Math.min(job.outputTokens, Math.floor(job.generatedTokens));
+    if (wholeTokens === job.reportedTokens) return;
+    if (job.reportedTokens === 0) job.onFirstToken(now);
+    job.onTokens(now, wholeTokens - job.reportedTokens);
+    job.reportedTokens = wholeTokens;
+    if (job.generatedTokens >= job.outputTokens) job.onEnd(now);
   }
 
   private _report(now: number): void {
     const all = [...this._waiting, ...this._batch];
-    const tokens = all.reduce((sum, job) => sum + job.prefillLeft / 10 + job.outputTokens - job.made, 0);
+    const tokens = all.reduce(
+      (sum, job) => sum + job.remainingPrefill / 10 + job.outputTokens - job.generatedTokens,
+      0,
+    );
     this._reports.push({ at: now, tokens });
-    while (!this.isStale && this._reports[0] !== undefined && this._reports[0].at <= now - REPORT_MS) {
-      this._reported = this._reports.shift()!.tokens;
+    while (!this.isStale && this._reports[0] !== undefined && this._reports[0].at <= now - REPORT_DELAY_MS) {
+      this._reportedTokens = this._reports.shift()!.tokens;
     }
   }
 }
--- a/bench/surge/Surge.ts
+++ b/bench/surge/Surge.ts
@@ -34,8 +34,10 @@
   /** Offered load as a multiple of the capacity of the replicas. */
   readonly load: number;
   readonly isReplicaLost?: boolean;
+  /** Whether a replica becomes slow but still answers health checks. */
   readonly isReplicaGrey?: boolean;
-  readonly isEntryDead?: boolean;
+  readonly isEntryStopped?: boolean;
+  /** Whether all replicas report the same load from the fault on. */
   readonly areReportsStale?: boolean;
 }
 
@@ -45,7 +47,7 @@
   readonly inTime: Readonly<Record<string, number>>;
   readonly inTimeAll: number;
   /** Share of the callers with more than one attempt that received an answer. */
-  readonly cameBack: number;
+  readonly answeredAfterRetry: number;
   /** Share of tokens spent on answers that missed the deadline of the last attempt. */
   readonly wasted: number;
   /** Jain's fairness index of the answers in time over organisations, weighted by their shares. */
@@ -56,7 +58,7 @@
 
 interface RequestKind {
   readonly name: string;
-  readonly part: number;
+  readonly fraction: number;
   readonly promptTokens: number;
   readonly prefixTokens: number;
   readonly outputTokens: number;
@@ -77,14 +79,14 @@
 interface EntryModel {
   readonly router: ReplicaRouter;
   readonly admission: Admission;
-  isDead: boolean;
+  isStopped: boolean;
 }
 
 /** The request mix: mostly drafts of a mailing run, and interactive questions of members among them. */
 const KINDS: readonly RequestKind[] = [
   {
     name: "balance",
-    part: 0.25,
+    fraction: 0.25,
     promptTokens: 200,
     prefixTokens: 128,
     outputTokens: 40,
@@ -93,7 +95,7 @@
   },
   {
     name: "draft",
-    part: 0.6,
+    fraction: 0.6,
     promptTokens: 1_500,
     prefixTokens: 1_024,
     outputTokens: 250,
@@ -102,7 +104,7 @@
   },
   {
     name: "summary",
-    part: 0.15,
+    fraction: 0.15,
     promptTokens: 3_000,
     prefixTokens: 512,
     outputTokens: 300,
@@ -113,18 +115,18 @@
 const ENTRIES = 9;
 const REPLICAS = 12;
 const TICK_MS = 10;
-const UPDATE_MS = 20;
+const ADMISSION_UPDATE_MS = 20;
 const PROBE_MS = 400;
-const RUN_MS = 60_000;
+const ARRIVALS_END_MS = 60_000;
 const END_MS = 150_000;
 const FAULT_AT_MS = 15_000;
-const PATIENCE = 2;
+const MAX_WAIT_DEADLINES = 2;
 const SEED = 20_261_202;
 const CHARACTERS_PER_TOKEN = 4;
 const EPOCH = 1;
-const GREY_SLOWNESS = 6;
+const GREY_SLOWDOWN_FACTOR = 6;
 /** Exponent that concentrates callers on the first organisations; 1 is an even load. */
-const LOAD_ORGANISATION_SKEW = 2;
+const ORGANISATION_SKEW_EXPONENT = 2;
 
 /** A clock that the simulation sets. */
 class SimulatedClock implements Clock {
@@ -147,29 +149,29 @@
   private readonly _configuration = parseConfiguration("casablanca", readConfiguration());
   private readonly _entries: EntryModel[];
   private readonly _callers: Caller[] = [];
-  private readonly _returning: { at: number; caller: Caller }[] = [];
+  private readonly _retries: { at: number; caller: Caller }[] = [];
   private readonly _firstTokens = createHistogram();
-  private readonly _rate: number;
+  private readonly _arrivalsPerSecond: number;
   private _wastedTokens = 0;
-  private _allTokens = 0;
+  private _totalTokens = 0;
 
   /** @param capacity - Requests per second that the replicas can serve. */
   constructor(strategy: Strategy, scenario: Scenario, capacity: number) {
     this._strategy = strategy;
     this._scenario = scenario;
-    this._rate = capacity * scenario.load;
+    this._arrivalsPerSecond = capacity * scenario.load;
     this._entries = Array.from({ length: ENTRIES }, (_, i) => this._createEntry(i));
   }
 
   /** Runs until every caller has been answered or has reached its maximum wait. */
   async run(): Promise<SurgeResult> {
-    let due = 0;
+    let dueArrivals = 0;
     for (let now = 0; now < END_MS; now += TICK_MS) {
       this._clock.now = now;
-      if (now === FAULT_AT_MS) this._fail();
-      if (now < RUN_MS) due += (this._rate * TICK_MS) / 1_000;
-      for (; due >= 1; due -= 1) this._addCaller();
-      this._letReturn();
+      if (now === FAULT_AT_MS) this._injectFault();
+      if (now < ARRIVALS_END_MS) dueArrivals += (this._arrivalsPerSecond * TICK_MS) / 1_000;
+      for (; dueArrivals >= 1; dueArrivals -= 1) this._addCaller();
+      this._retryDueCallers();
       for (const replica of this._replicas) replica.advance(now, TICK_MS);
       await this._runEntries(now);
     }
@@ -190,7 +192,7 @@
       this._strategy.createPlacement(),
     );
     router.updateReplicas();
-    return { router, admission: new Admission(this._clock, random), isDead: false };
+    return { router, admission: new Admission(this._clock, random), isStopped: false };
   }
 
   private _createView() {
@@ -213,10 +215,10 @@
     });
   }
 
-  private _fail(): void {
+  private _injectFault(): void {
     if (this._scenario.isReplicaLost) this._loseReplica(this._replicas[0]!);
-    if (this._scenario.isReplicaGrey) this._replicas[1]!.slowness = GREY_SLOWNESS;
-    if (this._scenario.isEntryDead) this._entries[0]!.isDead = true;
+    if (this._scenario.isReplicaGrey) this._replicas[1]!.slowdownFactor = GREY_SLOWDOWN_FACTOR;
+    if (this._scenario.isEntryStopped) this._entries[0]!.isStopped = true;
     if (this._scenario.areReportsStale) for (const replica of this._replicas) replica.isStale = true;
   }
 
@@ -229,7 +231,7 @@
   private _addCaller(): void {
     const organisations = this._configuration.organisations;
     // The first organisations send more than their share, because a surge is uneven.
-    const at = Math.floor(organisations.length * this._random.next() ** LOAD_ORGANISATION_SKEW);
+    const at = Math.floor(organisations.length * this._random.next() ** ORGANISATION_SKEW_EXPONENT);
     const caller: Caller = {
       id: this._callers.length,
       organisation: organisations[at]!,
@@ -244,31 +246,31 @@
   }
 
   private _drawKind(): RequestKind {
-    let left = this._random.next();
+    let remainder = this._random.next();
     for (const kind of KINDS) {
-      left -= kind.part;
-      if (left < 0) return kind;
+      remainder -= kind.fraction;
+      if (remainder < 0) return kind;
     }
     return KINDS[0]!;
   }
 
-  private _letReturn(): void {
-    while (this._returning[0] !== undefined && this._returning[0].at <= this._clock.now) {
-      this._call(this._returning.shift()!.caller);
+  private _retryDueCallers(): void {
+    while (this._retries[0] !== undefined && this._retries[0].at <= this._clock.now) {
+      this._call(this._retries.shift()!.caller);
     }
   }
 
   private _call(caller: Caller): void {
     caller.attempts += 1;
-    const live = this._entries.filter((entry) => !entry.isDead);
+    const live = this._entries.filter((entry) => !entry.isStopped);
     const entry = live[Math.floor(this._random.next() * live.length)]!;
     const request = this._createRequest(caller);
     const { queueLength } = this._configuration.limits;
     const maxLength = this._strategy.isFifo ? Number.POSITIVE_INFINITY : queueLength;
     entry.admission
-      .admit(request, createPlacer(entry.router), maxLength, NEVER)
+      .admit(request, createPlacer(entry.router), maxLength, NEVER_ABORTED)
       .then((route) => this._start(caller, entry, request, route))
-      .catch((cause: unknown) => this._comeBack(caller, cause));
+      .catch((cause: unknown) => this._scheduleRetry(caller, cause));
   }
 
   private _createRequest({ id, organisation, kind, attempts }: Caller): ClassifiedRequest {
@@ -324,7 +326,7 @@
       onEnd: (now) => {
         if (Number.isNaN(now)) {
           route.work.end(this._clock.now, "failed");
-          this._returning.unshift({ at: this._clock.now, caller });
+          this._retries.unshift({ at: this._clock.now, caller });
           return;
         }
         route.work.end(now, "answered");
@@ -339,27 +341,27 @@
 
   private _countTokens(caller: Caller, isLate: boolean): void {
     const tokens = caller.kind.outputTokens + caller.kind.promptTokens / 10;
-    this._allTokens += tokens;
+    this._totalTokens += tokens;
     if (isLate) this._wastedTokens += tokens;
   }
 
-  private _comeBack(caller: Caller, cause: unknown): void {
+  private _scheduleRetry(caller: Caller, cause: unknown): void {
     if (!(cause instanceof Refusal)) throw cause;
     const at = this._clock.now + (cause.retryAfterMs ?? 1_000);
-    if (at > caller.startedAt + caller.kind.deadlineMs * PATIENCE) return;
-    const index = this._returning.findIndex((waiting) => waiting.at > at);
-    this._returning.splice(index < 0 ? this._returning.length : index, 0, { at, caller });
+    if (at > caller.startedAt + caller.kind.deadlineMs * MAX_WAIT_DEADLINES) return;
+    const index = this._retries.findIndex((retry) => retry.at > at);
+    this._retries.splice(index < 0 ? this._retries.length : index, 0, { at, caller });
   }
 
   private async _runEntries(now: number): Promise<void> {
     for (const [i, entry] of this._entries.entries()) {
-      if (entry.isDead) continue;
+      if (entry.isStopped) continue;
       const isProbing = (now + (i * PROBE_MS) / ENTRIES) % PROBE_MS < TICK_MS;
       if (isProbing) {
         entry.router.probe(PROBE_MS);
         entry.router.followCaches(PROBE_MS);
       }
-      if (now % UPDATE_MS === 0) entry.admission.update();
+      if (now % ADMISSION_UPDATE_MS === 0) entry.admission.update();
     }
     // Runs the promise callbacks of this tick before the next one.
     await new Promise((resolve) => setImmediate(resolve));
@@ -375,14 +377,14 @@
         ),
       ]),
     );
-    const shed = this._callers.filter((caller) => caller.attempts > 1);
+    const retried = this._callers.filter((caller) => caller.attempts > 1);
     const prefill = this._replicas.reduce((sum, replica) => sum + replica.prefillTokens, 0);
     const cached = this._replicas.reduce((sum, replica) => sum + replica.cachedTokens, 0);
     return {
       inTime,
       inTimeAll: getShare(this._callers, isInTime),
-      cameBack: getShare(shed, (caller) => caller.answeredAt !== undefined),
-      wasted: this._allTokens === 0 ? 0 : this._wastedTokens / this._allTokens,
+      answeredAfterRetry: getShare(retried, (caller) => caller.answeredAt !== undefined),
+      wasted: this._totalTokens === 0 ? 0 : this._wastedTokens / this._totalTokens,
       fairness: this._getFairness(),
       firstTokenMs: {
         p50: this._firstTokens.getValueAtPercentile(50),
@@ -402,15 +404,15 @@
     const served = this._configuration.organisations.flatMap((organisation) => {
       const own = drafts.filter((caller) => caller.organisation === organisation);
       if (own.length === 0) return [];
-      const got = own.filter(isInTime).length;
+      const answered = own.filter(isInTime).length;
       // An organisation that received all it requested is satisfied, however little it was.
-      return [{ got, asked: own.length, share: organisation.share }];
+      return [{ answered, asked: own.length, share: organisation.share }];
     });
-    const fill = getFairShares(
+    const fairShares = getFairShares(
       served,
-      served.reduce((sum, item) => sum + item.got, 0),
+      served.reduce((sum, item) => sum + item.answered, 0),
     );
-    const ratios = served.map((item, i) => item.got / Math.max(1e-9, fill[i]!));
+    const ratios = served.map((item, i) => item.answered / Math.max(1e-9, fairShares[i]!));
     const sum = ratios.reduce((total, ratio) => total + ratio, 0);
     const squares = ratios.reduce((total, ratio) => total + ratio * ratio, 0);
     return (sum * sum) / (ratios.length * squares);
@@ -419,24 +421,24 @@
 
 /** Splits the total by weight without exceeding any request (max-min fairness). */
 function getFairShares(items: readonly { asked: number; share: number }[], total: number): number[] {
-  const fair = items.map(() => 0);
-  let left = total;
-  let open = items.map((_, i) => i);
-  while (left > 1e-6 && open.length > 0) {
-    const weight = open.reduce((sum, i) => sum + items[i]!.share, 0);
-    const portion = left / weight;
-    for (const i of open) {
-      const taken = Math.min(items[i]!.asked - fair[i]!, portion * items[i]!.share);
-      fair[i]! += taken;
-      left -= taken;
+  const shares = items.map(() => 0);
+  let remaining = total;
+  let unsatisfied = items.map((_, i) => i);
+  while (remaining > 1e-6 && unsatisfied.length > 0) {
+    const weight = unsatisfied.reduce((sum, i) => sum + items[i]!.share, 0);
+    const portion = remaining / weight;
+    for (const i of unsatisfied) {
+      const granted = Math.min(items[i]!.asked - shares[i]!, portion * items[i]!.share);
+      shares[i]! += granted;
+      remaining -= granted;
     }
-    open = open.filter((i) => items[i]!.asked - fair[i]! > 1e-9);
+    unsatisfied = unsatisfied.filter((i) => items[i]!.asked - shares[i]! > 1e-9);
   }
-  return fair;
+  return shares;
 }
 
-const NEVER = new AbortController().signal;
-setMaxListeners(0, NEVER);
+const NEVER_ABORTED = new AbortController().signal;
+setMaxListeners(0, NEVER_ABORTED);
 const CALL = {
   kind: "model",
   form: "chat",
@@ -466,19 +468,19 @@
         promptTokens: request.promptTokens,
         cost: request.cost,
         prefixDigests: request.prefixDigests,
-        excluded: NONE,
+        excluded: NO_EXCLUSIONS,
       }),
     getSlots: (now, target) => router.getSlots(now, target),
-    hasEndpoint: (now, target) => router.hasReplica(now, target, NONE),
+    hasEndpoint: (now, target) => router.hasReplica(now, target, NO_EXCLUSIONS),
   };
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_EXCLUSIONS: ReadonlySet<string> = new Set();
 
 function isInTime(caller: Caller): boolean {
   return caller.answeredAt !== undefined && caller.answeredAt <= caller.startedAt + caller.kind.deadlineMs;
 }
 
-function getShare(callers: readonly Caller[], fits: (caller: Caller) => boolean): number {
-  return callers.length === 0 ? 1 : callers.filter(fits).length / callers.length;
+function getShare(callers: readonly Caller[], matches: (caller: Caller) => boolean): number {
+  return callers.length === 0 ? 1 : callers.filter(matches).length / callers.length;
 }
--- a/bench/surge/index.ts
+++ b/bench/surge/index.ts
@@ -24,9 +24,13 @@
 const CAPACITY = 20;
 const LOADS = [0.8, 1.2, 3] as const;
 
-const OURS: Strategy = { name: "ours", createPlacement: () => new LeastWorkPlacement(), isFifo: false };
+const OUR_STRATEGY: Strategy = {
+  name: "ours",
+  createPlacement: () => new LeastWorkPlacement(),
+  isFifo: false,
+};
 const STRATEGIES: readonly Strategy[] = [
-  OURS,
+  OUR_STRATEGY,
   { name: "round_robin", createPlacement: () => new RoundRobinPlacement(), isFifo: false },
   { name: "least_reported", createPlacement: () => new LeastReportedPlacement(), isFifo: false },
   { name: "own_in_flight", createPlacement: () => new OwnInFlightPlacement(), isFifo: false },
@@ -41,15 +45,15 @@
     for (const strategy of STRATEGIES) {
       const result = await new Surge(strategy, { load }, CAPACITY).run();
       results.set(strategy.name, result);
-      figures.push(...describe(`${strategy.name}_${load}x`, result));
+      figures.push(...createResultFigures(`${strategy.name}_${load}x`, result));
     }
-    figures.push(...compare(load, results));
+    figures.push(...createComparisonFigures(load, results));
   }
   return figures;
 }
 
 /** Compares the product's strategy with the best baseline as a ratio within one run. */
-function compare(load: number, results: ReadonlyMap<string, SurgeResult>): Figure[] {
+function createComparisonFigures(load: number, results: ReadonlyMap<string, SurgeResult>): Figure[] {
   const ours = results.get("ours")!;
   const others = [...results].filter(([name]) => name !== "ours" && name !== "no_reuse");
   const best = Math.max(...others.map(([, result]) => result.inTimeAll));
@@ -69,7 +73,7 @@
   ];
 }
 
-function describe(name: string, result: SurgeResult): Figure[] {
+function createResultFigures(name: string, result: SurgeResult): Figure[] {
   const byClass = Object.entries(result.inTime).map(([kind, value]) => ({
     figure: `${name}_in_time_${kind}`,
     value,
@@ -84,14 +88,14 @@
     { figure: `${name}_first_token_p95`, value: result.firstTokenMs.p95, unit: "ms" },
     { figure: `${name}_first_token_p99`, value: result.firstTokenMs.p99, unit: "ms" },
     { figure: `${name}_prefix_hits`, value: result.prefixHits, unit: "share" },
-    { figure: `${name}_came_back`, value: result.cameBack, unit: "share" },
+    { figure: `${name}_came_back`, value: result.answeredAfterRetry, unit: "share" },
   ];
 }
 
 const FAULTS: Readonly<Record<string, Scenario>> = {
   replica_lost: { load: 0.8, isReplicaLost: true },
   replica_grey: { load: 0.8, isReplicaGrey: true },
-  entry_dead: { load: 0.8, isEntryDead: true },
+  entry_dead: { load: 0.8, isEntryStopped: true },
   stale_reports: { load: 0.8, areReportsStale: true },
 };
 
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -20,15 +20,15 @@
 import { RelayRoster } from "../../src/registration/RelayRoster";
 import { type RelayBatch, ReportRelay } from "../../src/registration/ReportRelay";
 import type { Costs } from "./costs";
-import type { Discipline, WorkKind } from "./Discipline";
-import { LeaderCalls } from "./LeaderCalls";
-import type { Call, Network, Place } from "./Network";
+import type { WorkKind, WorkQueue } from "./Discipline";
+import { LeaderClientModel } from "./LeaderCalls";
+import type { Call, Network, Peer } from "./Network";
 import { Processor } from "./Processor";
-import type { Occasion, Simulation } from "./Simulation";
+import type { ScheduledEvent, Simulation } from "./Simulation";
 import { type Update, type Watch, Watcher } from "./Watcher";
 
 /** The environment that all control processes of a simulation share. */
-export interface World {
+export interface Environment {
   readonly simulation: Simulation;
   readonly network: Network;
   readonly costs: Costs;
@@ -37,24 +37,24 @@
   readonly size: number;
   /** All control processes. */
   readonly processes: readonly ControlModel[];
-  readonly founders: Membership;
+  readonly bootstrapMembers: Membership;
   /**
    * Whether a process keeps the stream of a watcher that holds a newer view and sends it heartbeats only.
    * Otherwise the process sends its older view in full, and the watcher switches to the next process.
    */
-  readonly keepsWatchers: boolean;
+  readonly keepsNewerWatchers: boolean;
   /**
    * Whether contact with the leader through consensus lets a process accept calls on its behalf before it
    * receives the leader's view.
    */
-  readonly speaksByAgreement: boolean;
+  readonly usesConsensusContact: boolean;
   /** Whether a process that refuses an entry names the leader, so that the entry switches to it. */
-  readonly sendsEntriesToLeader: boolean;
+  readonly redirectsEntriesToLeader: boolean;
   /**
    * Whether an entry reports all stalled targets in one call, and followers pass suspicions on with their
    * report batches.
    */
-  readonly gathersSuspicions: boolean;
+  readonly batchesSuspicions: boolean;
   /**
    * Gets the current number of stalled targets. Entries can't replace them before a leader has published its
    * view.
@@ -62,99 +62,99 @@
   readonly countStalledTargets: () => number;
 }
 
-interface Waiting {
+interface PendingRequest {
   readonly term: number;
   readonly answer: () => void;
   readonly refuse: () => void;
 }
 
 /** The soft state of a leader for one term. */
-interface Leadership {
+interface LeaderState {
   readonly term: number;
   readonly relays: RelayRoster;
-  readonly pace: PlanningSchedule;
+  readonly schedule: PlanningSchedule;
   /** Sequence number of the last full report of each instance. */
-  readonly known: Map<string, number>;
+  readonly reportSequences: Map<string, number>;
   revision: number;
-  published: number;
+  publishedRevision: number;
 }
 
 /** The stream of view updates to one watcher. */
-interface Shown {
+interface ViewStream {
   readonly watch: Watch;
   /** Whether the watcher has received the view, not only heartbeats. */
-  isFull: boolean;
+  hasView: boolean;
   revision: number;
 }
 
 /** Timings of the product, in milliseconds. */
 const TICK_MS = 20;
-const DECLARATION_MS = 3_000;
-const READ_MS = 900;
-const NEWS_MS = 15;
-const SIGN_MS = 400;
-const FIRST_PATIENCE_MS = 1_500;
-const MAX_PATIENCE_MS = 3_000;
-const MAX_REPORTS = 40;
-const WATCH_PATIENCE_MS = 2_200;
-const ISOLATED_PATIENCE_MS = 1_500;
-const REPORT_PATIENCE_MS = 2_100;
-const WATCH_HEARTBEAT_MS = 300;
-export const SUSPICION_MS = 500;
+const DECLARATION_TIMEOUT_MS = 3_000;
+const READ_TIMEOUT_MS = 900;
+const UPDATE_DELAY_MS = 15;
+const HEARTBEAT_INTERVAL_MS = 400;
+const FIRST_RELAY_TIMEOUT_MS = 1_500;
+const MAX_RELAY_TIMEOUT_MS = 3_000;
+const MAX_BATCH_REPORTS = 40;
+const WATCH_CONTACT_TIMEOUT_MS = 2_200;
+const ISOLATED_CONTACT_TIMEOUT_MS = 1_500;
+const REPORT_CONTACT_TIMEOUT_MS = 2_100;
+const WATCH_UPDATE_INTERVAL_MS = 300;
+export const SUSPICION_TIMEOUT_MS = 500;
 /**
  * Minimum interval between two suspicions of one target that a process sends to the leader when it does not
  * batch them.
  */
-const SUSPICION_PAUSE_MS = 300;
+const SUSPICION_INTERVAL_MS = 300;
 /** Start time of a process whose code is compiled already. */
-const LONG_AGO_MS = -60_000;
+const WARM_STARTED_AT = -60_000;
 
-export class ControlModel implements Place {
+export class ControlModel implements Peer {
   readonly processor: Processor;
   /** Number of instance reports that this process accepted. */
-  taken = 0;
+  acceptedReports = 0;
   isPowered = true;
   /** Highest configuration version that this process has applied from the log. */
   version = 0;
-  private readonly _world: World;
+  private readonly _environment: Environment;
   private readonly _index: number;
   private _hardState: HardState = create(HardStateSchema, {});
   private _snapshot: Snapshot | undefined;
   private _entries: LogEntry[] = [];
-  private _life = 0;
+  private _incarnation = 0;
   private _node: RaftNode | undefined;
   private _relay = new ReportRelay();
   private _contact = new LeaderContact(0);
-  private _calls: LeaderCalls | undefined;
+  private _leaderClient: LeaderClientModel | undefined;
   private _watcher: Watcher | undefined;
-  private _leadership: Leadership | undefined;
+  private _leaderState: LeaderState | undefined;
   private _followedTerm = 0;
   private _controls: readonly string[] = [];
   private _viewRevision = 0;
-  private _shown = new Set<Shown>();
+  private _viewStreams = new Set<ViewStream>();
   /** When this process last reported each target to the leader; used only if suspicions are not batched. */
   private readonly _suspectedAt = new Map<number, number>();
-  private _proposals = new Map<number, Waiting>();
-  private _barriers = new Map<number, Waiting>();
+  private _pendingProposals = new Map<number, PendingRequest>();
+  private _pendingReads = new Map<number, PendingRequest>();
   private _isSending = false;
-  private _sendDue: Occasion | undefined;
-  private _patienceMs = FIRST_PATIENCE_MS;
-  private _electing = { at: -1, is: false };
+  private _scheduledSend: ScheduledEvent | undefined;
+  private _relayTimeoutMs = FIRST_RELAY_TIMEOUT_MS;
+  private _electionCheck = { at: -1, isElecting: false };
 
   constructor(
     readonly name: string,
     index: number,
-    world: World,
-    discipline: Discipline,
+    environment: Environment,
+    queue: WorkQueue,
   ) {
     this._index = index;
-    this._world = world;
-    this.processor = new Processor(world.simulation, discipline, world.costs);
-    this._snapshot = create(SnapshotSchema, { membership: world.founders });
+    this._environment = environment;
+    this.processor = new Processor(environment.simulation, queue, environment.costs);
+    this._snapshot = create(SnapshotSchema, { membership: environment.bootstrapMembers });
   }
 
   /** Checks whether this process leads and has committed an entry in its term. */
-  get leads(): boolean {
+  get isLeader(): boolean {
     return this._node?.isEstablished() === true;
   }
 
@@ -164,12 +164,12 @@
   }
 
   start(isCold: boolean): void {
-    const { simulation, seed, processes } = this._world;
+    const { simulation, seed, processes } = this._environment;
     const { now } = simulation;
-    this._life += 1;
-    const life = this._life;
+    this._incarnation += 1;
+    const incarnation = this._incarnation;
     this.isPowered = true;
-    this.processor.start(isCold ? now : LONG_AGO_MS);
+    this.processor.start(isCold ? now : WARM_STARTED_AT);
     this._node = new RaftNode({
       id: this.name,
       membership: createMembership([]),
@@ -177,71 +177,71 @@
       snapshot: this._snapshot,
       entries: this._entries,
       timing: DEFAULT_TIMING,
-      random: new SeededRandom(seed * 1_000 + this._index * 50 + life),
+      random: new SeededRandom(seed * 1_000 + this._index * 50 + incarnation),
       now,
     });
     this._relay = new ReportRelay();
     this._contact = new LeaderContact(now);
     this._followedTerm = 0;
-    this._patienceMs = FIRST_PATIENCE_MS;
-    const isRunning = () => life === this._life && this.processor.isRunning;
-    this._calls = new LeaderCalls({
+    this._relayTimeoutMs = FIRST_RELAY_TIMEOUT_MS;
+    const isRunning = () => incarnation === this._incarnation && this.processor.isRunning;
+    this._leaderClient = new LeaderClientModel({
       simulation,
-      places: processes,
+      processes,
       getLeader: () => this._node?.leaderId ?? "",
       isRunning,
     });
     this._watcher = this._createWatcher(isRunning);
     this._watcher.run();
     this._tick(isRunning);
-    this._schedule(SIGN_MS);
+    this._scheduleSend(HEARTBEAT_INTERVAL_MS);
   }
 
   stop(losesPower: boolean): void {
-    this._life += 1;
+    this._incarnation += 1;
     this.processor.stop();
     this.isPowered = !losesPower;
     this._node = undefined;
-    this._leadership = undefined;
-    this._proposals.clear();
-    this._barriers.clear();
-    if (this._sendDue !== undefined) this._sendDue.isOff = true;
-    this._sendDue = undefined;
+    this._leaderState = undefined;
+    this._pendingProposals.clear();
+    this._pendingReads.clear();
+    if (this._scheduledSend !== undefined) this._scheduledSend.isCancelled = true;
+    this._scheduledSend = undefined;
     this._isSending = false;
     // A process without power can't close its streams.
-    if (!losesPower) for (const { watch } of this._shown) watch.end();
-    this._shown = new Set();
+    if (!losesPower) for (const { watch } of this._viewStreams) watch.end();
+    this._viewStreams = new Set();
   }
 
   /** Gets the processor time of an instance's report, or of its refusal, in milliseconds. */
   getReportCostMs(): number {
-    const { reportMs, refusalMs } = this._world.costs;
-    return this.leads || this._isInTouch(REPORT_PATIENCE_MS) ? reportMs : refusalMs;
+    const { reportMs, refusalMs } = this._environment.costs;
+    return this.isLeader || this._hasRecentContact(REPORT_CONTACT_TIMEOUT_MS) ? reportMs : refusalMs;
   }
 
   /** Accepts an instance's report and answers with the name of the process that receives the next ones. */
   serveReport(instanceId: string, sequence: number, call: Call<string>): void {
-    const { now } = this._world.simulation;
-    const leadership = this._updateLeadership();
-    if (leadership !== undefined) {
-      this._learn(leadership, instanceId, sequence, sequence);
-      call.answer(leadership.relays.chooseRelay(now, instanceId) ?? this.name);
-    } else if (this._isInTouch(REPORT_PATIENCE_MS)) {
-      if (this._relay.addReport(now, createReport(instanceId, sequence))) this._schedule(NEWS_MS);
+    const { now } = this._environment.simulation;
+    const leaderState = this._updateLeaderState();
+    if (leaderState !== undefined) {
+      this._recordReport(leaderState, instanceId, sequence, sequence);
+      call.answer(leaderState.relays.chooseRelay(now, instanceId) ?? this.name);
+    } else if (this._hasRecentContact(REPORT_CONTACT_TIMEOUT_MS)) {
+      if (this._relay.addReport(now, createReport(instanceId, sequence))) this._scheduleSend(UPDATE_DELAY_MS);
       call.answer(this.name);
     } else {
       call.refuse("");
       return;
     }
-    if (call.isWanted()) this.taken += 1;
+    if (call.isWanted()) this.acceptedReports += 1;
   }
 
-  servePut(version: number, call: Call<number>): void {
+  serveDeclaration(version: number, call: Call<number>): void {
     this._callLeader<number>(
       "declaration",
-      DECLARATION_MS,
-      DECLARATION_MS / 2,
-      (leader, sent) => leader._serveLeaderPut(version, sent),
+      DECLARATION_TIMEOUT_MS,
+      DECLARATION_TIMEOUT_MS / 2,
+      (leader, sent) => leader._serveLeaderDeclaration(version, sent),
       (answer) => (answer === undefined ? call.refuse("") : call.answer(answer)),
     );
   }
@@ -249,7 +249,7 @@
   serveRead(call: Call<number>): void {
     this._callLeader<number>(
       "read",
-      READ_MS,
+      READ_TIMEOUT_MS,
       0,
       (leader, sent) => leader._serveLeaderRead(sent),
       (answer) => (answer === undefined ? call.refuse("") : call.answer(answer)),
@@ -259,17 +259,17 @@
   /** Accepts an entry's suspicion of one target, or of all stalled targets together. */
   serveSuspicion(target: number, call: Call<void>): void {
     call.answer();
-    if (this._world.gathersSuspicions || this.leads) return;
-    const { simulation, network, costs, processes } = this._world;
+    if (this._environment.batchesSuspicions || this.isLeader) return;
+    const { simulation, network, costs, processes } = this._environment;
     const leader = processes.find(({ name }) => name === this._node?.leaderId);
-    const toldAt = this._suspectedAt.get(target) ?? Number.NEGATIVE_INFINITY;
-    if (leader === undefined || simulation.now - toldAt < SUSPICION_PAUSE_MS) return;
+    const reportedAt = this._suspectedAt.get(target) ?? Number.NEGATIVE_INFINITY;
+    if (leader === undefined || simulation.now - reportedAt < SUSPICION_INTERVAL_MS) return;
     this._suspectedAt.set(target, simulation.now);
     network.call<void>({
       from: this,
       to: leader,
       kind: "report",
-      timeoutMs: SUSPICION_MS,
+      timeoutMs: SUSPICION_TIMEOUT_MS,
       getCostMs: () => costs.callMs,
       serve: (relayed) => relayed.answer(),
       onEnd: () => {},
@@ -278,96 +278,97 @@
 
   /** Gets the processor time to open a watch, in milliseconds. */
   getWatchCostMs(watch: Watch): number {
-    const { firstViewMs, refusalMs, signMs } = this._world.costs;
-    const term = this._getShownTerm(watch.isEntry);
+    const { firstViewMs, refusalMs, heartbeatMs } = this._environment.costs;
+    const term = this._getViewTerm(watch.isEntry);
     if (term === undefined) return refusalMs;
-    return this._isKept(watch, term) ? signMs : firstViewMs;
+    return this._hasNewerView(watch, term) ? heartbeatMs : firstViewMs;
   }
 
   /** Sends view updates to a watcher until this process has no view to publish. */
   serveWatch(watch: Watch): void {
-    const term = this._getShownTerm(watch.isEntry);
+    const term = this._getViewTerm(watch.isEntry);
     if (term === undefined) {
-      const isNamed = !watch.isEntry || this._world.sendsEntriesToLeader;
-      watch.refuse(isNamed ? (this._node?.leaderId ?? "") : "");
+      const namesLeader = !watch.isEntry || this._environment.redirectsEntriesToLeader;
+      watch.refuse(namesLeader ? (this._node?.leaderId ?? "") : "");
       return;
     }
-    const isFull = !this._isKept(watch, term);
-    const shown: Shown = { watch, isFull, revision: this._getRevision() };
-    this._shown.add(shown);
-    watch.show(this._createUpdate(watch, term));
-    this._goOnShowing(shown);
-  }
-
-  private _goOnShowing(shown: Shown): void {
-    const { simulation, costs } = this._world;
-    const life = this._life;
-    const { watch } = shown;
-    simulation.addAfter(WATCH_HEARTBEAT_MS, () => {
-      if (life !== this._life) return;
-      const isNews = shown.revision !== this._getRevision();
+    const hasView = !this._hasNewerView(watch, term);
+    const stream: ViewStream = { watch, hasView, revision: this._getRevision() };
+    this._viewStreams.add(stream);
+    watch.sendUpdate(this._createUpdate(watch, term));
+    this._scheduleUpdate(stream);
+  }
+
+  private _scheduleUpdate(stream: ViewStream): void {
+    const { simulation, costs } = this._environment;
+    const incarnation = this._incarnation;
+    const { watch } = stream;
+    simulation.schedule(WATCH_UPDATE_INTERVAL_MS, () => {
+      if (incarnation !== this._incarnation) return;
+      const hasChanged = stream.revision !== this._getRevision();
       this.processor.add({
         kind: "update",
-        getCostMs: () => (isNews ? (shown.isFull ? costs.updateMs : costs.firstViewMs) : costs.signMs),
+        getCostMs: () =>
+          hasChanged ? (stream.hasView ? costs.updateMs : costs.firstViewMs) : costs.heartbeatMs,
         isWanted: watch.isWanted,
-        refuse: () => this._goOnShowing(shown),
-        run: () => this._showNext(shown),
+        refuse: () => this._scheduleUpdate(stream),
+        run: () => this._sendUpdate(stream),
       });
-      if (!watch.isWanted()) this._shown.delete(shown);
+      if (!watch.isWanted()) this._viewStreams.delete(stream);
     });
   }
 
-  private _showNext(shown: Shown): void {
-    const { watch } = shown;
-    const term = this._getShownTerm(watch.isEntry);
+  private _sendUpdate(stream: ViewStream): void {
+    const { watch } = stream;
+    const term = this._getViewTerm(watch.isEntry);
     if (!watch.isWanted() || term === undefined) {
-      this._shown.delete(shown);
+      this._viewStreams.delete(stream);
       watch.end();
       return;
     }
-    shown.revision = this._getRevision();
-    shown.isFull ||= !this._isKept(watch, term);
-    watch.show(this._createUpdate(watch, term));
-    this._goOnShowing(shown);
+    stream.revision = this._getRevision();
+    stream.hasView ||= !this._hasNewerView(watch, term);
+    watch.sendUpdate(this._createUpdate(watch, term));
+    this._scheduleUpdate(stream);
   }
 
   /** Gets the term of the view for a watcher; `undefined` if this process has no view to publish. */
-  private _getShownTerm(isEntry: boolean): number | undefined {
-    const leadership = this._updateLeadership();
-    if (leadership !== undefined) return leadership.term;
+  private _getViewTerm(isEntry: boolean): number | undefined {
+    const leaderState = this._updateLeaderState();
+    if (leaderState !== undefined) return leaderState.term;
     if (!isEntry) return undefined;
-    const patienceMs = this._node?.leaderId === "" ? ISOLATED_PATIENCE_MS : WATCH_PATIENCE_MS;
-    return this._isInTouch(patienceMs) ? this._followedTerm : undefined;
+    const timeoutMs = this._node?.leaderId === "" ? ISOLATED_CONTACT_TIMEOUT_MS : WATCH_CONTACT_TIMEOUT_MS;
+    return this._hasRecentContact(timeoutMs) ? this._followedTerm : undefined;
   }
 
   private _getRevision(): number {
-    return this._leadership?.published ?? this._viewRevision;
+    return this._leaderState?.publishedRevision ?? this._viewRevision;
   }
 
-  private _isKept(watch: Watch, term: number): boolean {
-    return this._world.keepsWatchers && term < watch.term;
+  private _hasNewerView(watch: Watch, term: number): boolean {
+    return this._environment.keepsNewerWatchers && term < watch.term;
   }
 
   private _createUpdate(watch: Watch, term: number): Update {
-    if (this._isKept(watch, term)) return { term, controls: [], isSign: true };
-    const others = this._world.processes.filter((process) => process !== this).map(({ name }) => name);
-    return { term, controls: this._leadership === undefined ? this._controls : others, isSign: false };
+    if (this._hasNewerView(watch, term)) return { term, controls: [], isHeartbeat: true };
+    const others = this._environment.processes.filter((process) => process !== this).map(({ name }) => name);
+    return { term, controls: this._leaderState === undefined ? this._controls : others, isHeartbeat: false };
   }
 
   private _createWatcher(isRunning: () => boolean): Watcher {
-    const { simulation, processes } = this._world;
+    const { simulation, processes } = this._environment;
     return new Watcher({
       simulation,
       isEntry: false,
-      places: processes,
+      processes,
       getCandidates: () => {
         const leader = this._node?.leaderId ?? "";
         return leader === "" || leader === this.name ? [] : [leader];
       },
-      isWanted: () => !this.leads,
+      isWanted: () => !this.isLeader,
       isRunning,
       getTerm: () => this._followedTerm,
-      open: (to, watch) => openWatch(this._world, this, to as ControlModel, watch),
+      open: (to, watch) => openWatch(this._environment, this, to as ControlModel, watch),
       onUpdate: ({ term, controls }) => {
         if (term < this._followedTerm) return false;
         this._followedTerm = term;
@@ -379,139 +380,152 @@
     });
   }
 
-  private _isInTouch(patienceMs: number): boolean {
-    const { now } = this._world.simulation;
-    this._noteLeadership();
-    return this._contact.isRecent(now, patienceMs) || this._isElecting(now);
+  private _hasRecentContact(timeoutMs: number): boolean {
+    const { now } = this._environment.simulation;
+    this._updateContact();
+    return this._contact.isRecent(now, timeoutMs) || this._isElecting(now);
   }
 
   /** Caches the answer within one simulated instant, because every call needs it. */
   private _isElecting(now: number): boolean {
-    if (this._electing.at !== now) this._electing = { at: now, is: this._node?.isElecting(now) === true };
-    return this._electing.is;
+    if (this._electionCheck.at !== now)
+      this._electionCheck = { at: now, isElecting: this._node?.isElecting(now) === true };
+    return this._electionCheck.isElecting;
   }
 
-  private _noteLeadership(): void {
-    const { simulation, speaksByAgreement } = this._world;
-    if (this.leads) this._contact.addContact(this._node!.getQuorumContactAt(simulation.now));
-    else if (speaksByAgreement) this._noteFollowed();
+  private _updateContact(): void {
+    const { simulation, usesConsensusContact } = this._environment;
+    if (this.isLeader) this._contact.addContact(this._node!.getQuorumContactAt(simulation.now));
+    else if (usesConsensusContact) this._addLeaderContact();
   }
 
-  private _noteFollowed(): void {
+  private _addLeaderContact(): void {
     const contactAt = this._node?.getLeaderContactAt();
     if (contactAt !== undefined) this._contact.addContact(contactAt);
   }
 
   private _callLeader<R>(
     kind: WorkKind,
-    totalMs: number,
-    leastMs: number,
+    timeoutMs: number,
+    minAttemptMs: number,
     serve: (leader: ControlModel, call: Call<R>) => void,
     onEnd: (answer: R | undefined) => void,
-    getCostMs = () => this._world.costs.callMs,
+    getCostMs = () => this._environment.costs.callMs,
   ): void {
-    const { network, costs } = this._world;
-    this._calls!.call<R>(
-      (to, timeoutMs, onTry) => {
+    const { network, costs } = this._environment;
+    this._leaderClient!.call<R>(
+      (to, attemptTimeoutMs, onAttemptEnd) => {
         const leader = to as ControlModel;
         network.call<R>({
           from: this,
           to,
           kind,
-          timeoutMs: Math.max(timeoutMs, leastMs),
-          getCostMs: () => (leader.leads ? getCostMs() : costs.refusalMs),
+          timeoutMs: Math.max(attemptTimeoutMs, minAttemptMs),
+          getCostMs: () => (leader.isLeader ? getCostMs() : costs.refusalMs),
           serve: (call) => serve(leader, call),
-          onEnd: onTry,
+          onEnd: onAttemptEnd,
         });
       },
-      totalMs,
+      timeoutMs,
       onEnd,
     );
   }
 
-  private _serveLeaderPut(version: number, call: Call<number>): void {
+  private _serveLeaderDeclaration(version: number, call: Call<number>): void {
     const node = this._node!;
-    const index = this.leads
-      ? node.addCommand(this._world.simulation.now, new Uint8Array([version >> 8, version & 255]))
+    const index = this.isLeader
+      ? node.addCommand(this._environment.simulation.now, new Uint8Array([version >> 8, version & 255]))
       : undefined;
     if (index === undefined) {
       call.refuse(node.leaderId);
       return;
     }
     const refuse = () => call.refuse("");
-    this._proposals.set(index, { term: node.term, answer: () => call.answer(version), refuse });
-    this._pump();
+    this._pendingProposals.set(index, { term: node.term, answer: () => call.answer(version), refuse });
+    this._processReady();
   }
 
   private _serveLeaderRead(call: Call<number>): void {
     const node = this._node!;
-    const id = this.leads ? node.addBarrier(this._world.simulation.now) : undefined;
+    const id = this.isLeader ? node.addBarrier(this._environment.simulation.now) : undefined;
     if (id === undefined) {
       call.refuse(node.leaderId);
       return;
     }
     const refuse = () => call.refuse("");
-    this._barriers.set(id, { term: node.term, answer: () => call.answer(this.version), refuse });
-    this._pump();
+    this._pendingReads.set(id, { term: node.term, answer: () => call.answer(this.version), refuse });
+    this._processReady();
   }
 
   private _serveRelay(
     from: string,
-    { reports, signs }: RelayBatch,
-    call: Call<{ readonly term: number; readonly unknown: readonly string[] }>,
+    { reports, signs: heartbeats }: RelayBatch,
+    call: Call<{ readonly term: number; readonly unknownIds: readonly string[] }>,
   ): void {
-    const leadership = this._updateLeadership();
-    if (leadership === undefined) {
+    const leaderState = this._updateLeaderState();
+    if (leaderState === undefined) {
       call.refuse(this._node?.leaderId ?? "");
       return;
     }
-    leadership.relays.addReport(this._world.simulation.now, from, undefined);
-    for (const { instanceId, sequence } of reports) this._learn(leadership, instanceId, sequence, sequence);
-    const unknown = signs
-      .filter(({ instanceId }) => !leadership.known.has(instanceId))
+    leaderState.relays.addReport(this._environment.simulation.now, from, undefined);
+    for (const { instanceId, sequence } of reports)
+      this._recordReport(leaderState, instanceId, sequence, sequence);
+    const unknownIds = heartbeats
+      .filter(({ instanceId }) => !leaderState.reportSequences.has(instanceId))
       .map(({ instanceId }) => instanceId);
-    call.answer({ term: leadership.term, unknown });
+    call.answer({ term: leaderState.term, unknownIds });
   }
 
-  private _learn(leadership: Leadership, instanceId: string, sequence: number, content: number): void {
-    if (!leadership.known.has(instanceId)) leadership.revision += 1;
-    if (sequence > 0) leadership.known.set(instanceId, content);
+  private _recordReport(
+    leaderState: LeaderState,
+    instanceId: string,
+    sequence: number,
+    reportSequence: number,
+  ): void {
+    if (!leaderState.reportSequences.has(instanceId)) leaderState.revision += 1;
+    if (sequence > 0) leaderState.reportSequences.set(instanceId, reportSequence);
   }
 
-  private _schedule(milliseconds: number): void {
-    const { simulation } = this._world;
-    const at = simulation.now + milliseconds;
-    if (this._sendDue !== undefined && at >= this._sendDue.at) return;
-    if (this._sendDue !== undefined) this._sendDue.isOff = true;
-    this._sendDue = simulation.addAfter(milliseconds, () => {
-      this._sendDue = undefined;
+  private _scheduleSend(delayMs: number): void {
+    const { simulation } = this._environment;
+    const at = simulation.now + delayMs;
+    if (this._scheduledSend !== undefined && at >= this._scheduledSend.at) return;
+    if (this._scheduledSend !== undefined) this._scheduledSend.isCancelled = true;
+    this._scheduledSend = simulation.schedule(delayMs, () => {
+      this._scheduledSend = undefined;
       if (!this._isSending) this._sendReports();
     });
   }
 
   /** Sends a report batch to the leader by the rules of `ReportSender`. */
   private _sendReports(): void {
-    const { simulation, costs } = this._world;
-    if (this.leads || this._node!.leaderId === "") {
-      this._schedule(SIGN_MS);
+    const { simulation, costs } = this._environment;
+    if (this.isLeader || this._node!.leaderId === "") {
+      this._scheduleSend(HEARTBEAT_INTERVAL_MS);
       return;
     }
-    const batch = this._relay.takeBatch(simulation.now, MAX_REPORTS);
+    const batch = this._relay.takeBatch(simulation.now, MAX_BATCH_REPORTS);
     this._isSending = true;
     const costMs =
-      costs.callMs + batch.reports.length * costs.relayedReportMs + batch.signs.length * costs.relayedSignMs;
-    this._callLeader<{ readonly term: number; readonly unknown: readonly string[] }>(
+      costs.callMs +
+      batch.reports.length * costs.relayedReportMs +
+      batch.signs.length * costs.relayedHeartbeatMs;
+    this._callLeader<{ readonly term: number; readonly unknownIds: readonly string[] }>(
       "relay",
-      this._patienceMs,
+      this._relayTimeoutMs,
       0,
       (leader, call) => leader._serveRelay(this.name, batch, call),
       (answer) => {
         this._isSending = false;
         if (answer === undefined) this._relay.restoreBatch(batch);
-        else this._relay.addAnswer(answer.term, answer.unknown);
-        this._patienceMs =
-          answer === undefined ? Math.min(MAX_PATIENCE_MS, this._patienceMs * 2) : FIRST_PATIENCE_MS;
-        this._schedule(answer !== undefined && this._relay.hasUpdates() ? NEWS_MS : SIGN_MS);
+        else this._relay.addAnswer(answer.term, answer.unknownIds);
+        this._relayTimeoutMs =
+          answer === undefined
+            ? Math.min(MAX_RELAY_TIMEOUT_MS, this._relayTimeoutMs * 2)
+            : FIRST_RELAY_TIMEOUT_MS;
+        this._scheduleSend(
+          answer !== undefined && this._relay.hasUpdates() ? UPDATE_DELAY_MS : HEARTBEAT_INTERVAL_MS,
+        );
       },
       () => costMs,
     );
@@ -519,15 +533,15 @@
 
   private _tick(isRunning: () => boolean): void {
     if (!isRunning()) return;
-    const { simulation } = this._world;
+    const { simulation } = this._environment;
     this._node!.tick(simulation.now);
-    this._pump();
-    this._updateLeadership();
+    this._processReady();
+    this._updateLeaderState();
     this._plan();
-    simulation.addAfter(TICK_MS, () => this._tick(isRunning));
+    simulation.schedule(TICK_MS, () => this._tick(isRunning));
   }
 
-  private _pump(): void {
+  private _processReady(): void {
     const node = this._node!;
     while (node.hasReady()) {
       const ready = node.takeReady();
@@ -535,11 +549,11 @@
       for (const message of [...ready.immediateMessages, ...ready.durableMessages]) this._send(message);
       for (const { index, body } of ready.committed) this._apply(index, body);
       for (const { id } of ready.confirmed) {
-        this._barriers.get(id)?.answer();
-        this._barriers.delete(id);
+        this._pendingReads.get(id)?.answer();
+        this._pendingReads.delete(id);
       }
     }
-    this._refuseLost();
+    this._refuseLostRequests();
   }
 
   private _persist({ hardState, entries }: Ready): void {
@@ -553,38 +567,38 @@
   }
 
   private _send(message: ConsensusMessage): void {
-    const { network, processes, simulation, costs } = this._world;
+    const { network, processes, simulation, costs } = this._environment;
     if (message.to === this.name) {
       this._node!.receive(simulation.now, message);
       return;
     }
     const to = processes.find(({ name }) => name === message.to)!;
-    network.send(this, to, costs.agreementMs, () => to._receive(message));
+    network.send(this, to, costs.consensusMs, () => to._receive(message));
   }
 
   private _receive(message: ConsensusMessage): void {
-    this._node!.receive(this._world.simulation.now, message);
-    this._pump();
+    this._node!.receive(this._environment.simulation.now, message);
+    this._processReady();
   }
 
   private _apply(index: number, body: LogEntry["body"]): void {
     if (body.case === "command" && body.value.length === 2) {
       this.version = Math.max(this.version, body.value[0]! * 256 + body.value[1]!);
-      if (this._leadership !== undefined) this._leadership.revision += 1;
+      if (this._leaderState !== undefined) this._leaderState.revision += 1;
     }
-    const waiting = this._proposals.get(index);
-    this._proposals.delete(index);
-    if (waiting === undefined) return;
-    if (waiting.term === this._node!.term) waiting.answer();
-    else waiting.refuse();
+    const pending = this._pendingProposals.get(index);
+    this._pendingProposals.delete(index);
+    if (pending === undefined) return;
+    if (pending.term === this._node!.term) pending.answer();
+    else pending.refuse();
   }
 
   /** Refuses pending requests that can't complete any more because this process lost leadership. */
-  private _refuseLost(): void {
-    for (const waiting of [this._proposals, this._barriers]) {
-      for (const [key, { term, refuse }] of waiting) {
-        if (this.leads && term === this._node!.term) continue;
-        waiting.delete(key);
+  private _refuseLostRequests(): void {
+    for (const requests of [this._pendingProposals, this._pendingReads]) {
+      for (const [key, { term, refuse }] of requests) {
+        if (this.isLeader && term === this._node!.term) continue;
+        requests.delete(key);
         refuse();
       }
     }
@@ -594,56 +608,56 @@
    * Gets the soft state of the current term, which starts empty in each term; `undefined` if this process
    * does not lead.
    */
-  private _updateLeadership(): Leadership | undefined {
-    if (!this.leads) {
-      this._leadership = undefined;
+  private _updateLeaderState(): LeaderState | undefined {
+    if (!this.isLeader) {
+      this._leaderState = undefined;
       return undefined;
     }
-    if (this._leadership?.term === this._node!.term) return this._leadership;
-    this._leadership = {
+    if (this._leaderState?.term === this._node!.term) return this._leaderState;
+    this._leaderState = {
       term: this._node!.term,
       relays: new RelayRoster(),
-      pace: new PlanningSchedule(this._world.simulation.now),
-      known: new Map(),
+      schedule: new PlanningSchedule(this._environment.simulation.now),
+      reportSequences: new Map(),
       revision: 1,
-      published: 0,
+      publishedRevision: 0,
     };
-    this._work("plan", this._world.costs.firstPlanMs * this._world.size, () => {});
-    return this._leadership;
+    this._addWork("plan", this._environment.costs.firstPlanMs * this._environment.size, () => {});
+    return this._leaderState;
   }
 
   private _plan(): void {
-    const leadership = this._leadership;
-    if (leadership === undefined) return;
-    const { simulation, costs, size } = this._world;
-    if (!leadership.pace.isDue(simulation.now, String(leadership.revision))) return;
-    leadership.pace.addStart();
-    const { revision } = leadership;
+    const leaderState = this._leaderState;
+    if (leaderState === undefined) return;
+    const { simulation, costs, size } = this._environment;
+    if (!leaderState.schedule.isDue(simulation.now, String(leaderState.revision))) return;
+    leaderState.schedule.addStart();
+    const { revision } = leaderState;
     const costMs = costs.planMs * size;
-    this._work("plan", costMs, () => {
-      leadership.published = revision;
-      leadership.pace.addEnd(simulation.now, costMs / costs.share);
+    this._addWork("plan", costMs, () => {
+      leaderState.publishedRevision = revision;
+      leaderState.schedule.addEnd(simulation.now, costMs / costs.processorShare);
     });
   }
 
-  private _work(kind: WorkKind, costMs: number, run: () => void): void {
+  private _addWork(kind: WorkKind, costMs: number, run: () => void): void {
     this.processor.add({ kind, getCostMs: () => costMs, isWanted: () => true, run, refuse: run });
   }
 }
 
 /** Opens a watch on a control process for an entry or for another control process. */
 export function openWatch(
-  world: World,
+  environment: Environment,
   from: ControlModel | undefined,
   to: ControlModel,
   watch: Watch,
 ): void {
-  const { network, simulation, costs } = world;
-  const wayMs = from === undefined ? 3 : 1.5;
-  const isWhole = () => from === undefined || network.isWhole(from.name, to.name);
-  const goBack = (run: () => void) => {
-    if (!isWhole()) return;
-    simulation.addAfter(wayMs, () => {
+  const { network, simulation, costs } = environment;
+  const latencyMs = from === undefined ? 3 : 1.5;
+  const isConnected = () => from === undefined || network.isConnected(from.name, to.name);
+  const reply = (run: () => void) => {
+    if (!isConnected()) return;
+    simulation.schedule(latencyMs, () => {
       if (from === undefined) run();
       else
         from.processor.add({
@@ -655,25 +669,25 @@
         });
     });
   };
-  const far: Watch = {
+  const remoteWatch: Watch = {
     isEntry: watch.isEntry,
     term: watch.term,
     isWanted: watch.isWanted,
-    show: (update) => goBack(() => watch.show(update)),
-    refuse: (leader) => goBack(() => watch.refuse(leader)),
-    end: () => goBack(() => watch.end()),
+    sendUpdate: (update) => reply(() => watch.sendUpdate(update)),
+    refuse: (leader) => reply(() => watch.refuse(leader)),
+    end: () => reply(() => watch.end()),
   };
-  if (!isWhole()) return;
-  simulation.addAfter(wayMs, () => {
+  if (!isConnected()) return;
+  simulation.schedule(latencyMs, () => {
     if (!to.isPowered) return;
-    if (!to.processor.isRunning) far.refuse("");
+    if (!to.processor.isRunning) remoteWatch.refuse("");
     else
       to.processor.add({
         kind: "watch",
         getCostMs: () => to.getWatchCostMs(watch),
         isWanted: watch.isWanted,
-        run: () => to.serveWatch(far),
-        refuse: () => far.refuse(""),
+        run: () => to.serveWatch(remoteWatch),
+        refuse: () => remoteWatch.refuse(""),
       });
   });
 }
--- a/test/overload/Discipline.ts
+++ b/test/overload/Discipline.ts
@@ -25,7 +25,7 @@
 }
 
 /** Queues work until the processor takes it. */
-export interface Discipline {
+export interface WorkQueue {
   /**
    * Adds work. Returns the work that the queue refuses: the work itself, or queued work that it displaced.
    */
@@ -37,17 +37,17 @@
 }
 
 /** Returns work in the order of arrival and never drops any, however late it is. */
-export class ArrivalOrder implements Discipline {
-  private _waiting: Work[] = [];
+export class FifoQueue implements WorkQueue {
+  private _queue: Work[] = [];
   private _next = 0;
 
   add(work: Work): readonly Work[] {
-    this._waiting.push(work);
+    this._queue.push(work);
     return [];
   }
 
   take(): Work | undefined {
-    const work = this._waiting[this._next];
+    const work = this._queue[this._next];
     if (work === undefined) {
       this.clear();
       return undefined;
@@ -57,7 +57,7 @@
   }
 
   clear(): void {
-    this._waiting = [];
+    this._queue = [];
     this._next = 0;
   }
 }
@@ -72,7 +72,7 @@
  * The classes by descending priority. Callers that wait too long abandon their calls, so these limits suffice
  * for all callers at size 5.
  */
-const CLASSES: readonly WorkClass[] = [
+const WORK_CLASSES: readonly WorkClass[] = [
   { kinds: ["agreement", "answer"], limit: 1_000 },
   { kinds: ["declaration", "read"], limit: 50 },
   { kinds: ["plan", "relay"], limit: 50 },
@@ -84,27 +84,27 @@
  * Returns work of higher priority first, drops work whose caller no longer waits, and limits the queue length
  * of each class.
  */
-export class WorthOrder implements Discipline {
+export class PriorityQueue implements WorkQueue {
   private readonly _classes: readonly WorkClass[];
-  private readonly _waiting: Work[][];
+  private readonly _queues: Work[][];
 
-  constructor(classes = CLASSES) {
+  constructor(classes = WORK_CLASSES) {
     this._classes = classes;
-    this._waiting = classes.map(() => []);
+    this._queues = classes.map(() => []);
   }
 
   add(work: Work): readonly Work[] {
     const index = this._classes.findIndex(({ kinds }) => kinds.includes(work.kind));
-    const waiting = this._waiting[index]!;
-    if (waiting.length >= this._classes[index]!.limit) return [work];
-    waiting.push(work);
+    const queue = this._queues[index]!;
+    if (queue.length >= this._classes[index]!.limit) return [work];
+    queue.push(work);
     return [];
   }
 
   take(): Work | undefined {
-    for (const waiting of this._waiting) {
+    for (const queue of this._queues) {
       for (;;) {
-        const work = waiting.shift();
+        const work = queue.shift();
         if (work === undefined) break;
         if (work.isWanted()) return work;
       }
@@ -113,6 +113,6 @@
   }
 
   clear(): void {
-    for (const waiting of this._waiting) waiting.length = 0;
+    for (const queue of this._queues) queue.length = 0;
   }
 }
--- a/test/overload/LeaderCalls.ts
+++ b/test/overload/LeaderCalls.ts
@@ -1,90 +1,93 @@
 /** Calls the leader in simulated time by the rules of `LeaderClient`. Times are in milliseconds. */
 import { SearchPause } from "../../src/rpc/SearchPause";
-import type { Outcome, Place } from "./Network";
+import type { Outcome, Peer } from "./Network";
 import type { Simulation } from "./Simulation";
 
 /** Timings of `LeaderClient`, in milliseconds. */
-const ATTEMPT_MS = 700;
-const LOOK_MS = 50;
+const ATTEMPT_TIMEOUT_MS = 700;
+const LEADER_CHECK_MS = 50;
 
 /** Makes one attempt of a call. */
-export type Try<R> = (to: Place, timeoutMs: number, onEnd: (outcome: Outcome<R>) => void) => void;
+export type Attempt<R> = (to: Peer, timeoutMs: number, onEnd: (outcome: Outcome<R>) => void) => void;
 
 /** The environment of the calls of one process. */
-export interface LeaderCallsOptions {
+export interface LeaderClientOptions {
   readonly simulation: Simulation;
-  readonly places: readonly Place[];
+  readonly processes: readonly Peer[];
   /** Gets the leader from the local consensus state; "" if it is unknown. */
   readonly getLeader: () => string;
   readonly isRunning: () => boolean;
 }
 
 /** Makes the calls of one incarnation of a process. */
-export class LeaderCalls {
-  private readonly _options: LeaderCallsOptions;
-  private _current: Place;
+export class LeaderClientModel {
+  private readonly _options: LeaderClientOptions;
+  private _current: Peer;
 
-  constructor(options: LeaderCallsOptions) {
+  constructor(options: LeaderClientOptions) {
     this._options = options;
-    this._current = options.places[0]!;
+    this._current = options.processes[0]!;
   }
 
   /**
    * Attempts a call until a process answers or the time is up.
    * @param onEnd - Receives the answer; `undefined` if none arrived in time.
    */
-  call<R>(attempt: Try<R>, totalMs: number, onEnd: (answer: R | undefined) => void): void {
+  call<R>(attempt: Attempt<R>, timeoutMs: number, onEnd: (answer: R | undefined) => void): void {
     const { simulation, isRunning } = this._options;
-    const endAt = simulation.now + totalMs;
-    const search = new SearchPause();
+    const deadlineAt = simulation.now + timeoutMs;
+    const retryDelay = new SearchPause();
     let failedLeader = "";
-    const next = () => {
+    const attemptNext = () => {
       if (!isRunning()) return;
-      const leftMs = endAt - simulation.now;
-      if (leftMs <= 0) {
+      const remainingMs = deadlineAt - simulation.now;
+      if (remainingMs <= 0) {
         onEnd(undefined);
         return;
       }
       const leader = this._findLeader(failedLeader);
-      const asked = leader ?? this._current;
-      let isOver = false;
+      const callee = leader ?? this._current;
+      let hasEnded = false;
       const end = (outcome: Outcome<R>) => {
-        if (!isRunning() || isOver) return;
-        isOver = true;
+        if (!isRunning() || hasEnded) return;
+        hasEnded = true;
         if (outcome.kind === "answer") {
           onEnd(outcome.answer);
           return;
         }
-        this._goOn(asked, outcome.kind === "refused" ? outcome.leader : "");
+        this._selectNext(callee, outcome.kind === "refused" ? outcome.leader : "");
         failedLeader = leader?.name ?? failedLeader;
-        simulation.addAfter(Math.min(search.addFailure(this._options.places.length), leftMs), next);
+        simulation.schedule(
+          Math.min(retryDelay.addFailure(this._options.processes.length), remainingMs),
+          attemptNext,
+        );
       };
-      attempt(asked, leader === undefined ? Math.min(ATTEMPT_MS, leftMs) : leftMs, end);
+      attempt(callee, leader === undefined ? Math.min(ATTEMPT_TIMEOUT_MS, remainingMs) : remainingMs, end);
       if (leader === undefined) return;
-      const look = () => {
-        if (isOver) return;
+      const checkLeader = () => {
+        if (hasEnded) return;
         if (this._isDeposed(leader)) end({ kind: "refused", leader: "" });
-        else simulation.addAfter(LOOK_MS, look);
+        else simulation.schedule(LEADER_CHECK_MS, checkLeader);
       };
-      look();
+      checkLeader();
     };
-    next();
+    attemptNext();
   }
 
-  private _isDeposed(leader: Place): boolean {
+  private _isDeposed(leader: Peer): boolean {
     return !["", leader.name].includes(this._options.getLeader());
   }
 
-  private _findLeader(failedLeader: string): Place | undefined {
+  private _findLeader(failedLeader: string): Peer | undefined {
     const name = this._options.getLeader();
     if (name === "" || name === failedLeader) return undefined;
-    return this._options.places.find((place) => place.name === name);
+    return this._options.processes.find((process) => process.name === name);
   }
 
-  private _goOn(asked: Place, hint: string): void {
-    if (this._current !== asked) return;
-    const { places } = this._options;
-    const hinted = places.find(({ name }) => name === hint && name !== asked.name);
-    this._current = hinted ?? places[(places.indexOf(asked) + 1) % places.length]!;
+  private _selectNext(callee: Peer, hint: string): void {
+    if (this._current !== callee) return;
+    const { processes } = this._options;
+    const hinted = processes.find(({ name }) => name === hint && name !== callee.name);
+    this._current = hinted ?? processes[(processes.indexOf(callee) + 1) % processes.length]!;
   }
 }
--- a/test/overload/Network.ts
+++ b/test/overload/Network.ts
@@ -7,7 +7,7 @@
 import type { Simulation } from "./Simulation";
 
 /** A process that receives calls, and whose processor handles the answers to its own calls. */
-export interface Place {
+export interface Peer {
   readonly name: string;
   readonly processor: Processor;
   /**
@@ -31,10 +31,10 @@
 }
 
 /** The parameters of a call. */
-export interface Request<R> {
+export interface CallOptions<R> {
   /** The calling control process; `undefined` for a client, whose processor is not modelled. */
-  readonly from: Place | undefined;
-  readonly to: Place;
+  readonly from: Peer | undefined;
+  readonly to: Peer;
   readonly kind: WorkKind;
   readonly timeoutMs: number;
   readonly getCostMs: () => number;
@@ -46,14 +46,14 @@
  * One-way latency in milliseconds: between control processes, and between them and instances, entries or
  * operators.
  */
-const INNER_MS = 1.5;
-const OUTER_MS = 3;
+const CONTROL_LATENCY_MS = 1.5;
+const CLIENT_LATENCY_MS = 3;
 
 /** A network whose links can be cut. */
 export class Network {
   private readonly _simulation: Simulation;
   private readonly _answerMs: number;
-  private readonly _cut = new Set<string>();
+  private readonly _cutLinks = new Set<string>();
 
   /** @param answerMs - Processor time that a process needs to handle an answer, in milliseconds. */
   constructor(simulation: Simulation, answerMs: number) {
@@ -62,24 +62,24 @@
   }
 
   /** Cuts the links between two sets of processes in both directions. */
-  cut(names: readonly string[], others: readonly string[]): void {
-    for (const name of names) for (const other of others) this._cut.add(getLink(name, other));
+  cutLinks(names: readonly string[], others: readonly string[]): void {
+    for (const name of names) for (const other of others) this._cutLinks.add(getLink(name, other));
   }
 
   /** Restores all links. */
-  heal(): void {
-    this._cut.clear();
+  restoreLinks(): void {
+    this._cutLinks.clear();
   }
 
   /** Checks whether two processes can reach each other. */
-  isWhole(name: string, other: string): boolean {
-    return !this._cut.has(getLink(name, other));
+  isConnected(name: string, other: string): boolean {
+    return !this._cutLinks.has(getLink(name, other));
   }
 
   /** Sends a message that needs no answer. */
-  send(from: Place, to: Place, costMs: number, receive: () => void): void {
-    if (!this.isWhole(from.name, to.name)) return;
-    this._simulation.addAfter(INNER_MS, () =>
+  send(from: Peer, to: Peer, costMs: number, receive: () => void): void {
+    if (!this.isConnected(from.name, to.name)) return;
+    this._simulation.schedule(CONTROL_LATENCY_MS, () =>
       to.processor.add({
         kind: "agreement",
         getCostMs: () => costMs,
@@ -94,36 +94,36 @@
    * Makes a call and reports its outcome once, unless the calling process has stopped. Returns a function
    * that cancels the call.
    */
-  call<R>(request: Request<R>): () => void {
-    const { from, to, timeoutMs } = request;
-    let isOver = false;
+  call<R>(options: CallOptions<R>): () => void {
+    const { from, to, timeoutMs } = options;
+    let hasEnded = false;
     const end = (outcome: Outcome<R>) => {
-      if (isOver) return;
-      isOver = true;
-      timer.isOff = true;
-      request.onEnd(outcome);
+      if (hasEnded) return;
+      hasEnded = true;
+      timer.isCancelled = true;
+      options.onEnd(outcome);
     };
-    const timer = this._simulation.addAfter(timeoutMs, () => end({ kind: "timeout" }));
-    const wayMs = from === undefined ? OUTER_MS : INNER_MS;
-    const isWhole = () => from === undefined || this.isWhole(from.name, to.name);
-    const isWanted = () => !isOver && (from === undefined || from.processor.isRunning);
-    const goBack = (outcome: Outcome<R>) => {
-      if (!isWhole()) return;
-      this._simulation.addAfter(wayMs, () => this._receive(request, isWanted, () => end(outcome)));
+    const timer = this._simulation.schedule(timeoutMs, () => end({ kind: "timeout" }));
+    const latencyMs = from === undefined ? CLIENT_LATENCY_MS : CONTROL_LATENCY_MS;
+    const isConnected = () => from === undefined || this.isConnected(from.name, to.name);
+    const isWanted = () => !hasEnded && (from === undefined || from.processor.isRunning);
+    const reply = (outcome: Outcome<R>) => {
+      if (!isConnected()) return;
+      this._simulation.schedule(latencyMs, () => this._deliverReply(options, isWanted, () => end(outcome)));
     };
     const call: Call<R> = {
       isWanted,
-      answer: (answer) => goBack({ kind: "answer", answer }),
-      refuse: (leader) => goBack({ kind: "refused", leader }),
+      answer: (answer) => reply({ kind: "answer", answer }),
+      refuse: (leader) => reply({ kind: "refused", leader }),
     };
-    if (isWhole()) this._simulation.addAfter(wayMs, () => this._arrive(request, call));
+    if (isConnected()) this._simulation.schedule(latencyMs, () => this._deliverCall(options, call));
     return () => {
-      isOver = true;
-      timer.isOff = true;
+      hasEnded = true;
+      timer.isCancelled = true;
     };
   }
 
-  private _arrive<R>({ to, kind, getCostMs, serve }: Request<R>, call: Call<R>): void {
+  private _deliverCall<R>({ to, kind, getCostMs, serve }: CallOptions<R>, call: Call<R>): void {
     if (!to.isPowered) return;
     if (!to.processor.isRunning) {
       call.refuse("");
@@ -138,7 +138,7 @@
     });
   }
 
-  private _receive<R>({ from }: Request<R>, isWanted: () => boolean, run: () => void): void {
+  private _deliverReply<R>({ from }: CallOptions<R>, isWanted: () => boolean, run: () => void): void {
     if (from === undefined) run();
     else
       from.processor.add({
--- a/test/overload/Processor.ts
+++ b/test/overload/Processor.ts
@@ -3,7 +3,7 @@
  * in simulated milliseconds.
  */
 import type { Costs } from "./costs";
-import type { Discipline, Work, WorkKind } from "./Discipline";
+import type { Work, WorkKind, WorkQueue } from "./Discipline";
 import type { Simulation } from "./Simulation";
 
 /** Processor time used by one kind of work, in milliseconds. */
@@ -20,18 +20,18 @@
 export class Processor {
   readonly usages = new Map<WorkKind, Usage>();
   private readonly _simulation: Simulation;
-  private readonly _discipline: Discipline;
+  private readonly _queue: WorkQueue;
   private readonly _costs: Costs;
   private _startedAt = 0;
-  private _life = 0;
+  private _incarnation = 0;
   private _isRunning = false;
   private _isBusy = false;
   /** Processor time of refusals by the queue, charged to the next work. */
-  private _owedMs = 0;
+  private _pendingRefusalMs = 0;
 
-  constructor(simulation: Simulation, discipline: Discipline, costs: Costs) {
+  constructor(simulation: Simulation, queue: WorkQueue, costs: Costs) {
     this._simulation = simulation;
-    this._discipline = discipline;
+    this._queue = queue;
     this._costs = costs;
   }
 
@@ -39,53 +39,53 @@
     return this._isRunning;
   }
 
-  /** Starts a process. If it started at least `coldMs` ago, its code is compiled from the beginning. */
+  /** Starts a process. If it started at least `coldStartMs` ago, its code is compiled from the beginning. */
   start(startedAt: number): void {
-    this._life += 1;
+    this._incarnation += 1;
     this._startedAt = startedAt;
     this._isRunning = true;
     this._isBusy = false;
-    this._owedMs = 0;
+    this._pendingRefusalMs = 0;
   }
 
   /** Ends the process and drops its queued work. */
   stop(): void {
-    this._life += 1;
+    this._incarnation += 1;
     this._isRunning = false;
     this._isBusy = false;
-    this._discipline.clear();
+    this._queue.clear();
   }
 
   /** Adds work to the queue; ignores it if the process does not run. */
   add(work: Work): void {
     if (!this._isRunning) return;
-    for (const refused of this._discipline.add(work)) {
-      this._owedMs += this._costs.doorRefusalMs;
+    for (const refused of this._queue.add(work)) {
+      this._pendingRefusalMs += this._costs.queueRefusalMs;
       refused.refuse();
     }
-    this._begin();
+    this._startNext();
   }
 
-  private _begin(): void {
+  private _startNext(): void {
     if (this._isBusy) return;
-    const work = this._discipline.take();
+    const work = this._queue.take();
     if (work === undefined) return;
     this._isBusy = true;
-    const life = this._life;
-    const usedMs = (work.getCostMs() + this._owedMs) * this._getFactor();
-    this._owedMs = 0;
-    this._simulation.addAfter(usedMs / this._costs.share, () => {
-      if (life !== this._life) return;
+    const incarnation = this._incarnation;
+    const usedMs = (work.getCostMs() + this._pendingRefusalMs) * this._getCostFactor();
+    this._pendingRefusalMs = 0;
+    this._simulation.schedule(usedMs / this._costs.processorShare, () => {
+      if (incarnation !== this._incarnation) return;
       this._isBusy = false;
       this._addUsage(work, usedMs);
       work.run();
-      this._begin();
+      this._startNext();
     });
   }
 
-  private _getFactor(): number {
-    const { coldMs, coldFactor } = this._costs;
-    return this._simulation.now - this._startedAt < coldMs ? coldFactor : 1;
+  private _getCostFactor(): number {
+    const { coldStartMs, coldFactor } = this._costs;
+    return this._simulation.now - this._startedAt < coldStartMs ? coldFactor : 1;
   }
 
   private _addUsage({ kind, isWanted }: Work, usedMs: number): void {
--- a/test/overload/Simulation.ts
+++ b/test/overload/Simulation.ts
@@ -4,19 +4,19 @@
  */
 
 /** A scheduled event, which can be cancelled. */
-export interface Occasion {
+export interface ScheduledEvent {
   readonly at: number;
   /** Events of the same time run in the order in which they were scheduled. */
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
-  isOff: boolean;
+  isCancelled: boolean;
 }
 
 /** A simulated clock with its event queue. */
 export class Simulation {
-  private readonly _heap: Occasion[] = [];
+  private readonly _heap: ScheduledEvent[] = [];
   private _now = 0;
-  private _planned = 0;
+  private _scheduledCount = 0;
 
   /** Gets the current simulated time. */
   get now(): number {
@@ -24,40 +24,45 @@
   }
 
   /** Gets the total number of events scheduled so far. */
-  get planned(): number {
-    return this._planned;
+  get scheduledCount(): number {
+    return this._scheduledCount;
   }
 
   /** Schedules an event after a delay; a negative delay counts as 0. */
-  addAfter(milliseconds: number, run: () => void): Occasion {
-    this._planned += 1;
-    const occasion = { at: this._now + Math.max(0, milliseconds), order: this._planned, run, isOff: false };
-    this._heap.push(occasion);
-    this._raise(this._heap.length - 1);
-    return occasion;
+  schedule(delayMs: number, run: () => void): ScheduledEvent {
+    this._scheduledCount += 1;
+    const event = {
+      at: this._now + Math.max(0, delayMs),
+      sequence: this._scheduledCount,
+      run,
+      isCancelled: false,
+    };
+    this._heap.push(event);
+    this._siftUp(this._heap.length - 1);
+    return event;
   }
 
   /** Runs all events up to a time and advances the clock to it. */
   runUntil(at: number): void {
     while (this._heap.length > 0 && this._heap[0]!.at <= at) {
-      const occasion = this._takeFirst();
-      this._now = occasion.at;
-      if (!occasion.isOff) occasion.run();
+      const event = this._takeFirst();
+      this._now = event.at;
+      if (!event.isCancelled) event.run();
     }
     this._now = at;
   }
 
-  private _takeFirst(): Occasion {
+  private _takeFirst(): ScheduledEvent {
     const first = this._heap[0]!;
     const last = this._heap.pop()!;
     if (this._heap.length > 0) {
       this._heap[0] = last;
-      this._sink(0);
+      this._siftDown(0);
     }
     return first;
   }
 
-  private _raise(from: number): void {
+  private _siftUp(from: number): void {
     let index = from;
     while (index > 0) {
       const parent = (index - 1) >> 1;
@@ -67,7 +72,7 @@
     }
   }
 
-  private _sink(from: number): void {
+  private _siftDown(from: number): void {
     let index = from;
     for (;;) {
       const left = 2 * index + 1;
@@ -82,12 +87,12 @@
   }
 
   private _swap(a: number, b: number): void {
-    const kept = this._heap[a]!;
+    const first = this._heap[a]!;
     this._heap[a] = this._heap[b]!;
-    this._heap[b] = kept;
+    this._heap[b] = first;
   }
 }
 
-function isBefore(a: Occasion, b: Occasion): boolean {
-  return a.at < b.at || (a.at === b.at && a.order < b.order);
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+  return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 }
--- a/test/overload/Watcher.ts
+++ b/test/overload/Watcher.ts
@@ -1,6 +1,6 @@
 /** Follows a view in simulated time by the rules of `ViewWatcher`. Times are in milliseconds. */
 import { SearchPause } from "../../src/rpc/SearchPause";
-import type { Place } from "./Network";
+import type { Peer } from "./Network";
 import type { Simulation } from "./Simulation";
 
 /** An update that a watcher receives. */
@@ -12,7 +12,7 @@
    * Whether the update is only a heartbeat, because the watcher already holds a newer view than the process
    * has.
    */
-  readonly isSign: boolean;
+  readonly isHeartbeat: boolean;
 }
 
 /** A watch as the publishing process sees it. */
@@ -22,7 +22,7 @@
   readonly term: number;
   /** Checks whether the watcher has not abandoned the watch. */
   readonly isWanted: () => boolean;
-  readonly show: (update: Update) => void;
+  readonly sendUpdate: (update: Update) => void;
   readonly refuse: (leader: string) => void;
   /** Ends the watch because the process has no view to publish. */
   readonly end: () => void;
@@ -32,38 +32,38 @@
 export interface WatcherOptions {
   readonly simulation: Simulation;
   readonly isEntry: boolean;
-  readonly places: readonly Place[];
+  readonly processes: readonly Peer[];
   /** Gets the processes to try, in order of preference; empty if none is known. */
   readonly getCandidates: (controls: readonly string[]) => readonly string[];
   readonly isWanted: () => boolean;
   readonly isRunning: () => boolean;
   readonly getTerm: () => number;
   /** Opens a watch on a process. */
-  readonly open: (to: Place, watch: Watch) => void;
+  readonly open: (to: Peer, watch: Watch) => void;
   /** @returns `false` if the update is from an older term than one received before. */
   readonly onUpdate: (update: Update) => boolean;
 }
 
 /** Timings of `ViewWatcher`, in milliseconds. */
-const SILENCE_MS = 1_000;
-const FIRST_ANSWER_MS = 700;
-const MAX_FIRST_ANSWER_MS = 2_800;
-const IDLE_MS = 100;
+const UPDATE_TIMEOUT_MS = 1_000;
+const FIRST_UPDATE_TIMEOUT_MS = 700;
+const MAX_FIRST_UPDATE_TIMEOUT_MS = 2_800;
+const IDLE_DELAY_MS = 100;
 
 /** A watcher of one incarnation of its process. */
 export class Watcher {
   /** Number of attempts that ended before the first update. */
-  vainTries = 0;
+  failedAttempts = 0;
   private readonly _options: WatcherOptions;
-  private readonly _search = new SearchPause();
+  private readonly _retryDelay = new SearchPause();
   private _controls: readonly string[] = [];
-  private _known = "";
+  private _lastControls = "";
   private _current = "";
-  private _next = 0;
-  private _late = { name: "", patienceMs: FIRST_ANSWER_MS };
-  private _tries = 0;
+  private _nextIndex = 0;
+  private _slowProcess = { name: "", timeoutMs: FIRST_UPDATE_TIMEOUT_MS };
+  private _attempts = 0;
   private _isConnected = false;
-  private _heardAt = 0;
+  private _updatedAt = 0;
 
   constructor(options: WatcherOptions) {
     this._options = options;
@@ -83,87 +83,88 @@
     const { simulation, isRunning, isWanted } = this._options;
     if (!isRunning()) return;
     if (this._current === "") this._current = this._getCandidates()[0] ?? "";
-    if (this._current === "" || !isWanted()) simulation.addAfter(IDLE_MS, () => this.run());
+    if (this._current === "" || !isWanted()) simulation.schedule(IDLE_DELAY_MS, () => this.run());
     else this._follow();
   }
 
   private _follow(): void {
-    const { simulation, isEntry, places, open, isRunning, getTerm } = this._options;
-    this._tries += 1;
-    const ofTry = this._tries;
-    const isPresent = () => ofTry === this._tries && isRunning();
-    let isShown = false;
+    const { simulation, isEntry, processes, open, isRunning, getTerm } = this._options;
+    this._attempts += 1;
+    const attempt = this._attempts;
+    const isCurrent = () => attempt === this._attempts && isRunning();
+    let hasUpdate = false;
     const end = (leader: string) => {
-      if (isPresent()) this._goOn(leader);
+      if (isCurrent()) this._switchProcess(leader);
     };
     const name = this._current;
-    const firstMs = name === this._late.name ? this._late.patienceMs : FIRST_ANSWER_MS;
-    simulation.addAfter(firstMs, () => {
-      if (isShown || !isPresent()) return;
-      this._late = { name, patienceMs: Math.min(MAX_FIRST_ANSWER_MS, firstMs * 2) };
+    const firstTimeoutMs =
+      name === this._slowProcess.name ? this._slowProcess.timeoutMs : FIRST_UPDATE_TIMEOUT_MS;
+    simulation.schedule(firstTimeoutMs, () => {
+      if (hasUpdate || !isCurrent()) return;
+      this._slowProcess = { name, timeoutMs: Math.min(MAX_FIRST_UPDATE_TIMEOUT_MS, firstTimeoutMs * 2) };
       end("");
     });
-    open(places.find((place) => place.name === name)!, {
+    open(processes.find((process) => process.name === name)!, {
       isEntry,
       term: getTerm(),
-      isWanted: isPresent,
+      isWanted: isCurrent,
       refuse: end,
       end: () => end(""),
-      show: (update) => {
-        if (!isPresent()) return;
-        if (!isShown) this._listen(isPresent);
-        isShown = true;
-        this._take(update);
+      sendUpdate: (update) => {
+        if (!isCurrent()) return;
+        if (!hasUpdate) this._checkTimeout(isCurrent);
+        hasUpdate = true;
+        this._handleUpdate(update);
       },
     });
   }
 
   /** Abandons a process that has sent no update for 1 s. */
-  private _listen(isPresent: () => boolean): void {
+  private _checkTimeout(isCurrent: () => boolean): void {
     const { simulation } = this._options;
-    this._heardAt = simulation.now;
+    this._updatedAt = simulation.now;
     const check = () => {
-      if (!isPresent()) return;
-      const leftMs = this._heardAt + SILENCE_MS - simulation.now;
-      if (leftMs <= 0) this._goOn("");
-      else simulation.addAfter(leftMs, check);
+      if (!isCurrent()) return;
+      const remainingMs = this._updatedAt + UPDATE_TIMEOUT_MS - simulation.now;
+      if (remainingMs <= 0) this._switchProcess("");
+      else simulation.schedule(remainingMs, check);
     };
-    simulation.addAfter(SILENCE_MS, check);
+    simulation.schedule(UPDATE_TIMEOUT_MS, check);
   }
 
-  private _take(update: Update): void {
-    this._heardAt = this._options.simulation.now;
+  private _handleUpdate(update: Update): void {
+    this._updatedAt = this._options.simulation.now;
     if (!this._options.onUpdate(update) || !this._options.isWanted()) {
-      this._goOn("");
+      this._switchProcess("");
       return;
     }
     this._isConnected = true;
-    this._late = { name: "", patienceMs: FIRST_ANSWER_MS };
+    this._slowProcess = { name: "", timeoutMs: FIRST_UPDATE_TIMEOUT_MS };
     if (update.controls.length > 0) this._controls = update.controls;
-    const known = update.controls.join();
-    if (known === "" || known === this._known) return;
-    this._known = known;
+    const controlNames = update.controls.join();
+    if (controlNames === "" || controlNames === this._lastControls) return;
+    this._lastControls = controlNames;
     const preferred = this._getCandidates()[0]!;
     if (preferred === this._current) return;
     this._current = preferred;
-    this._next = 0;
+    this._nextIndex = 0;
     this._follow();
   }
 
-  private _goOn(leader: string): void {
-    this._tries += 1;
+  private _switchProcess(leader: string): void {
+    this._attempts += 1;
     if (this._isConnected) {
-      this._search.reset();
-      this._next = -1;
-    } else this.vainTries += 1;
+      this._retryDelay.reset();
+      this._nextIndex = -1;
+    } else this.failedAttempts += 1;
     this._isConnected = false;
     const candidates = this._getCandidates();
     if (leader !== "" && leader !== this._current) this._current = leader;
     else {
-      this._next += 1;
-      this._current = candidates[this._next % Math.max(1, candidates.length)] ?? "";
+      this._nextIndex += 1;
+      this._current = candidates[this._nextIndex % Math.max(1, candidates.length)] ?? "";
     }
-    this._options.simulation.addAfter(this._search.addFailure(candidates.length), () => this.run());
+    this._options.simulation.schedule(this._retryDelay.addFailure(candidates.length), () => this.run());
   }
 
   private _getCandidates(): readonly string[] {
--- a/test/overload/costs.ts
+++ b/test/overload/costs.ts
@@ -4,7 +4,7 @@
 
 export interface Costs {
   /** Share of one processor that a process gets. */
-  readonly share: number;
+  readonly processorShare: number;
   /** An accepted instance report. */
   readonly reportMs: number;
   /** A call between control processes. */
@@ -16,17 +16,17 @@
   /** A later update of a view, which contains only the changes. */
   readonly updateMs: number;
   /** A heartbeat to a watcher. */
-  readonly signMs: number;
+  readonly heartbeatMs: number;
   readonly refusalMs: number;
   /** A refusal by the queue, before any work starts. */
-  readonly doorRefusalMs: number;
+  readonly queueRefusalMs: number;
   /** Handling the answer to a call of the process itself. */
   readonly answerMs: number;
   /** A consensus message. */
-  readonly agreementMs: number;
+  readonly consensusMs: number;
   /** A full report, and a heartbeat, in a relay's batch. */
   readonly relayedReportMs: number;
-  readonly relayedSignMs: number;
+  readonly relayedHeartbeatMs: number;
   /** The first planning round of a new leader, and each later one, with the number of instances of size 1. */
   readonly firstPlanMs: number;
   readonly planMs: number;
@@ -35,25 +35,25 @@
    * applies.
    */
   readonly coldFactor: number;
-  readonly coldMs: number;
+  readonly coldStartMs: number;
 }
 
 export const COSTS: Costs = {
-  share: 0.2,
+  processorShare: 0.2,
   reportMs: 1,
   callMs: 1.5,
   declarationMs: 3,
   firstViewMs: 2,
   updateMs: 0.5,
-  signMs: 0.2,
+  heartbeatMs: 0.2,
   refusalMs: 0.5,
-  doorRefusalMs: 0.1,
+  queueRefusalMs: 0.1,
   answerMs: 0.5,
-  agreementMs: 0.3,
+  consensusMs: 0.3,
   relayedReportMs: 0.2,
-  relayedSignMs: 0.02,
+  relayedHeartbeatMs: 0.02,
   firstPlanMs: 28,
   planMs: 8,
   coldFactor: 3,
-  coldMs: 3_000,
+  coldStartMs: 3_000,
 };
