--- a/test/overload/askers.ts
+++ b/test/overload/askers.ts
@@ -254,8 +254,8 @@
     return ordered;
   }
 
-  private _acceptUpdate({ term, isHeartbeat: isSign }: Update): boolean {
-    if (isSign) return true;
+  private _acceptUpdate({ term, isHeartbeat }: Update): boolean {
+    if (isHeartbeat) return true;
     if (term < this._term) return false;
     this._term = term;
     return true;
