--- a/bench/answers.ts
+++ b/bench/answers.ts
@@ -3,7 +3,7 @@
  * with a second signal, one endpoint after the other stands still for a while, and one sends without end.
  */
 import { createConfig } from "../test/platform/createConfig";
-import { KeptCallers } from "../test/platform/KeptCallers";
+import { KeepAliveCallers } from "../test/platform/KeepAliveCallers";
 import { PlatformCluster } from "../test/platform/PlatformCluster";
 import type { ProcessHandle } from "../test/support/ProcessHandle";
 import { waitUntil } from "../test/support/waitUntil";
@@ -38,7 +38,7 @@
     await waitUntil("all replicas serve", () => getHeads(cluster).length === ENGINES / REPLICA_SIZE);
     const groups = cluster.entries.map((_, entry) => startCallers(cluster, entry));
     await waitUntil("every entry serves", () =>
-      groups.every((callers) => callers.getEnded("whole").length > 0),
+      groups.every((callers) => callers.getByOutcome("whole").length > 0),
     );
     const troubles = troubleEndpoints(cluster);
     const stops: number[] = [];
@@ -50,7 +50,7 @@
     await troubles;
     await Promise.all(groups.map((callers) => callers.stop()));
     const count = (end: "whole" | "cut" | "unanswered" | "refused") =>
-      groups.reduce((sum, callers) => sum + callers.getEnded(end).length, 0);
+      groups.reduce((sum, callers) => sum + callers.getByOutcome(end).length, 0);
     return [
       { figure: "whole", value: count("whole"), unit: "streams" },
       { figure: "cut", value: count("cut"), unit: "streams" },
@@ -64,9 +64,9 @@
   }
 }
 
-function startCallers(cluster: PlatformCluster, entry: number): KeptCallers {
+function startCallers(cluster: PlatformCluster, entry: number): KeepAliveCallers {
   const address = cluster.getEntryAddress(entry);
-  const callers = new KeptCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
+  const callers = new KeepAliveCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
   callers.start(CALLERS_PER_ENTRY);
   return callers;
 }
@@ -76,7 +76,7 @@
   const startedAt = performance.now();
   const ended = entry.stop();
   await pause(SECOND_SIGNAL_MS);
-  entry.send("SIGTERM");
+  entry.sendSignal("SIGTERM");
   await ended;
   const tookMs = performance.now() - startedAt;
   entry.start();
@@ -88,7 +88,7 @@
   const [endless, ...others] = getHeads(cluster);
   endless!.endless = "event";
   for (const head of others) {
-    head.standStill(STILL_MS);
+    head.pauseStreams(STILL_MS);
     await pause(STILL_MS);
     endless!.endless = undefined;
   }
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -77,7 +77,7 @@
     const lines = readControlLogs(cluster.controls, startedAt);
     const spans = getSpans(startedAt);
     const calm = sampler.getRates(startedAt - SUMMED_MS, startedAt);
-    const wait = getLongestCalmWaitMs(operator.orders, spans);
+    const wait = getLongestCalmWaitMs(operator.versions, spans);
     return [
       { figure: "calm_processor_time", value: Math.max(...calm), unit: "ms/s" },
       ...LOSSES.flatMap(({ name }, i) => getLossFigures(system, name, spans[i]!, lines, terms)),
@@ -165,7 +165,7 @@
 ): Figure[] {
   const { onAt } = span;
   const leader = getFirstLeader(lines, span);
-  const orders = operator.orders.filter(({ acknowledgedAt }) => isWithin(acknowledgedAt ?? NEVER, span));
+  const orders = operator.versions.filter(({ acknowledgedAt }) => isWithin(acknowledgedAt ?? NEVER, span));
   const acknowledgedAt = Math.min(...orders.map((order) => order.acknowledgedAt ?? NEVER));
   const readBackAt = Math.min(...orders.map((order) => order.readBackAt ?? NEVER));
   const followed = terms.find(({ at, term }) => isWithin(at, span) && term >= leader.term);
--- a/bench/support/powerSpans.ts
+++ b/bench/support/powerSpans.ts
@@ -1,5 +1,5 @@
 /** Spans between losses of power, and how long orders waited in calm. Times are Unix milliseconds. */
-import type { SentOrder } from "../../test/platform/OperatorStandin";
+import type { SentVersion } from "../../test/platform/OperatorStandin";
 
 /** From the moment that power is back to the next loss, or to the end. */
 export interface PowerSpan {
@@ -16,12 +16,12 @@
 }
 
 /** Gets the longest time in calm at a stretch for which an order had no acknowledgement. */
-export function getLongestCalmWaitMs(orders: readonly SentOrder[], spans: readonly PowerSpan[]): number {
+export function getLongestCalmWaitMs(orders: readonly SentVersion[], spans: readonly PowerSpan[]): number {
   const waits = orders.flatMap((order) => spans.map((span) => getCalmWaitMs(order, span)));
   return Math.max(0, ...waits);
 }
 
-function getCalmWaitMs({ sentAt, acknowledgedAt }: SentOrder, { onAt, offAt }: PowerSpan): number {
+function getCalmWaitMs({ sentAt, acknowledgedAt }: SentVersion, { onAt, offAt }: PowerSpan): number {
   const from = Math.max(sentAt, onAt + CONTACT_MS);
   const to = Math.min(acknowledgedAt ?? Number.POSITIVE_INFINITY, offAt);
   return Math.max(0, to - from);
--- a/test/overload/LeaderCalls.ts
+++ b/test/overload/LeaderCalls.ts
@@ -1,5 +1,5 @@
 /** Calls the leader in simulated time by the rules of `LeaderClient`. Times are in milliseconds. */
-import { SearchPause } from "../../src/rpc/SearchPause";
+import { SearchBackoff } from "../../src/rpc/SearchBackoff";
 import type { Outcome, Peer } from "./Network";
 import type { Simulation } from "./Simulation";
 
@@ -36,7 +36,7 @@
   call<R>(attempt: Attempt<R>, timeoutMs: number, onEnd: (answer: R | undefined) => void): void {
     const { simulation, isRunning } = this._options;
     const deadlineAt = simulation.now + timeoutMs;
-    const retryDelay = new SearchPause();
+    const retryDelay = new SearchBackoff();
     let failedLeader = "";
     const attemptNext = () => {
       if (!isRunning()) return;
--- a/test/overload/Watcher.ts
+++ b/test/overload/Watcher.ts
@@ -1,5 +1,5 @@
 /** Follows a view in simulated time by the rules of `ViewWatcher`. Times are in milliseconds. */
-import { SearchPause } from "../../src/rpc/SearchPause";
+import { SearchBackoff } from "../../src/rpc/SearchBackoff";
 import type { Peer } from "./Network";
 import type { Simulation } from "./Simulation";
 
@@ -55,7 +55,7 @@
   /** Number of attempts that ended before the first update. */
   failedAttempts = 0;
   private readonly _options: WatcherOptions;
-  private readonly _retryDelay = new SearchPause();
+  private readonly _retryDelay = new SearchBackoff();
   private _controls: readonly string[] = [];
   private _lastControls = "";
   private _current = "";
