--- a/bench/surge/ReplicaModel.ts
+++ b/bench/surge/ReplicaModel.ts
@@ -1,18 +1,18 @@
 /**
- * A replica that batches: a small model in simulated time.
+ * Models a replica with batching in simulated time.
  *
- * Each running request gets one token a step; a step takes longer the more run. Prompts
- * are worked on one after another, taking half of the time while any waits. A prefix that
- * is cached costs no prefill. Load is reported as it was some time ago.
+ * Each running request generates one token per step; a step takes longer with more running requests. Prompts
+ * are processed one after another, and prefill takes half of the time while any prompt waits. A cached prefix
+ * needs no prefill. Reports of the load lag behind by 500 ms.
  */
 import type { CacheEvent, Engine, EngineState } from "../../src/engine";
 import { InstanceId, ReplicaId } from "../../src/ids";
 
-/** One request at a replica. */
+/** A request at a replica. */
 export interface Job {
   readonly id: string;
   readonly promptTokens: number;
-  /** Leading tokens that other requests with the same prefix share. */
+  /** Number of leading tokens shared with other requests of the same prefix. */
   readonly prefixTokens: number;
   readonly prefixDigests: readonly string[];
   readonly outputTokens: number;
@@ -22,10 +22,10 @@
   readonly onEnd: (now: number) => void;
 }
 
-interface Running extends Job {
-  prefillLeft: number;
-  made: number;
-  noted: number;
+interface RunningJob extends Job {
+  remainingPrefill: number;
+  generatedTokens: number;
+  reportedTokens: number;
 }
 
 const MAX_BATCH = 16;
@@ -33,49 +33,54 @@
 const STEP_PER_REQUEST_MS = 1;
 const PREFILL_TOKENS_PER_MS = 8;
 const CACHED_PREFIXES = 4;
-const REPORT_MS = 500;
-/** The newest events are published late. */
-const HIDDEN_EVENTS = 8;
+const REPORT_DELAY_MS = 500;
+/** Number of newest cache events that the engine does not publish yet. */
+const UNPUBLISHED_EVENTS = 8;
 
-/** One replica; its only instance has the same name. */
+/** A replica with a single instance of the same name. */
 export class ReplicaModel {
   readonly id: string;
-  /** Slows everything by this factor, although it answers health checks. */
-  slowness = 1;
+  /** Factor by which the replica is slower, although it answers health checks. */
+  slowdownFactor = 1;
   isLost = false;
-  /** Answers health checks, but reports the same load for ever. */
+  /** Whether the replica answers health checks but always reports the same load. */
   isStale = false;
   prefillTokens = 0;
   cachedTokens = 0;
   readonly refused: Job[] = [];
-  private _waiting: Running[] = [];
-  private _batch: Running[] = [];
-  /** Cached prefixes, the last used one first. */
+  private _waiting: RunningJob[] = [];
+  private _batch: RunningJob[] = [];
+  /** Cached prefixes, most recently used first. */
   private _cache: (readonly string[])[] = [];
   private _events: CacheEvent[] = [];
-  private _reported = 0;
+  private _reportedTokens = 0;
   private _reports: { at: number; tokens: number }[] = [];
 
   constructor(id: string) {
     this.id = id;
   }
 
-  /** Gets requests here, running or waiting. */
-  get count(): number {
+  /** Gets the number of waiting and running requests. */
+  get requestCount(): number {
     return this._waiting.length + this._batch.length;
   }
 
-  /** Takes a request; its prefix saves prefill if it is cached now. */
+  /** Adds a request. If its prefix is cached now, the prefix needs no prefill. */
   add(job: Job): void {
-    const saved = this._touchCache(job) ? job.prefixTokens : 0;
-    this.prefillTokens += job.promptTokens - saved;
-    this.cachedTokens += saved;
-    const running = { ...job, prefillLeft: job.promptTokens - saved, made: 0, noted: 0 };
+    const cachedTokens = this._touchCache(job) ? job.prefixTokens : 0;
+    this.prefillTokens += job.promptTokens - cachedTokens;
+    this.cachedTokens += cachedTokens;
+    const running = {
+      ...job,
+      remainingPrefill: job.promptTokens - cachedTokens,
+      generatedTokens: 0,
+      reportedTokens: 0,
+    };
     this._waiting.push(running);
     this._waiting.sort((a, b) => a.priority - b.priority);
   }
 
-  /** Takes all requests away: the replica was lost. */
+  /** Removes and returns all requests, because the replica was lost. */
   takeAll(): Job[] {
     const all = [...this._waiting, ...this._batch];
     this._waiting = [];
@@ -83,20 +88,22 @@
     return all;
   }
 
-  /** Lets time pass. */
+  /** Simulates a time step. */
   advance(now: number, ms: number): void {
     this._report(now);
     if (this.isLost) return;
-    const usableMs = ms / this.slowness;
+    const usableMs = ms / this.slowdownFactor;
     const isPrefilling = this._waiting.length > 0 && this._batch.length < MAX_BATCH;
     if (isPrefilling) this._prefill(usableMs / 2);
     const decodeMs = isPrefilling ? usableMs / 2 : usableMs;
     const tokens = decodeMs / (STEP_BASE_MS + STEP_PER_REQUEST_MS * this._batch.length);
     for (const job of this._batch) this._decode(now, job, tokens);
-    this._batch = this._batch.filter((job) => job.made < job.outputTokens);
+    this._batch = this._batch.filter((job) => job.generatedTokens < job.outputTokens);
   }
 
-  /** Gets the engine's interface, of which the entries use the state only. */
+  /**
+   * Creates an engine interface that supports only the methods the entries call: its state and cache events.
+   */
   createEngine(getEpoch: () => number): Engine {
     const getState = async (): Promise<EngineState> => ({
       instanceId: InstanceId(this.id),
@@ -109,25 +116,26 @@
       load: {
         running: this._batch.length,
         waiting: this._waiting.length,
-        pendingTokens: this._reported,
+        pendingTokens: this._reportedTokens,
         kvUsed: 0,
       },
     });
-    const unused = () => Promise.reject(new Error("not part of the model"));
+    const rejectUnsupported = () =>
+      Promise.reject(new Error("the replica model does not support this method"));
     return {
       address: this.id,
       getState,
-      sendOrder: unused,
-      generate: unused,
-      resume: unused,
-      cancel: unused,
-      getCacheEvents: async (after) => this._events.slice(after, this._events.length - HIDDEN_EVENTS),
-      exportKv: unused,
-      importKv: unused,
+      sendOrder: rejectUnsupported,
+      generate: rejectUnsupported,
+      resume: rejectUnsupported,
+      cancel: rejectUnsupported,
+      getCacheEvents: async (after) => this._events.slice(after, this._events.length - UNPUBLISHED_EVENTS),
+      exportKv: rejectUnsupported,
+      importKv: rejectUnsupported,
     };
   }
 
-  /** Brings a prefix to the front; gives whether it was there. */
+  /** Moves a prefix to the front of the cache. Returns whether it was cached. */
   private _touchCache(job: Job): boolean {
     const key = job.prefixDigests.at(-1);
     const isHit = this._cache.some((digests) => digests.at(-1) === key);
@@ -145,31 +153,34 @@
     let budget = ms * PREFILL_TOKENS_PER_MS;
     while (budget > 0 && this._waiting.length > 0 && this._batch.length < MAX_BATCH) {
       const job = this._waiting[0]!;
-      const done = Math.min(budget, job.prefillLeft);
-      job.prefillLeft -= done;
-      budget -= done;
-      if (job.prefillLeft > 0) return;
+      const prefilled = Math.min(budget, job.remainingPrefill);
+      job.remainingPrefill -= prefilled;
+      budget -= prefilled;
+      if (job.remainingPrefill > 0) return;
       this._waiting.shift();
       this._batch.push(job);
     }
   }
 
-  private _decode(now: number, job: Running, tokens: number): void {
-    job.made += tokens;
-    const whole = Math.min(job.outputTokens, Math.floor(job.made));
-    if (whole === job.noted) return;
-    if (job.noted === 0) job.onFirstToken(now);
-    job.onTokens(now, whole - job.noted);
-    job.noted = whole;
-    if (job.made >= job.outputTokens) job.onEnd(now);
+  private _decode(now: number, job: RunningJob, tokens: number): void {
+    job.generatedTokens += tokens;
+    const wholeTokens = Math.min(job.outputTokens, Math.floor(job.generatedTokens));
+    if (wholeTokens === job.reportedTokens) return;
+    if (job.reportedTokens === 0) job.onFirstToken(now);
+    job.onTokens(now, wholeTokens - job.reportedTokens);
+    job.reportedTokens = wholeTokens;
+    if (job.generatedTokens >= job.outputTokens) job.onEnd(now);
   }
 
   private _report(now: number): void {
     const all = [...this._waiting, ...this._batch];
-    const tokens = all.reduce((sum, job) => sum + job.prefillLeft / 10 + job.outputTokens - job.made, 0);
+    const tokens = all.reduce(
+      (sum, job) => sum + job.remainingPrefill / 10 + job.outputTokens - job.generatedTokens,
+      0,
+    );
     this._reports.push({ at: now, tokens });
-    while (!this.isStale && this._reports[0] !== undefined && this._reports[0].at <= now - REPORT_MS) {
-      this._reported = this._reports.shift()!.tokens;
+    while (!this.isStale && this._reports[0] !== undefined && this._reports[0].at <= now - REPORT_DELAY_MS) {
+      this._reportedTokens = this._reports.shift()!.tokens;
     }
   }
 }
--- a/test/overload/Discipline.test.ts
+++ b/test/overload/Discipline.test.ts
@@ -1,41 +1,41 @@
 import { describe, expect, it } from "vitest";
-import { ArrivalOrder, type Discipline, type Work, type WorkKind, WorthOrder } from "./Discipline";
+import { FifoQueue, PriorityQueue, type Work, type WorkKind, type WorkQueue } from "./Discipline";
 
 function createWork(kind: WorkKind, isWanted = true): Work {
   return { kind, getCostMs: () => 1, isWanted: () => isWanted, run: () => {}, refuse: () => {} };
 }
 
-function takeAll(discipline: Discipline): (WorkKind | undefined)[] {
+function takeAll(queue: WorkQueue): (WorkKind | undefined)[] {
   const kinds: (WorkKind | undefined)[] = [];
-  for (let work = discipline.take(); work !== undefined; work = discipline.take()) kinds.push(work.kind);
+  for (let work = queue.take(); work !== undefined; work = queue.take()) kinds.push(work.kind);
   return kinds;
 }
 
-describe("the order of arrival", () => {
-  it("gives all work as it came, wanted or not", () => {
-    const order = new ArrivalOrder();
+describe("FifoQueue", () => {
+  it("returns all work in the order of arrival, even if its caller no longer waits", () => {
+    const order = new FifoQueue();
     for (const work of [createWork("report", false), createWork("agreement")])
       expect(order.add(work)).toEqual([]);
     expect(takeAll(order)).toEqual(["report", "agreement"]);
   });
 });
 
-describe("the order of worth", () => {
-  it("gives worth first", () => {
-    const order = new WorthOrder();
+describe("PriorityQueue", () => {
+  it("returns work of higher priority first", () => {
+    const order = new PriorityQueue();
     for (const kind of ["report", "watch", "plan", "read", "agreement"] as const) order.add(createWork(kind));
     expect(takeAll(order)).toEqual(["agreement", "read", "plan", "watch", "report"]);
   });
 
-  it("does not give what nobody waits for any more", () => {
-    const order = new WorthOrder();
+  it("drops work whose caller no longer waits", () => {
+    const order = new PriorityQueue();
     order.add(createWork("read", false));
     order.add(createWork("read"));
     expect(takeAll(order)).toEqual(["read"]);
   });
 
-  it("refuses what is too much of one class, and nothing of another", () => {
-    const order = new WorthOrder([
+  it("refuses work over the limit of its class and accepts work of other classes", () => {
+    const order = new PriorityQueue([
       { kinds: ["read"], limit: 1 },
       { kinds: ["report"], limit: 1 },
     ]);
--- a/test/overload/Network.ts
+++ b/test/overload/Network.ts
@@ -1,34 +1,40 @@
-/** Calls between askers and control processes: an answer that comes after the asker gave up is lost. */
+/**
+ * Carries calls between clients and control processes in simulated time. An answer that arrives after the
+ * caller has timed out is lost.
+ */
 import type { WorkKind } from "./Discipline";
 import type { Processor } from "./Processor";
 import type { Simulation } from "./Simulation";
 
-/** Where calls arrive, and which processor their answers are taken with. */
-export interface Place {
+/** A process that receives calls, and whose processor handles the answers to its own calls. */
+export interface Peer {
   readonly name: string;
   readonly processor: Processor;
-  /** Without power nothing is said; a process that ended has its calls refused by its machine. */
+  /**
+   * Whether the machine has power. A machine without power sends nothing; a machine with power refuses calls
+   * to a process that has ended.
+   */
   readonly isPowered: boolean;
 }
 
-/** What came of a call. */
+/** The result of a call. */
 export type Outcome<R> =
   | { readonly kind: "answer"; readonly answer: R }
   | { readonly kind: "refused"; readonly leader: string }
   | { readonly kind: "timeout" };
 
-/** A call as the process sees that is asked. */
+/** A call as the called process sees it. */
 export interface Call<R> {
   readonly isWanted: () => boolean;
   readonly answer: (answer: R) => void;
   readonly refuse: (leader: string) => void;
 }
 
-/** A call to be made. */
-export interface Request<R> {
-  /** The calling control process; `undefined` for one whose processor doesn't matter here. */
-  readonly from: Place | undefined;
-  readonly to: Place;
+/** The parameters of a call. */
+export interface CallOptions<R> {
+  /** The calling control process; `undefined` for a client, whose processor is not modelled. */
+  readonly from: Peer | undefined;
+  readonly to: Peer;
   readonly kind: WorkKind;
   readonly timeoutMs: number;
   readonly getCostMs: () => number;
@@ -36,43 +42,44 @@
   readonly onEnd: (outcome: Outcome<R>) => void;
 }
 
-/** One way, milliseconds: between control processes, and from instances, entries and operators to them. */
-const INNER_MS = 1.5;
-const OUTER_MS = 3;
+/**
+ * One-way latency in milliseconds: between control processes, and between them and instances, entries or
+ * operators.
+ */
+const CONTROL_LATENCY_MS = 1.5;
+const CLIENT_LATENCY_MS = 3;
 
-/** Links, which may be cut. */
+/** A network whose links can be cut. */
 export class Network {
   private readonly _simulation: Simulation;
   private readonly _answerMs: number;
-  private readonly _cut = new Set<string>();
+  private readonly _cutLinks = new Set<string>();
 
-  /**
-   * @param answerMs - What taking an answer costs a process, milliseconds of processor time.
-   */
+  /** @param answerMs - Processor time that a process needs to handle an answer, in milliseconds. */
   constructor(simulation: Simulation, answerMs: number) {
     this._simulation = simulation;
     this._answerMs = answerMs;
   }
 
-  /** Cuts processes from others, both ways. */
-  cut(names: readonly string[], others: readonly string[]): void {
-    for (const name of names) for (const other of others) this._cut.add(getLink(name, other));
+  /** Cuts the links between two sets of processes in both directions. */
+  cutLinks(names: readonly string[], others: readonly string[]): void {
+    for (const name of names) for (const other of others) this._cutLinks.add(getLink(name, other));
   }
 
-  /** Joins all again. */
-  heal(): void {
-    this._cut.clear();
+  /** Restores all links. */
+  restoreLinks(): void {
+    this._cutLinks.clear();
   }
 
-  /** Checks whether two processes reach each other. */
-  isWhole(name: string, other: string): boolean {
-    return !this._cut.has(getLink(name, other));
+  /** Checks whether two processes can reach each other. */
+  isConnected(name: string, other: string): boolean {
+    return !this._cutLinks.has(getLink(name, other));
   }
 
-  /** Sends a message that nobody answers. */
-  send(from: Place, to: Place, costMs: number, receive: () => void): void {
-    if (!this.isWhole(from.name, to.name)) return;
-    this._simulation.addAfter(INNER_MS, () =>
+  /** Sends a message that needs no answer. */
+  send(from: Peer, to: Peer, costMs: number, receive: () => void): void {
+    if (!this.isConnected(from.name, to.name)) return;
+    this._simulation.schedule(CONTROL_LATENCY_MS, () =>
       to.processor.add({
         kind: "agreement",
         getCostMs: () => costMs,
@@ -83,37 +90,40 @@
     );
   }
 
-  /** Makes a call; its end is told once, to a process that still runs. */
-  call<R>(request: Request<R>): () => void {
-    const { from, to, timeoutMs } = request;
-    let isOver = false;
+  /**
+   * Makes a call and reports its outcome once, unless the calling process has stopped. Returns a function
+   * that cancels the call.
+   */
+  call<R>(options: CallOptions<R>): () => void {
+    const { from, to, timeoutMs } = options;
+    let hasEnded = false;
     const end = (outcome: Outcome<R>) => {
-      if (isOver) return;
-      isOver = true;
-      timer.isOff = true;
-      request.onEnd(outcome);
+      if (hasEnded) return;
+      hasEnded = true;
+      timer.isCancelled = true;
+      options.onEnd(outcome);
     };
-    const timer = this._simulation.addAfter(timeoutMs, () => end({ kind: "timeout" }));
-    const wayMs = from === undefined ? OUTER_MS : INNER_MS;
-    const isWhole = () => from === undefined || this.isWhole(from.name, to.name);
-    const isWanted = () => !isOver && (from === undefined || from.processor.isRunning);
-    const goBack = (outcome: Outcome<R>) => {
-      if (!isWhole()) return;
-      this._simulation.addAfter(wayMs, () => this._receive(request, isWanted, () => end(outcome)));
+    const timer = this._simulation.schedule(timeoutMs, () => end({ kind: "timeout" }));
+    const latencyMs = from === undefined ? CLIENT_LATENCY_MS : CONTROL_LATENCY_MS;
+    const isConnected = () => from === undefined || this.isConnected(from.name, to.name);
+    const isWanted = () => !hasEnded && (from === undefined || from.processor.isRunning);
+    const reply = (outcome: Outcome<R>) => {
+      if (!isConnected()) return;
+      this._simulation.schedule(latencyMs, () => this._deliverReply(options, isWanted, () => end(outcome)));
     };
     const call: Call<R> = {
       isWanted,
-      answer: (answer) => goBack({ kind: "answer", answer }),
-      refuse: (leader) => goBack({ kind: "refused", leader }),
+      answer: (answer) => reply({ kind: "answer", answer }),
+      refuse: (leader) => reply({ kind: "refused", leader }),
     };
-    if (isWhole()) this._simulation.addAfter(wayMs, () => this._arrive(request, call));
+    if (isConnected()) this._simulation.schedule(latencyMs, () => this._deliverCall(options, call));
     return () => {
-      isOver = true;
-      timer.isOff = true;
+      hasEnded = true;
+      timer.isCancelled = true;
     };
   }
 
-  private _arrive<R>({ to, kind, getCostMs, serve }: Request<R>, call: Call<R>): void {
+  private _deliverCall<R>({ to, kind, getCostMs, serve }: CallOptions<R>, call: Call<R>): void {
     if (!to.isPowered) return;
     if (!to.processor.isRunning) {
       call.refuse("");
@@ -128,7 +138,7 @@
     });
   }
 
-  private _receive<R>({ from }: Request<R>, isWanted: () => boolean, run: () => void): void {
+  private _deliverReply<R>({ from }: CallOptions<R>, isWanted: () => boolean, run: () => void): void {
     if (from === undefined) run();
     else
       from.processor.add({
--- a/test/overload/Watcher.ts
+++ b/test/overload/Watcher.ts
@@ -1,167 +1,170 @@
-/** Follows a view in simulated time, by the rules of `ViewWatcher`. Times are milliseconds. */
+/** Follows a view in simulated time by the rules of `ViewWatcher`. Times are in milliseconds. */
 import { SearchBackoff } from "../../src/rpc/SearchBackoff";
-import type { Place } from "./Network";
+import type { Peer } from "./Network";
 import type { Simulation } from "./Simulation";
 
-/** What a watcher is told. */
+/** An update that a watcher receives. */
 export interface Update {
   readonly term: number;
-  /** Processes that entries are to watch; empty where there is no news of them. */
+  /** Control processes that entries may watch; empty if they are not part of the update. */
   readonly controls: readonly string[];
-  /** Says only that the process is alive: what the watcher holds is newer than what it could be shown. */
-  readonly isSign: boolean;
+  /**
+   * Whether the update is only a heartbeat, because the watcher already holds a newer view than the process
+   * has.
+   */
+  readonly isHeartbeat: boolean;
 }
 
-/** A watch as the process sees that shows the view. */
+/** A watch as the publishing process sees it. */
 export interface Watch {
   readonly isEntry: boolean;
-  /** Of the newest leader whose view the watcher holds. */
+  /** Term of the newest leader whose view the watcher holds. */
   readonly term: number;
-  /** Whether the watcher has not given it up. */
+  /** Checks whether the watcher still follows this watch. */
   readonly isWanted: () => boolean;
-  readonly show: (update: Update) => void;
+  readonly sendUpdate: (update: Update) => void;
   readonly refuse: (leader: string) => void;
-  /** Ends it: there is nothing to show any more. */
+  /** Ends the watch because the process has no view to publish. */
   readonly end: () => void;
 }
 
-/** What a watcher works with. */
+/** The environment of a watcher. */
 export interface WatcherOptions {
   readonly simulation: Simulation;
   readonly isEntry: boolean;
-  readonly places: readonly Place[];
-  /** Gives whom to ask, in this order; nobody where none is known. */
+  readonly processes: readonly Peer[];
+  /** Gets the processes to try, in order of preference; empty if none is known. */
   readonly getCandidates: (controls: readonly string[]) => readonly string[];
   readonly isWanted: () => boolean;
   readonly isRunning: () => boolean;
   readonly getTerm: () => number;
-  /** Has a process asked to be shown its view. */
-  readonly open: (to: Place, watch: Watch) => void;
-  /** @returns Whether the update is of no older term than others before it. */
+  /** Opens a watch on a process. */
+  readonly open: (to: Peer, watch: Watch) => void;
+  /** @returns `false` if the update is from an older term than one received before. */
   readonly onUpdate: (update: Update) => boolean;
 }
 
-/** As in `ViewWatcher`. */
-const SILENCE_MS = 1_000;
-const FIRST_ANSWER_MS = 700;
-const MAX_FIRST_ANSWER_MS = 2_800;
-const IDLE_MS = 100;
+/** Timings of `ViewWatcher`, in milliseconds. */
+const UPDATE_TIMEOUT_MS = 1_000;
+const FIRST_UPDATE_TIMEOUT_MS = 700;
+const MAX_FIRST_UPDATE_TIMEOUT_MS = 2_800;
+const IDLE_DELAY_MS = 100;
 
-/** A watcher for one life of its process. */
+/** A watcher of one incarnation of its process. */
 export class Watcher {
-  /** Tries that ended before a first answer. */
-  vainTries = 0;
+  /** Number of attempts that ended before the first update. */
+  failedAttempts = 0;
   private readonly _options: WatcherOptions;
-  private readonly _search = new SearchBackoff();
+  private readonly _retryDelay = new SearchBackoff();
   private _controls: readonly string[] = [];
-  private _known = "";
+  private _lastControls = "";
   private _current = "";
-  private _next = 0;
-  private _late = { name: "", patienceMs: FIRST_ANSWER_MS };
-  private _tries = 0;
+  private _nextIndex = 0;
+  private _slowProcess = { name: "", timeoutMs: FIRST_UPDATE_TIMEOUT_MS };
+  private _attempts = 0;
   private _isConnected = false;
-  private _heardAt = 0;
+  private _updatedAt = 0;
 
   constructor(options: WatcherOptions) {
     this._options = options;
   }
 
-  /** Gets whether a view is followed now. */
+  /** Checks whether the watcher follows a view now. */
   get isConnected(): boolean {
     return this._isConnected;
   }
 
-  /** Gets the process that is followed, or asked; "" before the first one. */
+  /** Gets the process that the watcher follows or tries; "" before the first one. */
   get current(): string {
     return this._current;
   }
 
-  /** Begins to follow. */
   run(): void {
     const { simulation, isRunning, isWanted } = this._options;
     if (!isRunning()) return;
     if (this._current === "") this._current = this._getCandidates()[0] ?? "";
-    if (this._current === "" || !isWanted()) simulation.addAfter(IDLE_MS, () => this.run());
+    if (this._current === "" || !isWanted()) simulation.schedule(IDLE_DELAY_MS, () => this.run());
     else this._follow();
   }
 
   private _follow(): void {
-    const { simulation, isEntry, places, open, isRunning, getTerm } = this._options;
-    this._tries += 1;
-    const ofTry = this._tries;
-    const isPresent = () => ofTry === this._tries && isRunning();
-    let isShown = false;
+    const { simulation, isEntry, processes, open, isRunning, getTerm } = this._options;
+    this._attempts += 1;
+    const attempt = this._attempts;
+    const isCurrent = () => attempt === this._attempts && isRunning();
+    let hasUpdate = false;
     const end = (leader: string) => {
-      if (isPresent()) this._goOn(leader);
+      if (isCurrent()) this._switchProcess(leader);
     };
     const name = this._current;
-    const firstMs = name === this._late.name ? this._late.patienceMs : FIRST_ANSWER_MS;
-    simulation.addAfter(firstMs, () => {
-      if (isShown || !isPresent()) return;
-      this._late = { name, patienceMs: Math.min(MAX_FIRST_ANSWER_MS, firstMs * 2) };
+    const firstTimeoutMs =
+      name === this._slowProcess.name ? this._slowProcess.timeoutMs : FIRST_UPDATE_TIMEOUT_MS;
+    simulation.schedule(firstTimeoutMs, () => {
+      if (hasUpdate || !isCurrent()) return;
+      this._slowProcess = { name, timeoutMs: Math.min(MAX_FIRST_UPDATE_TIMEOUT_MS, firstTimeoutMs * 2) };
       end("");
     });
-    open(places.find((place) => place.name === name)!, {
+    open(processes.find((process) => process.name === name)!, {
       isEntry,
       term: getTerm(),
-      isWanted: isPresent,
+      isWanted: isCurrent,
       refuse: end,
       end: () => end(""),
-      show: (update) => {
-        if (!isPresent()) return;
-        if (!isShown) this._listen(isPresent);
-        isShown = true;
-        this._take(update);
+      sendUpdate: (update) => {
+        if (!isCurrent()) return;
+        if (!hasUpdate) this._checkTimeout(isCurrent);
+        hasUpdate = true;
+        this._handleUpdate(update);
       },
     });
   }
 
-  /** A process silent for too long is given up. */
-  private _listen(isPresent: () => boolean): void {
+  /** Abandons a process that has sent no update for 1 s. */
+  private _checkTimeout(isCurrent: () => boolean): void {
     const { simulation } = this._options;
-    this._heardAt = simulation.now;
+    this._updatedAt = simulation.now;
     const check = () => {
-      if (!isPresent()) return;
-      const leftMs = this._heardAt + SILENCE_MS - simulation.now;
-      if (leftMs <= 0) this._goOn("");
-      else simulation.addAfter(leftMs, check);
+      if (!isCurrent()) return;
+      const remainingMs = this._updatedAt + UPDATE_TIMEOUT_MS - simulation.now;
+      if (remainingMs <= 0) this._switchProcess("");
+      else simulation.schedule(remainingMs, check);
     };
-    simulation.addAfter(SILENCE_MS, check);
+    simulation.schedule(UPDATE_TIMEOUT_MS, check);
   }
 
-  private _take(update: Update): void {
-    this._heardAt = this._options.simulation.now;
+  private _handleUpdate(update: Update): void {
+    this._updatedAt = this._options.simulation.now;
     if (!this._options.onUpdate(update) || !this._options.isWanted()) {
-      this._goOn("");
+      this._switchProcess("");
       return;
     }
     this._isConnected = true;
-    this._late = { name: "", patienceMs: FIRST_ANSWER_MS };
+    this._slowProcess = { name: "", timeoutMs: FIRST_UPDATE_TIMEOUT_MS };
     if (update.controls.length > 0) this._controls = update.controls;
-    const known = update.controls.join();
-    if (known === "" || known === this._known) return;
-    this._known = known;
+    const controlNames = update.controls.join();
+    if (controlNames === "" || controlNames === this._lastControls) return;
+    this._lastControls = controlNames;
     const preferred = this._getCandidates()[0]!;
     if (preferred === this._current) return;
     this._current = preferred;
-    this._next = 0;
+    this._nextIndex = 0;
     this._follow();
   }
 
-  private _goOn(leader: string): void {
-    this._tries += 1;
+  private _switchProcess(leader: string): void {
+    this._attempts += 1;
     if (this._isConnected) {
-      this._search.reset();
-      this._next = -1;
-    } else this.vainTries += 1;
+      this._retryDelay.reset();
+      this._nextIndex = -1;
+    } else this.failedAttempts += 1;
     this._isConnected = false;
     const candidates = this._getCandidates();
     if (leader !== "" && leader !== this._current) this._current = leader;
     else {
-      this._next += 1;
-      this._current = candidates[this._next % Math.max(1, candidates.length)] ?? "";
+      this._nextIndex += 1;
+      this._current = candidates[this._nextIndex % Math.max(1, candidates.length)] ?? "";
     }
-    this._options.simulation.addAfter(this._search.addFailure(candidates.length), () => this.run());
+    this._options.simulation.schedule(this._retryDelay.addFailure(candidates.length), () => this.run());
   }
 
   private _getCandidates(): readonly string[] {
--- a/test/overload/costs.ts
+++ b/test/overload/costs.ts
@@ -1,55 +1,59 @@
-/** What work costs a control process, milliseconds of processor time, and what processor time it gets. */
+/**
+ * Processor time that work costs a control process, in milliseconds, and the processor share of a process.
+ */
 
-/** Costs of the kinds of work. */
 export interface Costs {
-  /** Part of a processor that a process gets. */
-  readonly share: number;
-  /** Of an instance's report that is taken. */
+  /** Share of one processor that a process gets. */
+  readonly processorShare: number;
+  /** An accepted instance report. */
   readonly reportMs: number;
-  /** Of a call between processes. */
+  /** A call between control processes. */
   readonly callMs: number;
-  /** Of an operator's declaration: it is parsed. */
+  /** An operator's declaration, including parsing. */
   readonly declarationMs: number;
-  /** Of the first view that a watcher is shown. */
+  /** The first view sent to a watcher. */
   readonly firstViewMs: number;
-  /** Of what has changed in a view since. */
+  /** A later update of a view, which contains only the changes. */
   readonly updateMs: number;
-  /** Of a sign of life to a watcher. */
-  readonly signMs: number;
+  /** A heartbeat to a watcher. */
+  readonly heartbeatMs: number;
   readonly refusalMs: number;
-  /** Of refusing at the door what is not even begun. */
-  readonly doorRefusalMs: number;
-  /** Of taking an answer to a call of its own. */
+  /** A refusal by the queue, before any work starts. */
+  readonly queueRefusalMs: number;
+  /** Handling the answer to a call of the process itself. */
   readonly answerMs: number;
-  /** Of a message of the agreement. */
-  readonly agreementMs: number;
-  /** Of a report in full, and of a sign of life, in a call of a relay. */
+  /** A consensus message. */
+  readonly consensusMs: number;
+  /** A full report, and a heartbeat, in a relay's batch. */
   readonly relayedReportMs: number;
-  readonly relayedSignMs: number;
-  /** Of planning for a leader that has just begun, and of each later one, for as many instances as at size 1. */
+  readonly relayedHeartbeatMs: number;
+  /** The first planning round of a new leader, and each later one, with the number of instances of size 1. */
   readonly firstPlanMs: number;
   readonly planMs: number;
-  /** Code that has not been compiled yet costs so many times as much, for so long after a process's start. */
+  /**
+   * Cost multiplier of code that is not compiled yet, and the time after a process's start for which it
+   * applies.
+   */
   readonly coldFactor: number;
-  readonly coldMs: number;
+  readonly coldStartMs: number;
 }
 
 export const COSTS: Costs = {
-  share: 0.2,
+  processorShare: 0.2,
   reportMs: 1,
   callMs: 1.5,
   declarationMs: 3,
   firstViewMs: 2,
   updateMs: 0.5,
-  signMs: 0.2,
+  heartbeatMs: 0.2,
   refusalMs: 0.5,
-  doorRefusalMs: 0.1,
+  queueRefusalMs: 0.1,
   answerMs: 0.5,
-  agreementMs: 0.3,
+  consensusMs: 0.3,
   relayedReportMs: 0.2,
-  relayedSignMs: 0.02,
+  relayedHeartbeatMs: 0.02,
   firstPlanMs: 28,
   planMs: 8,
   coldFactor: 3,
-  coldMs: 3_000,
+  coldStartMs: 3_000,
 };
