--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -20,12 +20,12 @@
 import { RelayRoster } from "../../src/registration/RelayRoster";
 import { type RelayBatch, ReportRelay } from "../../src/registration/ReportRelay";
 import type { Costs } from "./costs";
-import type { WorkKind, WorkQueue } from "./Discipline";
-import { LeaderClientModel } from "./LeaderCalls";
+import { LeaderClientModel } from "./LeaderClientModel";
 import type { Call, Network, Peer } from "./Network";
 import { Processor } from "./Processor";
 import type { ScheduledEvent, Simulation } from "./Simulation";
 import { type Update, type Watch, Watcher } from "./Watcher";
+import type { WorkKind, WorkQueue } from "./WorkQueue";
 
 /** The environment that all control processes of a simulation share. */
 export interface Environment {
--- a/test/overload/Network.ts
+++ b/test/overload/Network.ts
@@ -2,9 +2,10 @@
  * Carries calls between clients and control processes in simulated time. An answer that arrives after the
  * caller has timed out is lost.
  */
-import type { WorkKind } from "./Discipline";
+
 import type { Processor } from "./Processor";
 import type { Simulation } from "./Simulation";
+import type { WorkKind } from "./WorkQueue";
 
 /** A process that receives calls, and whose processor handles the answers to its own calls. */
 export interface Peer {
--- a/test/overload/OverloadSeries.ts
+++ b/test/overload/OverloadSeries.ts
@@ -7,13 +7,13 @@
 import { create } from "@bufbuild/protobuf";
 import { createMembership, SeededRandom } from "../../src/consensus";
 import { MemberSchema } from "../../src/gen/ploverstage/v1/consensus_pb";
-import { EntryClient, InstanceClient, OperatorClient, type Order } from "./askers";
 import { ControlModel, type Environment } from "./ControlModel";
+import { EntryClient, InstanceClient, OperatorClient, type Order } from "./clients";
 import { COSTS, type Costs } from "./costs";
-import type { WorkQueue } from "./Discipline";
 import { Network } from "./Network";
 import type { Usage } from "./Processor";
 import { Simulation } from "./Simulation";
+import type { WorkQueue } from "./WorkQueue";
 
 /** Faults that trigger an overload of the control processes. */
 export const TRIGGERS = ["power", "powerTwice", "killedLeader", "cut"] as const;
--- a/test/overload/Processor.ts
+++ b/test/overload/Processor.ts
@@ -3,8 +3,8 @@
  * in simulated milliseconds.
  */
 import type { Costs } from "./costs";
-import type { Work, WorkKind, WorkQueue } from "./Discipline";
 import type { Simulation } from "./Simulation";
+import type { Work, WorkKind, WorkQueue } from "./WorkQueue";
 
 /** Processor time used by one kind of work, in milliseconds. */
 export interface Usage {
--- a/test/overload/Discipline.test.ts
+++ b/test/overload/WorkQueue.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { FifoQueue, PriorityQueue, type Work, type WorkKind, type WorkQueue } from "./Discipline";
+import { FifoQueue, PriorityQueue, type Work, type WorkKind, type WorkQueue } from "./WorkQueue";
 
 function createWork(kind: WorkKind, isWanted = true): Work {
   return { kind, getCostMs: () => 1, isWanted: () => isWanted, run: () => {}, refuse: () => {} };
--- a/test/overload/recovery.test.ts
+++ b/test/overload/recovery.test.ts
@@ -4,7 +4,6 @@
  * `OVERLOAD_SEED=7 OVERLOAD_RUNS=200 npx vitest run test/overload/recovery.test.ts` runs other seeds.
  */
 import { describe, expect, it } from "vitest";
-import { FifoQueue } from "./Discipline";
 import {
   OverloadSeries,
   type Rules,
@@ -13,6 +12,7 @@
   type Trigger,
   WINDOW_MS,
 } from "./OverloadSeries";
+import { FifoQueue } from "./WorkQueue";
 
 const FIRST_SEED = Number(process.env.OVERLOAD_SEED ?? 1);
 const RUNS = Number(process.env.OVERLOAD_RUNS ?? 50);
