--- a/bench/Figure.ts
+++ b/bench/Figure.ts
@@ -10,7 +10,7 @@
 
 export interface Bench {
   readonly name: string;
-  /** Runs the bench. It may print intermediate figures before it returns. */
+  /** Runs the bench and returns its figures. */
   run(): Promise<readonly Figure[]>;
 }
 
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -22,7 +22,7 @@
 const SETTLE_MS = 12_000;
 const MEASURE_MS = 10_000;
 
-/** Cost of one fleet size. */
+/** Cost of the control processes at one fleet size. */
 interface Cost {
   /** Cores. */
   readonly leaderCores: number;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 /**
  * Runs the named benches, or all benches if no name is given. Prints one JSON line per figure. Exits with 1
- * if a bound is exceeded and with 2 if a name is unknown.
+ * if a bound is not met and with 2 if a name is unknown.
  */
 import { answersBench } from "./answers";
 import { capacityBench } from "./capacity";
