--- a/bench/answers.ts
+++ b/bench/answers.ts
@@ -4,7 +4,7 @@
  * stalls, and another head sends endless responses during the first stall.
  */
 import { createConfig } from "../test/platform/createConfig";
-import { KeptCallers } from "../test/platform/KeptCallers";
+import { KeepAliveCallers } from "../test/platform/KeepAliveCallers";
 import { PlatformCluster } from "../test/platform/PlatformCluster";
 import type { ProcessHandle } from "../test/support/ProcessHandle";
 import { waitUntil } from "../test/support/waitUntil";
@@ -38,7 +38,7 @@
     await waitUntil("all replicas serve", () => getReplicaHeads(cluster).length === ENGINES / REPLICA_SIZE);
     const groups = cluster.entries.map((_, entry) => startCallers(cluster, entry));
     await waitUntil("every entry serves", () =>
-      groups.every((callers) => callers.getEnded("whole").length > 0),
+      groups.every((callers) => callers.getByOutcome("whole").length > 0),
     );
     const disruptions = disruptEndpoints(cluster);
     const stopTimesMs: number[] = [];
@@ -50,7 +50,7 @@
     await disruptions;
     await Promise.all(groups.map((callers) => callers.stop()));
     const count = (outcome: "whole" | "cut" | "unanswered" | "refused") =>
-      groups.reduce((sum, callers) => sum + callers.getEnded(outcome).length, 0);
+      groups.reduce((sum, callers) => sum + callers.getByOutcome(outcome).length, 0);
     return [
       { figure: "whole", value: count("whole"), unit: "streams" },
       { figure: "cut", value: count("cut"), unit: "streams" },
@@ -64,9 +64,9 @@
   }
 }
 
-function startCallers(cluster: PlatformCluster, entry: number): KeptCallers {
+function startCallers(cluster: PlatformCluster, entry: number): KeepAliveCallers {
   const address = cluster.getEntryAddress(entry);
-  const callers = new KeptCallers({ address, events: STREAM.events, returnMs: RECONNECT_DELAY_MS });
+  const callers = new KeepAliveCallers({ address, events: STREAM.events, returnMs: RECONNECT_DELAY_MS });
   callers.start(CALLERS_PER_ENTRY);
   return callers;
 }
@@ -76,7 +76,7 @@
   const startedAt = performance.now();
   const exited = entry.stop();
   await pause(SECOND_SIGNAL_DELAY_MS);
-  entry.send("SIGTERM");
+  entry.sendSignal("SIGTERM");
   await exited;
   const durationMs = performance.now() - startedAt;
   entry.start();
@@ -88,7 +88,7 @@
   const [endless, ...others] = getReplicaHeads(cluster);
   endless!.endless = "event";
   for (const head of others) {
-    head.standStill(STALL_MS);
+    head.pauseStreams(STALL_MS);
     await pause(STALL_MS);
     endless!.endless = undefined;
   }
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -20,7 +20,7 @@
 import { Cluster } from "../test/support/Cluster";
 import { callEntry, createChat } from "../test/support/callEntry";
 import { createConfiguration } from "../test/support/configuration";
-import { Relay } from "../test/support/Relay";
+import { TcpProxy } from "../test/support/TcpProxy";
 import type { Bench, Figure } from "./Figure";
 import { measurePlanning } from "./support/planning";
 import { getResidentMb, measureCpu, pause } from "./support/processes";
@@ -96,7 +96,7 @@
 }
 
 async function measureSize(engines: number): Promise<SizeMeasurements> {
-  const cluster = await Cluster.start({ entries: 1, engines, logLevel: "warn", perFabric: 4 });
+  const cluster = await Cluster.start({ entries: 1, engines, logLevel: "warn", instancesPerFabricDomain: 4 });
   try {
     await cluster.apply(
       createConfiguration({ replicas: engines / 4, timing: "", limits: "replica_concurrency = 1000" }),
@@ -126,7 +126,7 @@
 
 /** Sends the renewals of an entry when nothing has changed, through a proxy that counts bytes. */
 async function measureRenewals(cluster: Cluster, leaderPid: number) {
-  const proxy = await Relay.start(cluster.getControlAddress(await cluster.getLeader()));
+  const proxy = await TcpProxy.start(cluster.getControlAddress(await cluster.getLeader()));
   const client = createClient(EntryService, createRpcTransport(proxy.address, CLUSTER_SECRET));
   const first = await client.renew({ entryId: "bench.1", callerAddress: "127.0.0.1:1" });
   const renew = () =>
@@ -148,7 +148,7 @@
 
 /** Gets the bytes of one state request to an engine and its response, headers included. */
 async function measureProbeBytes(cluster: Cluster): Promise<number> {
-  const proxy = await Relay.start(cluster.engines[0]!.address);
+  const proxy = await TcpProxy.start(cluster.engines[0]!.address);
   const { HttpClient } = await import("../src/http");
   const { HttpEngine } = await import("../src/engine");
   const client = new HttpClient();
--- a/bench/containment.ts
+++ b/bench/containment.ts
@@ -6,7 +6,7 @@
 import { CrashLedger, getRequestDigest, MAX_CRASH_RECORDS, type RequestContent } from "../src/containment";
 import { CrashMonitor } from "../src/gateway/CrashMonitor";
 import { CrashRecordSchema } from "../src/gen/ploverstage/v1/state_pb";
-import { SilentMetrics } from "../src/metrics";
+import { NoopMetrics } from "../src/metrics";
 import { createConfig } from "../test/platform/createConfig";
 import { PlatformCluster } from "../test/platform/PlatformCluster";
 import type { Bench, Figure } from "./Figure";
@@ -55,7 +55,7 @@
  */
 function measureContainmentUs(ledger: CrashLedger): number {
   const logger = { info: () => {}, warn: () => {} } as never;
-  const monitor = new CrashMonitor({ ledger, logger, metrics: new SilentMetrics(), onChange: () => {} });
+  const monitor = new CrashMonitor({ ledger, logger, metrics: new NoopMetrics(), onChange: () => {} });
   const body = Buffer.alloc(BODY_BYTES, "x");
   const startedAt = performance.now();
   for (let i = 0; i < REQUEST_COUNT; i++) {
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -82,7 +82,7 @@
     const lines = readControlLogs(cluster.controls, startedAt);
     const spans = getPowerSpans(startedAt);
     const ratesBeforeLosses = sampler.getRates(startedAt - CPU_WINDOW_MS, startedAt);
-    const longestWaitMs = getLongestUndisturbedWaitMs(operator.orders, spans);
+    const longestWaitMs = getLongestUndisturbedWaitMs(operator.versions, spans);
     return [
       { figure: "calm_processor_time", value: Math.max(...ratesBeforeLosses), unit: "ms/s" },
       ...POWER_LOSSES.flatMap(({ name }, i) => getLossFigures(system, name, spans[i]!, lines, terms)),
@@ -170,7 +170,7 @@
 ): Figure[] {
   const { onAt } = span;
   const leader = getFirstLeader(lines, span);
-  const versions = operator.orders.filter(({ acknowledgedAt }) => isWithin(acknowledgedAt ?? NEVER, span));
+  const versions = operator.versions.filter(({ acknowledgedAt }) => isWithin(acknowledgedAt ?? NEVER, span));
   const acknowledgedAt = Math.min(...versions.map((version) => version.acknowledgedAt ?? NEVER));
   const readBackAt = Math.min(...versions.map((version) => version.readBackAt ?? NEVER));
   const followed = terms.find(({ at, term }) => isWithin(at, span) && term >= leader.term);
--- a/bench/support/powerSpans.ts
+++ b/bench/support/powerSpans.ts
@@ -2,7 +2,7 @@
  * Spans between power losses, and how long configuration versions waited for an acknowledgement in them.
  * Times are Unix milliseconds.
  */
-import type { SentOrder } from "../../test/platform/OperatorStandin";
+import type { SentVersion } from "../../test/platform/OperatorStandin";
 
 /** Span from the return of power to the next loss, or to the end of the series. */
 export interface PowerSpan {
@@ -25,14 +25,14 @@
  * part of one span, milliseconds.
  */
 export function getLongestUndisturbedWaitMs(
-  versions: readonly SentOrder[],
+  versions: readonly SentVersion[],
   spans: readonly PowerSpan[],
 ): number {
   const waits = versions.flatMap((version) => spans.map((span) => getUndisturbedWaitMs(version, span)));
   return Math.max(0, ...waits);
 }
 
-function getUndisturbedWaitMs({ sentAt, acknowledgedAt }: SentOrder, { onAt, offAt }: PowerSpan): number {
+function getUndisturbedWaitMs({ sentAt, acknowledgedAt }: SentVersion, { onAt, offAt }: PowerSpan): number {
   const from = Math.max(sentAt, onAt + RECOVERY_MS);
   const to = Math.min(acknowledgedAt ?? Number.POSITIVE_INFINITY, offAt);
   return Math.max(0, to - from);
--- a/bench/surge/Surge.ts
+++ b/bench/surge/Surge.ts
@@ -359,7 +359,7 @@
       const isProbing = (now + (i * PROBE_MS) / ENTRIES) % PROBE_MS < TICK_MS;
       if (isProbing) {
         entry.router.probe(PROBE_MS);
-        entry.router.followCaches(PROBE_MS);
+        entry.router.fetchCacheEvents(PROBE_MS);
       }
       if (now % UPDATE_MS === 0) entry.admission.update();
     }
@@ -458,9 +458,9 @@
 
 function createPlacer(router: ReplicaRouter): Placer<Route> {
   return {
-    absenceCode: "no_replica",
+    unavailableCode: "no_replica",
     tryPlace: (now, request) =>
-      router.startRoute(now, {
+      router.placeRequest(now, {
         model: request.target,
         promptTokens: request.promptTokens,
         cost: request.cost,
@@ -468,7 +468,7 @@
         excluded: NONE,
       }),
     getSlots: (now, target) => router.getSlots(now, target),
-    hasEndpoint: (now, target) => router.hasReplica(now, target, NONE),
+    hasEndpoint: (now, target) => router.hasRoutableReplica(now, target, NONE),
   };
 }
 
--- a/src/burn/BurnStore.ts
+++ b/src/burn/BurnStore.ts
@@ -29,7 +29,7 @@
   }
 
   /** Forgets windows older than are held. */
-  removeOld(nowMinute: number): void {
+  removeExpired(nowMinute: number): void {
     for (const [entryId, windows] of this._windows) {
       for (const [key, window] of windows) {
         if (window.minute < nowMinute - HELD_MINUTES) windows.delete(key);
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -3,7 +3,7 @@
 import { Effect, type Scope } from "effect";
 import { initializeDataFolder, startControlProcess } from "../control";
 import { startEntryProcess } from "../entry";
-import { createLogger, type Logger, type Metrics, SilentMetrics, StatsdMetrics } from "../metrics";
+import { createLogger, type Logger, type Metrics, NoopMetrics, StatsdMetrics } from "../metrics";
 import { ProcessSignals, reportResources, runProcess } from "../process";
 import { readControlSettings, readEntrySettings, readSecret } from "../settings";
 import { EXIT, printLine } from "./output";
@@ -34,7 +34,7 @@
 }
 
 async function runControl(file: string): Promise<void> {
-  const signals = ProcessSignals.takeOver(process);
+  const signals = ProcessSignals.install(process);
   const settings = await readControlSettings(file);
   const secrets = {
     cluster: await readSecret(settings.secrets.clusterFile),
@@ -57,7 +57,7 @@
 }
 
 async function runEntry(file: string): Promise<void> {
-  const signals = ProcessSignals.takeOver(process);
+  const signals = ProcessSignals.install(process);
   const settings = await readEntrySettings(file);
   const clusterSecret = await readSecret(settings.secrets.clusterFile);
   const orderSecret = await readSecret(settings.secrets.orderFile);
@@ -73,7 +73,7 @@
   name: string,
 ): Metrics {
   return server === undefined
-    ? new SilentMetrics()
+    ? new NoopMetrics()
     : new StatsdMetrics(server.host, server.port, { role, name });
 }
 
--- a/src/clock/LoopLag.ts
+++ b/src/clock/EventLoopLag.ts
@@ -26,7 +26,7 @@
 }
 
 /** Measures lag for as long as it runs. */
-export class LoopLag {
+export class EventLoopLag {
   private readonly _clock: Clock;
   private readonly _timer: NodeJS.Timeout;
   private _lags: Lag[] = [];
--- a/src/clock/TurnQueue.ts
+++ b/src/clock/TurnQueue.ts
@@ -20,7 +20,7 @@
   }
 
   /** Resolves when one more piece may begin. */
-  enter(): Promise<void> {
+  waitForTurn(): Promise<void> {
     this._schedule();
     if (this._begun < this._perTurn && this._waiting.length === 0) {
       this._begun += 1;
--- a/src/consensus/MemoryLog.ts
+++ b/src/consensus/MemoryLog.ts
@@ -1,6 +1,6 @@
 /** The in-memory part of the replicated log, after the newest snapshot. */
 
-import { throwIfBroken } from "../errors";
+import { assertInvariant } from "../errors";
 import type { LogEntry, Membership, Snapshot } from "../gen/ploverstage/v1/consensus_pb";
 
 interface MembershipEntry {
@@ -71,7 +71,7 @@
    * @remarks An index at or below the last one truncates the log from that index on.
    */
   addEntry(entry: LogEntry): void {
-    throwIfBroken(
+    assertInvariant(
       entry.index >= this.firstIndex && entry.index <= this.lastIndex + 1,
       "a log entry must directly follow the previous one",
       { index: entry.index, first: this.firstIndex, last: this.lastIndex },
@@ -85,7 +85,7 @@
   compact(index: number): void {
     if (index <= this._snapshotIndex) return;
     const term = this.getTerm(index);
-    throwIfBroken(term !== undefined, "a snapshot must cover entries of the log", index);
+    assertInvariant(term !== undefined, "a snapshot must cover entries of the log", index);
     this._snapshotMembership = this.getMembership(index);
     this._entries = this._entries.slice(index - this._snapshotIndex);
     this._membershipEntries = this._membershipEntries.filter((entry) => entry.index > index);
--- a/src/consensus/RaftNode.ts
+++ b/src/consensus/RaftNode.ts
@@ -6,7 +6,7 @@
  * `takeReady` returns all messages and writes that it requests.
  */
 import { create } from "@bufbuild/protobuf";
-import { throwIfBroken } from "../errors";
+import { assertInvariant } from "../errors";
 import {
   BlankSchema,
   type ConsensusMessage,
@@ -468,7 +468,7 @@
   }
 
   private _followLeader(now: number, leaderId: string): void {
-    throwIfBroken(this._role !== "leader", "a term must have at most one leader", {
+    assertInvariant(this._role !== "leader", "a term must have at most one leader", {
       term: this._term,
       leaderId,
     });
@@ -615,7 +615,7 @@
     if (entry.index < this.log.firstIndex) return;
     const knownTerm = this.log.getTerm(entry.index);
     if (knownTerm === entry.term) return;
-    throwIfBroken(
+    assertInvariant(
       knownTerm === undefined || entry.index > this._commitIndex,
       "a committed entry must not be replaced",
       { index: entry.index, commitIndex: this._commitIndex },
--- a/src/control/Leadership.ts
+++ b/src/control/Leadership.ts
@@ -216,7 +216,7 @@
     this.monitor.presence.update(now, presenceWindow, configuration.planning.maxWait);
     this.leases.removeExpired(now, lease);
     this.entries.removeUnleased(now, this.leases);
-    this.burn.removeOld(getMinute(this._options.clock.getWallMs()));
+    this.burn.removeExpired(getMinute(this._options.clock.getWallMs()));
   }
 
   private _reportLosses(): void {
--- a/src/declaration/Declaration.ts
+++ b/src/declaration/Declaration.ts
@@ -29,7 +29,7 @@
   /** Longest pause between two events of a stream that is in time; `undefined` when none is named. */
   readonly gapObjectiveMs: number | undefined;
   /** A caller that has heard nothing of a stream for so long leaves; `undefined` when that isn't known. */
-  readonly callerPatienceMs?: number | undefined;
+  readonly callerTimeoutMs?: number | undefined;
   /** Rank, 0 first. */
   readonly priority: number;
   readonly split: readonly SplitShare[];
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -140,7 +140,7 @@
     const probe = () => {
       const timing = view.configuration?.declared.timing;
       router.probe(timing?.presenceWindow ?? CONNECT_MS);
-      router.followCaches(timing?.presenceWindow ?? CONNECT_MS);
+      router.fetchCacheEvents(timing?.presenceWindow ?? CONNECT_MS);
       probeTimer = setTimeout(probe, timing?.probe ?? DEFAULT_PROBE_MS);
     };
     probe();
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -5,7 +5,7 @@
 import { Connections, listen } from "../http";
 import type { EntryLease } from "../leases";
 import type { LoadFacts } from "../policy";
-import { answerHealth } from "../process";
+import { handleHealthRequest } from "../process";
 import { createAnswerWriter, writeRefusal } from "./AnswerWriter";
 import type { Claims } from "./Claims";
 import type { ActiveConfiguration, ClusterView } from "./ClusterView";
@@ -123,7 +123,7 @@
 
   /** Answers what needs no endpoint. */
   private _answerQuestion(url: string, response: ServerResponse): boolean {
-    if (answerHealth(url, response, () => this.getUnreadyReason())) return true;
+    if (handleHealthRequest(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
     else if (url === "/v1/models") sendJson(response, this._createModels());
     else return false;
--- a/src/entry/ReplicaRouter.ts
+++ b/src/entry/ReplicaRouter.ts
@@ -22,7 +22,7 @@
   PrefixTable,
   type Work,
 } from "../routing";
-import { CacheFollower } from "./CacheFollower";
+import { CacheFollower } from "./CacheTracker";
 import type { ClusterView } from "./ClusterView";
 import { CHARACTERS_PER_TOKEN } from "./tokens";
 
@@ -88,7 +88,7 @@
   }
 
   /** Asks replicas what their prefix caches took in and gave up. */
-  followCaches(timeoutMs: number): void {
+  fetchCacheEvents(timeoutMs: number): void {
     for (const replica of this._view.getReplicas()) {
       const engine = this.getHeadEngine(replica);
       if (engine !== undefined) void this._caches.follow(replica.id, engine, timeoutMs);
@@ -129,12 +129,12 @@
   }
 
   /** Checks whether any replica of a model is open, with or without room. */
-  hasReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
+  hasRoutableReplica(now: number, model: string, excluded: ReadonlySet<string>): boolean {
     return this._getOpenReplicas(now, model).some((replica) => !excluded.has(replica.id));
   }
 
   /** Chooses a replica and notes the work there. */
-  startRoute(now: number, request: RouteRequest): Route | undefined {
+  placeRequest(now: number, request: RouteRequest): Route | undefined {
     const open = this._getOpenReplicas(now, request.model).filter(
       (replica) => !request.excluded.has(replica.id),
     );
--- a/src/entry/filters/Admission.ts
+++ b/src/entry/filters/Admission.ts
@@ -19,7 +19,7 @@
   /** Checks whether a target has any endpoint at all. */
   hasEndpoint(now: number, target: string): boolean;
   /** Code of the refusal when it has none. */
-  readonly absenceCode: RefusalCode;
+  readonly unavailableCode: RefusalCode;
 }
 
 interface Waiter {
@@ -180,7 +180,7 @@
 
   private _createAbsence<R>(request: ClassifiedRequest, placer: Placer<R>): Refusal {
     return new Refusal({
-      code: placer.absenceCode,
+      code: placer.unavailableCode,
       outcome: "not-run",
       reason: `nothing serves "${request.target}" now`,
       retryAfterMs: this.spread(ABSENCE_RETRY_MS),
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -123,9 +123,9 @@
   private _createPlacer(excluded: ReadonlySet<string>): Placer<Route> {
     const { router } = this._options;
     return {
-      absenceCode: "no_replica",
+      unavailableCode: "no_replica",
       tryPlace: (now, request) =>
-        router.startRoute(now, {
+        router.placeRequest(now, {
           model: request.target,
           promptTokens: request.promptTokens,
           cost: request.cost,
@@ -133,7 +133,7 @@
           excluded,
         }),
       getSlots: (now, target) => router.getSlots(now, target),
-      hasEndpoint: (now, target) => router.hasReplica(now, target, excluded),
+      hasEndpoint: (now, target) => router.hasRoutableReplica(now, target, excluded),
     };
   }
 
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -171,7 +171,7 @@
 
   private _createPlacer(active: ActiveConfiguration, excluded: ReadonlySet<string>): Placer<ServiceRoute> {
     return {
-      absenceCode: "no_endpoint",
+      unavailableCode: "no_endpoint",
       tryPlace: (now, request) => this._tryPlace(now, request, active, excluded),
       getSlots: (now, target) => {
         const endpoints = this._getOpenEndpoints(now, target, excluded);
--- a/src/errors/index.ts
+++ b/src/errors/index.ts
@@ -198,8 +198,8 @@
 }
 
 /** Throws a typed error when an invariant of our own does not hold. */
-export function throwIfBroken(holds: boolean, invariant: string, value: unknown): asserts holds {
-  if (!holds) throw new BrokenInvariant({ invariant, value });
+export function assertInvariant(condition: boolean, invariant: string, value: unknown): asserts condition {
+  if (!condition) throw new BrokenInvariant({ invariant, value });
 }
 
 /** A declaration that is refused whole. */
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -201,10 +201,7 @@
         arrivedAt: firstRequestedAt,
         objectiveMs: route.objectiveMs,
         deadlineAt,
-        callerTimeoutMs: Math.min(
-          deadlineAt - receivedAt,
-          route.callerPatienceMs ?? Number.POSITIVE_INFINITY,
-        ),
+        callerTimeoutMs: Math.min(deadlineAt - receivedAt, route.callerTimeoutMs ?? Number.POSITIVE_INFINITY),
       },
       this._cancellation.signal,
     );
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -8,14 +8,14 @@
 import { randomBytes } from "node:crypto";
 import { createServer } from "node:http";
 import { Effect, type Scope } from "effect";
-import { getProcessorMs, getSuspensionClock, LoopLag, pause, SystemClock } from "../clock";
+import { EventLoopLag, getProcessorMs, getSuspensionClock, pause, SystemClock } from "../clock";
 import { SeededRandom } from "../consensus";
 import { CrashLedger } from "../containment";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
 import type { ViewUpdate } from "../gen/ploverstage/v1/fleet_pb";
 import { HttpClient, listen, splitAddress } from "../http";
 import type { Logger, Metrics } from "../metrics";
-import { SuspensionWatch } from "../process";
+import { SuspensionMonitor } from "../process";
 import {
   CrashReporter,
   FollowedView,
@@ -197,11 +197,11 @@
     logger,
   });
   const reporter = new CrashReporter(ledger, watcher, logger);
-  const suspensions = new SuspensionWatch({
+  const suspensions = new SuspensionMonitor({
     clock: getSuspensionClock(),
     logger,
     metrics,
-    onWake: () => {
+    onResume: () => {
       server.endExpired();
       client.closeIdle();
       watcher.restart();
@@ -209,7 +209,7 @@
   });
   return {
     clock,
-    lag: new LoopLag(clock),
+    lag: new EventLoopLag(clock),
     client,
     server,
     watcher,
--- a/src/ids/Life.ts
+++ b/src/ids/Incarnation.ts
@@ -10,25 +10,25 @@
 import type { Brand } from "effect";
 
 /** An id and the start of one life under it. */
-export interface Life {
+export interface Incarnation {
   readonly instanceId: string;
   /** Unix milliseconds by the instance's own clock; 0 when it does not tell. */
   readonly born: number;
 }
 
 /** Text that names one life. */
-export type LifeKey = string & Brand.Brand<"LifeKey">;
+export type IncarnationKey = string & Brand.Brand<"LifeKey">;
 
 /** Parts an instance's id from the start of its life. */
 const SEPARATOR = "@";
 
 /** Gets the text that names a life; of an instance that does not tell its start it is its id. */
-export function getLifeKey({ instanceId, born }: Life): LifeKey {
-  return (born === 0 ? instanceId : `${instanceId}${SEPARATOR}${born}`) as LifeKey;
+export function getIncarnationKey({ instanceId, born }: Incarnation): IncarnationKey {
+  return (born === 0 ? instanceId : `${instanceId}${SEPARATOR}${born}`) as IncarnationKey;
 }
 
 /** Gets the life of an instance that a text names. */
-export function parseLifeKey(instanceId: string, key: string): Life {
+export function parseIncarnationKey(instanceId: string, key: string): Incarnation {
   if (key === instanceId) return { instanceId, born: 0 };
   return { instanceId, born: Number(key.slice(instanceId.length + SEPARATOR.length)) };
 }
--- a/src/ids/index.ts
+++ b/src/ids/index.ts
@@ -31,4 +31,4 @@
 /** Makes a request id from its text. */
 export const RequestId = Brand.nominal<RequestId>();
 
-export { getLifeKey, type Life, type LifeKey, parseLifeKey } from "./Life";
+export { getIncarnationKey, type Incarnation, type IncarnationKey, parseIncarnationKey } from "./Incarnation";
--- a/src/metrics/CallLoad.ts
+++ b/src/metrics/CallLoad.ts
@@ -34,13 +34,13 @@
   }
 
   /** Notes that a call has arrived. */
-  addBegun(call: string): void {
+  recordStart(call: string): void {
     const known = this._getFigures(call);
     this._figures.set(call, { ...known, begun: known.begun + 1 });
   }
 
   /** Notes what a call came to. */
-  addEnd(call: string, end: CallEnd, tookMs: number): void {
+  recordOutcome(call: string, end: CallEnd, tookMs: number): void {
     const known = this._getFigures(call);
     this._figures.set(call, {
       ...known,
@@ -52,7 +52,7 @@
   }
 
   /** Notes that a peer has opened a session. */
-  addSession(): void {
+  recordSession(): void {
     this._sessions += 1;
     this._metrics.increment("rpc_sessions", 1);
   }
--- a/src/metrics/Metrics.ts
+++ b/src/metrics/Metrics.ts
@@ -60,7 +60,7 @@
 }
 
 /** Metrics that go nowhere. */
-export class SilentMetrics implements Metrics {
+export class NoopMetrics implements Metrics {
   /** Drops a counter. */
   increment(): void {}
   /** Drops a gauge. */
--- a/src/metrics/TextMetrics.ts
+++ b/src/metrics/PrometheusMetrics.ts
@@ -8,7 +8,7 @@
 const BUCKETS_MS = [5, 10, 20, 50, 100, 150, 200, 300, 400, 600, 1_000, 2_000, 4_000, 8_000, 16_000];
 
 /** Metrics held in this process until they are fetched. */
-export class TextMetrics implements Metrics {
+export class PrometheusMetrics implements Metrics {
   private readonly _registry = new Registry();
   private readonly _counters = new Map<MetricName, Counter>();
   private readonly _gauges = new Map<MetricName, Gauge>();
@@ -71,7 +71,11 @@
 }
 
 /** Starts a server that gives the metrics at any path. */
-export async function startMetricsServer(metrics: TextMetrics, host: string, port: number): Promise<Server> {
+export async function startMetricsServer(
+  metrics: PrometheusMetrics,
+  host: string,
+  port: number,
+): Promise<Server> {
   const server = createServer((_request, response) => {
     void metrics.getText().then((text) => {
       response.writeHead(200, { "Content-Type": "text/plain; version=0.0.4" }).end(text);
--- a/src/process/HealthServer.ts
+++ b/src/process/HealthServer.ts
@@ -6,7 +6,7 @@
 export type ReadinessCheck = () => string | undefined;
 
 /** Answers a health path; gives whether the path was one. */
-export function answerHealth(
+export function handleHealthRequest(
   path: string | undefined,
   response: ServerResponse,
   check: ReadinessCheck,
@@ -24,7 +24,7 @@
 /** Starts a server for health alone. */
 export async function startHealthServer(address: string, check: ReadinessCheck): Promise<Server> {
   const server = createServer((request, response) => {
-    if (!answerHealth(request.url, response, check)) sendJson(response, 404, { error: "not found" });
+    if (!handleHealthRequest(request.url, response, check)) sendJson(response, 404, { error: "not found" });
   });
   await listen(server, address);
   return server;
--- a/src/process/LoadWatch.ts
+++ b/src/process/LoadWatch.ts
@@ -5,13 +5,13 @@
  * loop is long: it is the sum that is.
  */
 import { PerformanceObserver } from "node:perf_hooks";
-import { type Clock, getProcessorMs, type LoopLag } from "../clock";
+import { type Clock, type EventLoopLag, getProcessorMs } from "../clock";
 import type { CallLoad, Logger, Metrics } from "../metrics";
 
 /** What a watch works with. */
 export interface LoadWatchOptions {
   readonly clock: Clock;
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   readonly load: CallLoad;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/src/process/ProcessSignals.ts
+++ b/src/process/ProcessSignals.ts
@@ -31,7 +31,7 @@
   }
 
   /** Takes the signals of a process over, for good. */
-  static takeOver(source: SignalSource): ProcessSignals {
+  static install(source: SignalSource): ProcessSignals {
     const signals = new ProcessSignals();
     for (const signal of STOP_SIGNALS) source.on(signal, () => signals._addStop(signal));
     source.on(RELOAD_SIGNAL, () => {
--- a/src/process/SuspensionWatch.ts
+++ b/src/process/SuspensionMonitor.ts
@@ -13,24 +13,24 @@
 const TOLD_MS = 100;
 
 /** What a watch works with. */
-export interface SuspensionWatchOptions {
+export interface SuspensionMonitorOptions {
   readonly clock: SuspensionClock;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called after each wake. */
-  readonly onWake: () => void;
+  readonly onResume: () => void;
 }
 
 /** Watches for as long as it runs. */
-export class SuspensionWatch {
-  private readonly _options: SuspensionWatchOptions;
+export class SuspensionMonitor {
+  private readonly _options: SuspensionMonitorOptions;
   private _timer: NodeJS.Timeout | undefined;
   private _seenMs: number;
 
   /**
    * @param options - Clock, log and whom to tell.
    */
-  constructor(options: SuspensionWatchOptions) {
+  constructor(options: SuspensionMonitorOptions) {
     this._options = options;
     this._seenMs = options.clock.look();
   }
@@ -50,7 +50,7 @@
 
   /** Looks whether the machine was suspended since the last look. */
   look(): void {
-    const { clock, logger, metrics, onWake } = this._options;
+    const { clock, logger, metrics, onResume: onWake } = this._options;
     const totalMs = clock.look();
     const spanMs = Math.round(totalMs - this._seenMs);
     this._seenMs = totalMs;
--- a/src/process/index.ts
+++ b/src/process/index.ts
@@ -1,7 +1,7 @@
 /** What all processes share. */
-export { answerHealth, type ReadinessCheck, startHealthServer } from "./HealthServer";
-export { LoadWatch, type LoadWatchOptions } from "./LoadWatch";
+export { handleHealthRequest, type ReadinessCheck, startHealthServer } from "./HealthServer";
+export { LoadMonitor, type LoadMonitorOptions } from "./LoadMonitor";
 export { ProcessSignals, type SignalSource, type StopSignal } from "./ProcessSignals";
 export { reportResources } from "./reportResources";
 export { runProcess } from "./runProcess";
-export { SuspensionWatch, type SuspensionWatchOptions } from "./SuspensionWatch";
+export { SuspensionMonitor, type SuspensionMonitorOptions } from "./SuspensionMonitor";
--- a/src/registration/CommittedFacts.ts
+++ b/src/registration/CommittedFacts.ts
@@ -8,7 +8,7 @@
  */
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { type Declaration, type Replica, ReplicaPhase } from "../gen/ploverstage/v1/state_pb";
-import { getLifeKey, parseLifeKey } from "../ids";
+import { getIncarnationKey, parseIncarnationKey } from "../ids";
 import type { StateMachine } from "../state";
 
 /** The part of the committed state that is needed here. */
@@ -44,7 +44,7 @@
    */
   hasEnded(target: Target): boolean {
     const state = this._getState();
-    if (target.model === "") return state.hasDeparted(parseLifeKey(target.instanceId, target.id));
+    if (target.model === "") return state.hasDeparted(parseIncarnationKey(target.instanceId, target.id));
     const replica = state.getReplica(target.id);
     return replica !== undefined && hasReplicaEnded(state, replica);
   }
@@ -55,7 +55,7 @@
     const ended = state.getKnownReplicas().filter((replica) => hasReplicaEnded(state, replica));
     return [
       ...ended.map(({ id }) => id),
-      ...state.getDepartures().slice(-MAX_PUBLISHED_DEPARTURES).map(getLifeKey),
+      ...state.getDepartures().slice(-MAX_PUBLISHED_DEPARTURES).map(getIncarnationKey),
     ];
   }
 }
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -8,7 +8,7 @@
 import type { ConnectRouter } from "@connectrpc/connect";
 import { Effect, type Scope } from "effect";
 import { CallScheduler } from "../admission";
-import { getProcessorMs, getSuspensionClock, LoopLag, SystemClock } from "../clock";
+import { EventLoopLag, getProcessorMs, getSuspensionClock, SystemClock } from "../clock";
 import { createMembership, getVoterCount } from "../consensus";
 import { type DeclarationFormat, RouteTable, unpackDocument } from "../declaration";
 import { splitAddress } from "../http";
@@ -28,7 +28,7 @@
   serveRpc,
 } from "../membership";
 import { CallLoad, type Logger, type Metrics, WorkMeter } from "../metrics";
-import { LoadWatch, SuspensionWatch } from "../process";
+import { LoadMonitor, SuspensionMonitor } from "../process";
 import { createCallCounter, TransportPool } from "../rpc";
 import type { FleetControlSettings, LiveSettings } from "../settings";
 import { ControlCallCounter } from "./ControlCallCounter";
@@ -104,7 +104,7 @@
     const loopLag = yield* Effect.acquireRelease(
       Effect.sync(
         () =>
-          new LoopLag(clock, ({ lagMs, cpuMs }) =>
+          new EventLoopLag(clock, ({ lagMs, cpuMs }) =>
             logger.warn({
               event: "process_stalled",
               lag_ms: Math.round(lagMs),
@@ -155,13 +155,13 @@
     const callOrder = new CallScheduler(options.metrics);
     yield* Effect.acquireRelease(
       Effect.sync(
-        () => new LoadWatch({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
+        () => new LoadMonitor({ clock, lag: loopLag, load: callLoad, logger, metrics: options.metrics }),
       ),
       (started) => Effect.sync(() => started.stop()),
     );
     const serverOptions = {
       interceptors: [createCallCounter(callLoad, clock)],
-      onSession: () => callLoad.addSession(),
+      onSession: () => callLoad.recordSession(),
       calls: callOrder,
     };
     const addRoutes = (router: ConnectRouter) => {
@@ -189,11 +189,11 @@
       Effect.sync(() => relay.start()),
       () => Effect.sync(() => relay.stop()),
     );
-    const suspensionWatch = new SuspensionWatch({
+    const suspensionWatch = new SuspensionMonitor({
       clock: getSuspensionClock(),
       logger,
       metrics: options.metrics,
-      onWake: () => relay.restart(),
+      onResume: () => relay.restart(),
     });
     yield* Effect.acquireRelease(
       Effect.sync(() => suspensionWatch.start()),
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -1,7 +1,7 @@
 /** The part of a control process with registered instances that exists only while the process leads. */
 
 import { create } from "@bufbuild/protobuf";
-import type { Clock, LoopLag } from "../clock";
+import type { Clock, EventLoopLag } from "../clock";
 import { type ConsensusDriver, getVoters } from "../consensus";
 import type { RouteTable } from "../declaration";
 import {
@@ -18,7 +18,7 @@
   type Replica,
   ReplicaPhase,
 } from "../gen/ploverstage/v1/state_pb";
-import { getLifeKey, type Life } from "../ids";
+import { getIncarnationKey, type Incarnation } from "../ids";
 import type { Logger, Metrics, WorkMeter } from "../metrics";
 import { CommittedFacts } from "./CommittedFacts";
 import { CrashRegistry } from "./CrashRegistry";
@@ -45,7 +45,7 @@
   readonly metrics: Metrics;
   readonly meter: WorkMeter;
   /** Measures the event loop lag of this process. */
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   /** Whether this process takes part in the first start of the whole system. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
@@ -94,7 +94,7 @@
     this._crashes = new CrashRegistry(options);
     const listener = {
       onConflict: (conflict: AddressConflict) => this._logConflict(conflict),
-      onEnd: (life: Life, ground: IncarnationEndReason) => this._logIncarnationEnd(life, ground),
+      onEnd: (life: Incarnation, ground: IncarnationEndReason) => this._logIncarnationEnd(life, ground),
     };
     this._registry = new InstanceRegistry(listener, (instanceId) => this._getCommittedStartTime(instanceId));
     this._controller = new ReplicaController({
@@ -126,7 +126,7 @@
   async addReports(reports: readonly InstanceReport[]): Promise<void> {
     const now = this._options.clock.getMonotonicMs();
     const { machine } = this._options.driver;
-    const departing: Life[] = [];
+    const departing: Incarnation[] = [];
     this._options.meter.measure("reports", reports.length, () => {
       for (const report of reports) {
         if (report.deregistered || report.leaving) departing.push(this._getDepartingIncarnation(report));
@@ -144,7 +144,10 @@
         atMs: this._options.clock.getWallMs(),
       },
     });
-    this._options.logger.info({ event: "departures_recorded", instances: incarnations.map(getLifeKey) });
+    this._options.logger.info({
+      event: "departures_recorded",
+      instances: incarnations.map(getIncarnationKey),
+    });
     this._publish();
   }
 
@@ -152,7 +155,7 @@
    * Gets the incarnation that departs. An instance may deregister with its id alone: then it is the
    * incarnation registered under that id.
    */
-  private _getDepartingIncarnation({ instanceId, born }: InstanceReport): Life {
+  private _getDepartingIncarnation({ instanceId, born }: InstanceReport): Incarnation {
     const registeredBorn = this._registry.getInstance(instanceId)?.report.born ?? 0;
     return { instanceId, born: born === 0 ? registeredBorn : born };
   }
@@ -169,7 +172,7 @@
     return Math.max(0, ...incarnations.map(({ born }) => born));
   }
 
-  private _logIncarnationEnd({ instanceId, born }: Life, cause: IncarnationEndReason): void {
+  private _logIncarnationEnd({ instanceId, born }: Incarnation, cause: IncarnationEndReason): void {
     this._options.metrics.increment("instance_lives_ended", 1, { ground: cause });
     this._options.logger.info({ event: "life_ended", instance: instanceId, born, ground: cause });
   }
@@ -428,7 +431,7 @@
 function createPlainTarget({ report }: RegisteredInstance): Target {
   return create(TargetSchema, {
     // Each incarnation is a separate target: what entries observed of an earlier one does not apply to it.
-    id: getLifeKey(report),
+    id: getIncarnationKey(report),
     service: report.service,
     model: "",
     instanceId: report.instanceId,
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from "../clock";
 import type { InstanceReport } from "../gen/ploverstage/v1/fleet_pb";
-import type { Life } from "../ids";
+import type { Incarnation } from "../ids";
 import type { Logger } from "../metrics";
 import type { InstanceOrders, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
@@ -88,9 +88,9 @@
   private _getConflicts(
     members: readonly OrderReceiver[],
     engineServices: ReadonlySet<string>,
-  ): ReadonlyMap<string, readonly Life[]> {
+  ): ReadonlyMap<string, readonly Incarnation[]> {
     const { registry } = this._options;
-    const conflicts = new Map<string, readonly Life[]>();
+    const conflicts = new Map<string, readonly Incarnation[]>();
     for (const { address, claimants } of registry.getConflicts()) {
       if (!claimants.some(({ report }) => engineServices.has(report.service))) continue;
       conflicts.set(address, registry.getClaimants(address));
@@ -106,7 +106,11 @@
   /**
    * Queries one claimant at a time: the answer shows whether this claimant has ended or all the others have.
    */
-  private async _queryIdentity(now: number, address: string, claimants: readonly Life[]): Promise<void> {
+  private async _queryIdentity(
+    now: number,
+    address: string,
+    claimants: readonly Incarnation[],
+  ): Promise<void> {
     const { registry, orders, clock, logger } = this._options;
     const count = this._queries.get(address)?.count ?? 0;
     const { instanceId, born } = claimants[count % claimants.length]!;
--- a/src/registration/InstanceOrders.ts
+++ b/src/registration/InstanceOrders.ts
@@ -1,8 +1,8 @@
 /** Orders from the leader to the instances of replicas. */
-import type { Life } from "../ids";
+import type { Incarnation } from "../ids";
 
 /** The receiver of an order. An engine distinguishes incarnations only by address and id. */
-export interface OrderReceiver extends Life {
+export interface OrderReceiver extends Incarnation {
   /** host:port */
   readonly address: string;
 }
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -15,7 +15,7 @@
  * Performs no I/O; the caller passes times in monotonic milliseconds.
  */
 import type { InstanceReport, InstanceSign } from "../gen/ploverstage/v1/fleet_pb";
-import { getLifeKey, type Life, type LifeKey } from "../ids";
+import { getIncarnationKey, type Incarnation, type IncarnationKey } from "../ids";
 import { hasSameContent } from "./reportContent";
 
 /** One registered instance, in its current incarnation. */
@@ -47,7 +47,7 @@
   /** Called when an instance first reports an address that another instance claims. */
   onConflict?(conflict: AddressConflict): void;
   /** Called when the registry starts to treat an incarnation as ended. */
-  onEnd?(incarnation: Life, reason: IncarnationEndReason): void;
+  onEnd?(incarnation: Incarnation, reason: IncarnationEndReason): void;
 }
 
 /**
@@ -76,7 +76,7 @@
    * until then.
    */
   private readonly _conflicts = new Map<string, number | undefined>();
-  private readonly _ended = new Set<LifeKey>();
+  private readonly _ended = new Set<IncarnationKey>();
   private readonly _listener: RegistryListener;
   private readonly _getCommittedStartTime: (instanceId: string) => number;
   private _revision = 0;
@@ -120,8 +120,8 @@
    * Checks whether an incarnation counts as ended: another instance answered at its address, or a newer
    * incarnation started.
    */
-  hasEnded(incarnation: Life): boolean {
-    if (this._ended.has(getLifeKey(incarnation))) return true;
+  hasEnded(incarnation: Incarnation): boolean {
+    if (this._ended.has(getIncarnationKey(incarnation))) return true;
     const current = this._instances.get(incarnation.instanceId)?.report;
     return current !== undefined && incarnation.born > 0 && current.born > incarnation.born;
   }
@@ -133,7 +133,7 @@
   }
 
   /** Gets the instances that claim an address, in the order of their first reports. */
-  getClaimants(address: string): Life[] {
+  getClaimants(address: string): Incarnation[] {
     return [...(this._claims.get(address) ?? [])].map((id) => this._instances.get(id)!.report);
   }
 
@@ -147,7 +147,7 @@
    * @param at - When the report arrived, at this process or at its relay.
    */
   addReport(at: number, report: InstanceReport): ReportOutcome {
-    if (this._ended.has(getLifeKey(report))) return "ended";
+    if (this._ended.has(getIncarnationKey(report))) return "ended";
     const current = this._instances.get(report.instanceId);
     const newestStartTime = current?.report.born ?? this._getCommittedStartTime(report.instanceId);
     if (report.born < newestStartTime) return this._addOlderReport(at, report);
@@ -162,7 +162,7 @@
    */
   addHeartbeat(at: number, heartbeat: InstanceSign): HeartbeatOutcome {
     const { instanceId: id, sequence, contentSequence } = heartbeat;
-    if (this._ended.has(getLifeKey(heartbeat))) return "ended";
+    if (this._ended.has(getIncarnationKey(heartbeat))) return "ended";
     const current = this._instances.get(id);
     if (current !== undefined && heartbeat.born < current.report.born)
       return this._addOlderHeartbeat(at, heartbeat);
@@ -180,9 +180,9 @@
   }
 
   /** Records that another instance answered at the address of an incarnation, which has therefore ended. */
-  markEnded(incarnation: Life): void {
-    if (this._ended.has(getLifeKey(incarnation))) return;
-    this._ended.add(getLifeKey(incarnation));
+  markEnded(incarnation: Incarnation): void {
+    if (this._ended.has(getIncarnationKey(incarnation))) return;
+    this._ended.add(getIncarnationKey(incarnation));
     this._listener.onEnd?.(incarnation, "answeredByAnother");
     if (this._instances.get(incarnation.instanceId)?.report.born === incarnation.born)
       this._remove(incarnation.instanceId);
@@ -205,7 +205,7 @@
    * @param askedAt - When the query was sent. If the older incarnation answered, a newer one that was
    * reported before the query has ended, since only one runs at a time.
    */
-  confirmIncarnation(askedAt: number, { instanceId, born }: Life): void {
+  confirmIncarnation(askedAt: number, { instanceId, born }: Incarnation): void {
     const older = this._olderIncarnations.get(instanceId);
     // Without a start time the answer does not identify an incarnation.
     if (older === undefined || born === 0) return;
@@ -305,13 +305,13 @@
     const newer = this._instances.get(report.instanceId);
     if (newer !== undefined) this._endIncarnation(newer.report, reason);
     this._olderIncarnations.delete(report.instanceId);
-    this._ended.delete(getLifeKey(report));
+    this._ended.delete(getIncarnationKey(report));
     this._storeReport(reportedAt, report);
   }
 
   /** Only an answer shuts out an incarnation permanently; its start time or missing heartbeats do not. */
-  private _endIncarnation(incarnation: Life, reason: IncarnationEndReason): void {
-    if (reason === "olderLifeAnswered") this._ended.add(getLifeKey(incarnation));
+  private _endIncarnation(incarnation: Incarnation, reason: IncarnationEndReason): void {
+    if (reason === "olderLifeAnswered") this._ended.add(getIncarnationKey(incarnation));
     this._remove(incarnation.instanceId);
     this._listener.onEnd?.(incarnation, reason);
   }
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -3,7 +3,7 @@
  * answer, and with no more model loads than the weight store can serve.
  */
 import { type Clock, TurnQueue } from "../clock";
-import { getLifeKey, type Life, type LifeKey } from "../ids";
+import { getIncarnationKey, type Incarnation, type IncarnationKey } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import { type LoadLimit, LoadLimiter } from "./LoadLimiter";
@@ -17,7 +17,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called with an incarnation that has ended: another instance answered at its address. */
-  readonly onEnd: (life: Life) => void;
+  readonly onEnd: (life: Incarnation) => void;
   /** Gets the limit in force; `undefined` while the weight store does not count loads. */
   readonly getLoadLimit: () => LoadLimit | undefined;
 }
@@ -58,10 +58,10 @@
   /**
    * Keyed by incarnation: an instance that restarted has not received the orders of its earlier incarnation.
    */
-  private readonly _busy = new Set<LifeKey>();
-  private readonly _staging = new Map<LifeKey, Staging>();
+  private readonly _busy = new Set<IncarnationKey>();
+  private readonly _staging = new Map<IncarnationKey, Staging>();
   /** When an instance was last ordered to load a model. */
-  private readonly _loadOrderedAt = new Map<LifeKey, number>();
+  private readonly _loadOrderedAt = new Map<IncarnationKey, number>();
   private _completedCount = 0;
   private _fence: number;
 
@@ -76,16 +76,17 @@
   }
 
   /** Checks whether an order to an instance is in progress. */
-  isBusy(life: Life): boolean {
-    return this._busy.has(getLifeKey(life));
+  isBusy(life: Incarnation): boolean {
+    return this._busy.has(getIncarnationKey(life));
   }
 
   /**
    * Checks whether an instance was ordered to load so recently that it may not have reported the load yet.
    */
-  hasRecentLoadOrder(now: number, life: Life): boolean {
+  hasRecentLoadOrder(now: number, life: Incarnation): boolean {
     return (
-      now - (this._loadOrderedAt.get(getLifeKey(life)) ?? Number.NEGATIVE_INFINITY) < MAX_LOAD_REPORT_DELAY_MS
+      now - (this._loadOrderedAt.get(getIncarnationKey(life)) ?? Number.NEGATIVE_INFINITY) <
+      MAX_LOAD_REPORT_DELAY_MS
     );
   }
 
@@ -93,8 +94,8 @@
    * Gets the model that an instance is loading in advance.
    * @param staged - Models that the instance reports as staged.
    */
-  getStagingModel(now: number, life: Life, staged: readonly string[]): string | undefined {
-    const staging = this._staging.get(getLifeKey(life));
+  getStagingModel(now: number, life: Incarnation, staged: readonly string[]): string | undefined {
+    const staging = this._staging.get(getIncarnationKey(life));
     if (staging === undefined || staging.until <= now || staged.includes(staging.model)) return undefined;
     return staging.model;
   }
@@ -118,7 +119,7 @@
     const now = this._options.clock.getMonotonicMs();
     if (!this._isDue(now, receiver, order)) return undefined;
     if (!this._limiter.tryAddLoad(now, this._options.getLoadLimit())) return undefined;
-    const key = getLifeKey(receiver);
+    const key = getIncarnationKey(receiver);
     this._loadOrderedAt.set(key, now);
     if (order.kind !== "stage") return this._send(now, receiver, order);
     this._staging.set(key, { model: order.model, until: now + MAX_STAGING_MS });
@@ -127,7 +128,7 @@
     return outcome;
   }
 
-  private _isDue(now: number, life: Life, order: InstanceOrder): boolean {
+  private _isDue(now: number, life: Incarnation, order: InstanceOrder): boolean {
     if (this.isBusy(life)) return false;
     const sentAt = this._sentAt.get(getOrderKey(life, order));
     return sentAt === undefined || now - sentAt >= RESEND_DELAY_MS;
@@ -136,14 +137,14 @@
   private async _send(now: number, receiver: OrderReceiver, order: InstanceOrder): Promise<OrderOutcome> {
     const { clock, orders, logger, metrics } = this._options;
     const { instanceId } = receiver;
-    const key = getLifeKey(receiver);
+    const key = getIncarnationKey(receiver);
     this._busy.add(key);
     this._sentAt.set(getOrderKey(receiver, order), now);
     // The token increases with each order and term, so that engines refuse orders that arrive late or come
     // from a deposed leader.
     this._fence += 1;
     const fence = this._fence;
-    await this._turns.enter();
+    await this._turns.waitForTurn();
     const outcome = await orders.send(receiver, order, fence);
     this._busy.delete(key);
     this._completedCount += 1;
@@ -155,7 +156,7 @@
   }
 }
 
-function getOrderKey(life: Life, order: InstanceOrder): string {
+function getOrderKey(life: Incarnation, order: InstanceOrder): string {
   const subject = order.kind === "stage" ? order.model : `${order.replicaId}/${order.epoch}`;
-  return `${getLifeKey(life)}/${order.kind}/${subject}`;
+  return `${getIncarnationKey(life)}/${order.kind}/${subject}`;
 }
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -18,7 +18,7 @@
   InstanceReport,
 } from "../gen/ploverstage/v1/fleet_pb";
 import type { Declaration as CommittedDeclaration } from "../gen/ploverstage/v1/state_pb";
-import type { Life } from "../ids";
+import type { Incarnation } from "../ids";
 import type { Logger, Metrics } from "../metrics";
 import { CallTrace, type LeaderClient } from "../rpc";
 import type { ControlCallCounter } from "./ControlCallCounter";
@@ -36,7 +36,7 @@
    * Checks whether an incarnation has departed, according to the committed state that this process has
    * applied.
    */
-  readonly hasDeparted: (incarnation: Life) => boolean;
+  readonly hasDeparted: (incarnation: Incarnation) => boolean;
   /** Checks whether this process had contact with a leader recently enough to accept reports for it. */
   readonly hasLeaderContact: () => boolean;
   /** Gets the entries that callers may use; without a current list, the last known entries. */
@@ -168,7 +168,7 @@
       bytes: document.length,
       took_ms: this._getElapsedMs(receivedAt),
       leader: trace.lastAddress,
-      tries: trace.tries,
+      tries: trace.attemptCount,
       failures: trace.getFailures(),
     });
     const { logger, metrics } = this._options;
@@ -195,7 +195,7 @@
       this._options.logger.warn({
         event: "declaration_unread",
         took_ms: this._getElapsedMs(receivedAt),
-        tries: trace.tries,
+        tries: trace.attemptCount,
         failures: trace.getFailures(),
         reason: String(cause),
       });
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -4,7 +4,7 @@
  *
  * A controller exists only while this process leads. It receives all data on instances from their reports.
  */
-import type { Clock, LoopLag } from "../clock";
+import type { Clock, EventLoopLag } from "../clock";
 import type { ConsensusDriver } from "../consensus";
 import type { RouteTable } from "../declaration";
 import { PlaceState } from "../gen/ploverstage/v1/fleet_pb";
@@ -45,7 +45,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Measures how late the timers of this process run. */
-  readonly lag: LoopLag;
+  readonly lag: EventLoopLag;
   /** Whether this process was started together with the whole system, for the first time. */
   readonly isFirstStart: boolean;
   readonly getTimes: () => ReplicaTimes;
--- a/src/registration/ReportRelay.ts
+++ b/src/registration/ReportRelay.ts
@@ -12,7 +12,7 @@
   type InstanceSign,
   InstanceSignSchema,
 } from "../gen/ploverstage/v1/fleet_pb";
-import { getLifeKey, type Life, type LifeKey } from "../ids";
+import { getIncarnationKey, type Incarnation, type IncarnationKey } from "../ids";
 import { hasSameContent } from "./reportContent";
 
 /** The reports and heartbeats of one request to the leader. */
@@ -43,7 +43,7 @@
 /** The reports that one process relays. */
 export class ReportRelay {
   /** If several incarnations of one id report, each is relayed: the leader finds out which of them runs. */
-  private readonly _incarnations = new Map<LifeKey, RelayedIncarnation>();
+  private readonly _incarnations = new Map<IncarnationKey, RelayedIncarnation>();
   private _term = 0;
 
   /**
@@ -51,7 +51,7 @@
    * @returns Whether the leader needs the report in full.
    */
   addReport(now: number, report: InstanceReport): boolean {
-    const key = getLifeKey(report);
+    const key = getIncarnationKey(report);
     const previous = this._incarnations.get(key);
     if (previous !== undefined && report.sequence <= previous.report.sequence) return false;
     const sent =
@@ -69,8 +69,8 @@
   }
 
   /** Removes an incarnation that departs. */
-  removeIncarnation(incarnation: Life): void {
-    this._incarnations.delete(getLifeKey(incarnation));
+  removeIncarnation(incarnation: Incarnation): void {
+    this._incarnations.delete(getIncarnationKey(incarnation));
   }
 
   /** Checks whether any report has yet to be sent in full. */
@@ -108,9 +108,9 @@
 
   /** Puts a batch back that may not have reached the leader. */
   restoreBatch({ reports, signs }: RelayBatch): void {
-    for (const report of reports) this._markUnsent(getLifeKey(report));
+    for (const report of reports) this._markUnsent(getIncarnationKey(report));
     // The leader still has the full reports that earlier batches contained.
-    for (const heartbeat of signs) this._markHeartbeatUnsent(getLifeKey(heartbeat));
+    for (const heartbeat of signs) this._markHeartbeatUnsent(getIncarnationKey(heartbeat));
   }
 
   /**
@@ -129,13 +129,13 @@
       if (unknown.has(report.instanceId)) this._markUnsent(key);
   }
 
-  private _markHeartbeatUnsent(key: LifeKey): void {
+  private _markHeartbeatUnsent(key: IncarnationKey): void {
     const relayed = this._incarnations.get(key);
     if (relayed?.sent === undefined) return;
     this._incarnations.set(key, { ...relayed, sent: { ...relayed.sent, newest: NO_SEQUENCE } });
   }
 
-  private _markUnsent(key: LifeKey): void {
+  private _markUnsent(key: IncarnationKey): void {
     const relayed = this._incarnations.get(key);
     if (relayed !== undefined) this._incarnations.set(key, { ...relayed, sent: undefined });
   }
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -13,7 +13,7 @@
   type ViewUpdate,
 } from "../gen/ploverstage/v1/fleet_pb";
 import type { Logger } from "../metrics";
-import { LEADER_HEADER, SearchPause, type TransportPool } from "../rpc";
+import { LEADER_HEADER, SearchBackoff, type TransportPool } from "../rpc";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
 /** Options of a watcher. */
@@ -128,7 +128,7 @@
 
   /** Follows the view until the watcher is stopped. */
   async run(): Promise<void> {
-    const search = new SearchPause();
+    const search = new SearchBackoff();
     while (!this._isStopped) {
       if (this._currentAddress === "") this._currentAddress = this._getCandidates()[0] ?? "";
       if (this._currentAddress === "" || this._options.isEnabled?.() === false) {
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -44,7 +44,7 @@
   const relayTurns = new TurnQueue(RELAYS_PER_TURN);
   const addReport = (request: ReportRequest) => {
     const answer = guard.propose(async (leadership) => {
-      await relayTurns.enter();
+      await relayTurns.waitForTurn();
       const unknownInstanceIds = await leadership.addRelayedReports(request);
       return { term: leadership.term, unknownInstanceIds };
     });
--- a/src/registration/watchView.ts
+++ b/src/registration/watchView.ts
@@ -94,7 +94,7 @@
     while (!signal.aborted) {
       const isDue = clock.getMonotonicMs() - sentAt >= WATCH_HEARTBEAT_MS;
       const isUrgent = state.hasUrgentUpdate(getSource());
-      if (isUrgent && request.entry !== undefined) await hub.turns.enter();
+      if (isUrgent && request.entry !== undefined) await hub.turns.waitForTurn();
       const source = getSource();
       // The caller may have disconnected while its update was queued.
       if (source === undefined || signal.aborted) return;
--- a/src/rpc/CallTrace.ts
+++ b/src/rpc/CallTrace.ts
@@ -7,7 +7,7 @@
   private _lastAddress = "";
 
   /** Gets how many processes were asked, each as often as it was. */
-  get tries(): number {
+  get attemptCount(): number {
     return this._tries;
   }
 
--- a/src/rpc/LeaderClient.ts
+++ b/src/rpc/LeaderClient.ts
@@ -10,7 +10,7 @@
 import { type Clock, pause } from "../clock";
 import { UnreachableControl } from "../errors";
 import { CallTrace } from "./CallTrace";
-import { SearchPause } from "./SearchPause";
+import { SearchBackoff } from "./SearchBackoff";
 import type { TransportPool } from "./TransportPool";
 
 /** Header in which a process that doesn't lead names the one that does. */
@@ -61,7 +61,7 @@
   async call<R>(call: LeaderCall<S, R>, totalMs: number, trace = new CallTrace()): Promise<R> {
     const endAt = this._options.clock.getMonotonicMs() + totalMs;
     let reason = "none was asked";
-    const search = new SearchPause();
+    const search = new SearchBackoff();
     let failedLeader = "";
     for (;;) {
       const leftMs = endAt - this._options.clock.getMonotonicMs();
--- a/src/rpc/GuardedSessionManager.ts
+++ b/src/rpc/ReconnectingSessionManager.ts
@@ -11,7 +11,7 @@
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { widenWindow } from "./flowControl";
-import type { SessionPings } from "./SessionPings";
+import type { SessionPings } from "./SessionPinger";
 
 type TransportOptions = Extract<Parameters<typeof createConnectTransport>[0], { httpVersion: "2" }>;
 /** What a transport asks of whoever opens its sessions. */
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -17,7 +17,7 @@
 import { listen } from "../http";
 import { getCallClass } from "./callClasses";
 import { SESSION_SETTINGS, widenWindow } from "./flowControl";
-import { SessionPings } from "./SessionPings";
+import { SessionPings } from "./SessionPinger";
 
 /** What a server serves, and to whom. */
 export interface RpcServerOptions {
--- a/src/rpc/SearchPause.ts
+++ b/src/rpc/SearchBackoff.ts
@@ -18,7 +18,7 @@
 const MAX_LATE_ROUND_MS = 800;
 
 /** The pauses of one search. */
-export class SearchPause {
+export class SearchBackoff {
   private _failures = 0;
   private _roundMs = FIRST_ROUND_MS;
 
--- a/src/rpc/TransportPool.ts
+++ b/src/rpc/TransportPool.ts
@@ -7,7 +7,7 @@
 import type { Transport } from "@connectrpc/connect";
 import { SystemClock } from "../clock";
 import { createRpcTransport } from "./createRpcTransport";
-import { SessionPings } from "./SessionPings";
+import { SessionPings } from "./SessionPinger";
 
 /** Opened transports by the address of the peer. */
 export class TransportPool {
--- a/src/rpc/callCounter.ts
+++ b/src/rpc/callCounter.ts
@@ -8,17 +8,17 @@
   return (next) => async (request) => {
     const call = request.method.name;
     const startedAt = clock.getMonotonicMs();
-    load.addBegun(call);
+    load.recordStart(call);
     const getEnd = (hasFailed: boolean) => {
       if (request.signal.aborted) return "gone";
       return hasFailed ? "failed" : "answered";
     };
     try {
       const response = await next(request);
-      load.addEnd(call, getEnd(false), clock.getMonotonicMs() - startedAt);
+      load.recordOutcome(call, getEnd(false), clock.getMonotonicMs() - startedAt);
       return response;
     } catch (cause) {
-      load.addEnd(call, getEnd(true), clock.getMonotonicMs() - startedAt);
+      load.recordOutcome(call, getEnd(true), clock.getMonotonicMs() - startedAt);
       throw cause;
     }
   };
--- a/src/rpc/createRpcTransport.ts
+++ b/src/rpc/createRpcTransport.ts
@@ -3,9 +3,9 @@
 import { createConnectTransport, Http2SessionManager } from "@connectrpc/connect-node";
 import { SystemClock } from "../clock";
 import { SESSION_SETTINGS } from "./flowControl";
-import { GuardedSessionManager } from "./GuardedSessionManager";
 import { openSocket } from "./openSocket";
-import { SessionPings } from "./SessionPings";
+import { GuardedSessionManager } from "./ReconnectingSessionManager";
+import { SessionPings } from "./SessionPinger";
 import { createSecretSender } from "./secrets";
 
 /** A session without calls is closed after this time, milliseconds. */
--- a/src/rpc/index.ts
+++ b/src/rpc/index.ts
@@ -5,6 +5,6 @@
 export { createRpcTransport } from "./createRpcTransport";
 export { createLeaderRefusal, LEADER_HEADER, LeaderClient, type LeaderClientOptions } from "./LeaderClient";
 export { RpcServer, type RpcServerOptions } from "./RpcServer";
-export { SearchPause } from "./SearchPause";
+export { SearchBackoff } from "./SearchBackoff";
 export { createSecretGuard, createSecretSender } from "./secrets";
 export { TransportPool } from "./TransportPool";
--- a/src/state/StateMachine.ts
+++ b/src/state/StateMachine.ts
@@ -33,7 +33,7 @@
   type State,
   StateSchema,
 } from "../gen/ploverstage/v1/state_pb";
-import { getLifeKey, type Life, type LifeKey } from "../ids";
+import { getIncarnationKey, type Incarnation, type IncarnationKey } from "../ids";
 import { ClaimQueue } from "./ClaimQueue";
 import type { CommandResult } from "./CommandResult";
 
@@ -50,7 +50,7 @@
 export class StateMachine {
   private readonly _state: State;
   private readonly _claimQueue: ClaimQueue;
-  private readonly _departures: Map<LifeKey, Departure>;
+  private readonly _departures: Map<IncarnationKey, Departure>;
   private readonly _crashTable = new CrashTable(MAX_CRASH_RECORDS);
   private _crashIndex = 0;
 
@@ -61,7 +61,9 @@
     this._state =
       snapshot === undefined ? create(StateSchema, { nextEpoch: 1 }) : fromBinary(StateSchema, snapshot);
     this._claimQueue = new ClaimQueue(Object.values(this._state.claims));
-    this._departures = new Map(this._state.departures.map((departure) => [getLifeKey(departure), departure]));
+    this._departures = new Map(
+      this._state.departures.map((departure) => [getIncarnationKey(departure), departure]),
+    );
     for (const record of this._state.crashRecords) {
       this._crashTable.addRecord(record);
       this._crashIndex = Math.max(this._crashIndex, record.changedAtIndex);
@@ -132,16 +134,16 @@
    * Checks whether an incarnation of an instance reported its departure. A departure without a start time
    * covers every incarnation that started before the departure was recorded.
    */
-  hasDeparted(incarnation: Life): boolean {
-    if (this._departures.has(getLifeKey(incarnation))) return true;
+  hasDeparted(incarnation: Incarnation): boolean {
+    if (this._departures.has(getIncarnationKey(incarnation))) return true;
     const undatedDeparture = this._departures.get(
-      getLifeKey({ instanceId: incarnation.instanceId, born: 0 }),
+      getIncarnationKey({ instanceId: incarnation.instanceId, born: 0 }),
     );
     return undatedDeparture !== undefined && incarnation.born <= undatedDeparture.atMs;
   }
 
   /** Gets the incarnations that reported their departure, limited to the newest ones. */
-  getDepartures(): Life[] {
+  getDepartures(): Incarnation[] {
     return [...this._departures.values()];
   }
 
@@ -360,12 +362,12 @@
     const atMs = this._advanceClock(record.atMs);
     for (const { instanceId, born } of record.lives) {
       const departure = create(DepartureSchema, { instanceId, born, logIndex: index, atMs });
-      if (this._departures.has(getLifeKey(departure))) continue;
-      this._departures.set(getLifeKey(departure), departure);
+      if (this._departures.has(getIncarnationKey(departure))) continue;
+      this._departures.set(getIncarnationKey(departure), departure);
       this._state.departures.push(departure);
     }
     while (this._state.departures.length > MAX_DEPARTURES) {
-      this._departures.delete(getLifeKey(this._state.departures.shift()!));
+      this._departures.delete(getIncarnationKey(this._state.departures.shift()!));
     }
     return { kind: "recordedDepartures" };
   }
--- a/standin/ServiceStandin.ts
+++ b/standin/ServiceStandin.ts
@@ -9,9 +9,9 @@
   readonly id: string;
   address = "";
   /** Runs a call, then closes without an answer. */
-  losesAnswers = false;
+  dropsAnswers = false;
   /** Breaks off in the middle of an answer. */
-  cutsAnswers = false;
+  truncatesAnswers = false;
   private _server: Server | undefined;
 
   private constructor(id: string) {
@@ -23,11 +23,11 @@
     const standin = new ServiceStandin(id);
     const { server, address } = await startServer((request, response, body) => {
       standin.ran.push(`${request.method} ${request.url} ${body}`);
-      if (standin.losesAnswers) {
+      if (standin.dropsAnswers) {
         response.destroy();
         return;
       }
-      if (standin.cutsAnswers) {
+      if (standin.truncatesAnswers) {
         response.writeHead(200, { "content-length": "1000" });
         response.write("half", () => response.destroy());
         return;
--- a/test/burn/burn.test.ts
+++ b/test/burn/burn.test.ts
@@ -94,7 +94,7 @@
     record(recorder, 0, 1, 0);
     const store = new BurnStore();
     store.setWindows(EntryId("a"), recorder.takeChanged(NOW, true));
-    store.removeOld(NOW / MINUTE + HELD_MINUTES + 1);
+    store.removeExpired(NOW / MINUTE + HELD_MINUTES + 1);
     expect(store.getMerged()).toEqual([]);
   });
 });
--- a/test/clock/SuspensionClock.test.ts
+++ b/test/clock/SuspensionClock.test.ts
@@ -10,8 +10,8 @@
 import { beforeEach, describe, expect, it } from "vitest";
 import { loadBootTime, SuspensionClock } from "../../src/clock";
 import { MissingBootTime } from "../../src/errors";
-import { SilentMetrics } from "../../src/metrics";
-import { SuspensionWatch } from "../../src/process";
+import { NoopMetrics } from "../../src/metrics";
+import { SuspensionMonitor } from "../../src/process";
 
 const START_WALL_MS = 1_700_000_000_000;
 
@@ -139,11 +139,11 @@
     const lines: object[] = [];
     const logger = { warn: (line: object) => lines.push(line) } as never;
     let wakes = 0;
-    const watch = new SuspensionWatch({
+    const watch = new SuspensionMonitor({
       clock: machine.createClock(),
       logger,
-      metrics: new SilentMetrics(),
-      onWake: () => {
+      metrics: new NoopMetrics(),
+      onResume: () => {
         wakes += 1;
       },
     });
--- a/test/clock/TurnQueue.test.ts
+++ b/test/clock/TurnQueue.test.ts
@@ -12,7 +12,7 @@
     setImmediate(count);
     const queue = new TurnQueue(3);
     const all = Array.from({ length: 8 }, async (_, i) => {
-      await queue.enter();
+      await queue.waitForTurn();
       turns[turn]!.push(i);
     });
     await Promise.all(all);
@@ -21,6 +21,6 @@
       [3, 4, 5],
       [6, 7],
     ]);
-    await queue.enter();
+    await queue.waitForTurn();
   });
 });
--- a/test/consensus/ConsensusModel.ts
+++ b/test/consensus/ConsensusModel.ts
@@ -27,7 +27,7 @@
 } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { type Command, CommandSchema, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { type CommandResult, StateMachine } from "../../src/state";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 /** One step of a schedule. Indexes are reduced modulo the number of members or messages. */
 export type Step =
@@ -553,7 +553,7 @@
     if (choice % 3 === 1 || replica === undefined) {
       const members = [choice, choice + 1].map((i) => ({
         $typeName: "ploverstage.v1.ReplicaMember" as const,
-        ...createLife(`i${i % INSTANCES}`),
+        ...createIncarnation(`i${i % INSTANCES}`),
         address: "",
         failureDomain: "",
       }));
--- a/test/gateway/GatewayHarness.ts
+++ b/test/gateway/GatewayHarness.ts
@@ -17,7 +17,7 @@
 import { type Target, TargetSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { CrashRecordSchema } from "../../src/gen/ploverstage/v1/state_pb";
 import { HttpClient } from "../../src/http";
-import { TextMetrics } from "../../src/metrics";
+import { PrometheusMetrics } from "../../src/metrics";
 import type { ReceivedView } from "../../src/registration";
 
 /** A request as received by an endpoint. */
@@ -107,7 +107,7 @@
   /** Log lines of the gateway. */
   readonly logLines: string[] = [];
   /** Metrics of the gateway. */
-  readonly metrics = new TextMetrics({ role: "entry", name: "test" });
+  readonly metrics = new PrometheusMetrics({ role: "entry", name: "test" });
   /** Crashes that the gateway has recorded. */
   readonly ledger = new CrashLedger();
   /** Crash monitor of the gateway. */
--- a/test/metrics/BoundedLog.test.ts
+++ b/test/metrics/BoundedLog.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { BoundedLog, type LossyDestination, TextMetrics } from "../../src/metrics";
+import { BoundedLog, type LossyDestination, PrometheusMetrics } from "../../src/metrics";
 import { waitUntil } from "../support/waitUntil";
 
 /** A destination whose reader takes nothing while it is stalled. */
@@ -24,7 +24,7 @@
 describe("BoundedLog", () => {
   it("tells how many lines were lost, in the log and in the metrics", async () => {
     const reader = new StallingReader();
-    const metrics = new TextMetrics({ role: "entry", name: "test" });
+    const metrics = new PrometheusMetrics({ role: "entry", name: "test" });
     const log = new BoundedLog("info", { role: "entry", name: "test" }, metrics, reader);
     log.logger.info({ event: "one" });
     reader.isStalled = true;
@@ -43,7 +43,7 @@
 
 describe("TextMetrics", () => {
   it("gives counters, gauges and histograms as text", async () => {
-    const metrics = new TextMetrics({ role: "entry", name: "e1" });
+    const metrics = new PrometheusMetrics({ role: "entry", name: "e1" });
     metrics.increment("gateway_requests", 2, { kind: "stream", outcome: "done", code: "" });
     metrics.increment("gateway_requests", 1, { kind: "stream", outcome: "refused", code: "no_target" });
     metrics.gauge("declaration_version", 7);
--- a/test/metrics/CallLoad.test.ts
+++ b/test/metrics/CallLoad.test.ts
@@ -7,10 +7,10 @@
     const increment = (name: string, _value: number, tags?: object) =>
       counted.push([name, ...Object.values(tags ?? {})].join(" "));
     const load = new CallLoad({ increment, gauge: () => {}, timing: () => {}, close: () => {} });
-    load.addSession();
-    for (const call of ["Watch", "Watch", "Report"]) load.addBegun(call);
-    load.addEnd("Watch", "gone", 700);
-    load.addEnd("Report", "failed", 20);
+    load.recordSession();
+    for (const call of ["Watch", "Watch", "Report"]) load.recordStart(call);
+    load.recordOutcome("Watch", "gone", 700);
+    load.recordOutcome("Report", "failed", 20);
     expect(load.take()).toEqual({
       sessions: 1,
       calls: {
@@ -18,7 +18,7 @@
         Report: { begun: 1, failed: 1, gone: 0, tookMs: 20 },
       },
     });
-    load.addEnd("Watch", "answered", 5);
+    load.recordOutcome("Watch", "answered", 5);
     expect(load.take()).toEqual({
       sessions: 0,
       calls: { Watch: { begun: 0, failed: 0, gone: 0, tookMs: 5 } },
--- a/test/metrics/WorkMeter.test.ts
+++ b/test/metrics/WorkMeter.test.ts
@@ -1,16 +1,16 @@
 import { beforeEach, describe, expect, it } from "vitest";
-import { TextMetrics, WorkMeter } from "../../src/metrics";
+import { PrometheusMetrics, WorkMeter } from "../../src/metrics";
 
 describe("WorkMeter", () => {
   let now: number;
   let lines: object[];
-  let metrics: TextMetrics;
+  let metrics: PrometheusMetrics;
   let meter: WorkMeter;
 
   beforeEach(() => {
     now = 0;
     lines = [];
-    metrics = new TextMetrics({ role: "control", name: "c" });
+    metrics = new PrometheusMetrics({ role: "control", name: "c" });
     meter = new WorkMeter({
       clock: { getMonotonicMs: () => now, getWallMs: () => now },
       logger: { warn: (line: object) => lines.push(line) } as never,
--- a/test/overload/ControlModel.ts
+++ b/test/overload/ControlModel.ts
@@ -20,12 +20,12 @@
 import { RelayRoster } from "../../src/registration/RelayRoster";
 import { type RelayBatch, ReportRelay } from "../../src/registration/ReportRelay";
 import type { Costs } from "./costs";
-import type { Discipline, WorkKind } from "./Discipline";
-import { LeaderCalls } from "./LeaderCalls";
+import { LeaderCalls } from "./LeaderClientModel";
 import type { Call, Network, Place } from "./Network";
 import { Processor } from "./Processor";
 import type { Occasion, Simulation } from "./Simulation";
 import { type Update, type Watch, Watcher } from "./Watcher";
+import type { Discipline, WorkKind } from "./WorkQueue";
 
 /** What all control processes work with. */
 export interface World {
--- a/test/overload/LeaderCalls.ts
+++ b/test/overload/LeaderClientModel.ts
@@ -1,5 +1,5 @@
 /** Calls the leader in simulated time, by the rules of `LeaderClient`. Times are milliseconds. */
-import { SearchPause } from "../../src/rpc/SearchPause";
+import { SearchBackoff } from "../../src/rpc/SearchBackoff";
 import type { Outcome, Place } from "./Network";
 import type { Simulation } from "./Simulation";
 
@@ -36,7 +36,7 @@
   call<R>(attempt: Try<R>, totalMs: number, onEnd: (answer: R | undefined) => void): void {
     const { simulation, isRunning } = this._options;
     const endAt = simulation.now + totalMs;
-    const search = new SearchPause();
+    const search = new SearchBackoff();
     let failedLeader = "";
     const next = () => {
       if (!isRunning()) return;
--- a/test/overload/Network.ts
+++ b/test/overload/Network.ts
@@ -1,7 +1,8 @@
 /** Calls between askers and control processes: an answer that comes after the asker gave up is lost. */
-import type { WorkKind } from "./Discipline";
+
 import type { Processor } from "./Processor";
 import type { Simulation } from "./Simulation";
+import type { WorkKind } from "./WorkQueue";
 
 /** Where calls arrive, and which processor their answers are taken with. */
 export interface Place {
--- a/test/overload/OverloadSeries.ts
+++ b/test/overload/OverloadSeries.ts
@@ -6,13 +6,13 @@
 import { create } from "@bufbuild/protobuf";
 import { createMembership, SeededRandom } from "../../src/consensus";
 import { MemberSchema } from "../../src/gen/ploverstage/v1/consensus_pb";
-import { EntryAsker, InstanceAsker, OperatorAsker, type Order } from "./askers";
 import { ControlModel, type World } from "./ControlModel";
+import { EntryAsker, InstanceAsker, OperatorAsker, type Order } from "./clients";
 import { COSTS, type Costs } from "./costs";
-import type { Discipline } from "./Discipline";
 import { Network } from "./Network";
 import type { Usage } from "./Processor";
 import { Simulation } from "./Simulation";
+import type { Discipline } from "./WorkQueue";
 
 /** What befalls control. */
 export const TRIGGERS = ["power", "powerTwice", "killedLeader", "cut"] as const;
--- a/test/overload/Processor.ts
+++ b/test/overload/Processor.ts
@@ -1,7 +1,7 @@
 /** The processor of one process: it does one thing at a time, at a bounded rate. Times are simulated milliseconds. */
 import type { Costs } from "./costs";
-import type { Discipline, Work, WorkKind } from "./Discipline";
 import type { Simulation } from "./Simulation";
+import type { Discipline, Work, WorkKind } from "./WorkQueue";
 
 /** Processor time that was used, milliseconds. */
 export interface Usage {
--- a/test/overload/Watcher.ts
+++ b/test/overload/Watcher.ts
@@ -1,5 +1,5 @@
 /** Follows a view in simulated time, by the rules of `ViewWatcher`. Times are milliseconds. */
-import { SearchPause } from "../../src/rpc/SearchPause";
+import { SearchBackoff } from "../../src/rpc/SearchBackoff";
 import type { Place } from "./Network";
 import type { Simulation } from "./Simulation";
 
@@ -52,7 +52,7 @@
   /** Tries that ended before a first answer. */
   vainTries = 0;
   private readonly _options: WatcherOptions;
-  private readonly _search = new SearchPause();
+  private readonly _search = new SearchBackoff();
   private _controls: readonly string[] = [];
   private _known = "";
   private _current = "";
--- a/test/overload/Discipline.test.ts
+++ b/test/overload/WorkQueue.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from "vitest";
-import { ArrivalOrder, type Discipline, type Work, type WorkKind, WorthOrder } from "./Discipline";
+import { ArrivalOrder, type Discipline, type Work, type WorkKind, WorthOrder } from "./WorkQueue";
 
 function createWork(kind: WorkKind, isWanted = true): Work {
   return { kind, getCostMs: () => 1, isWanted: () => isWanted, run: () => {}, refuse: () => {} };
--- a/test/overload/recovery.test.ts
+++ b/test/overload/recovery.test.ts
@@ -3,7 +3,6 @@
  * `OVERLOAD_SEED=7 OVERLOAD_RUNS=200 npx vitest run test/overload/recovery.test.ts` plays others.
  */
 import { describe, expect, it } from "vitest";
-import { ArrivalOrder } from "./Discipline";
 import {
   OverloadSeries,
   type Rules,
@@ -12,6 +11,7 @@
   type Trigger,
   WINDOW_MS,
 } from "./OverloadSeries";
+import { ArrivalOrder } from "./WorkQueue";
 
 const FIRST_SEED = Number(process.env.OVERLOAD_SEED ?? 1);
 const RUNS = Number(process.env.OVERLOAD_RUNS ?? 50);
--- a/test/platform/KeptCallers.ts
+++ b/test/platform/KeepAliveCallers.ts
@@ -44,9 +44,9 @@
 const DEADLINE_MS = 8_000;
 
 /** Callers, each with one connection of its own. */
-export class KeptCallers {
+export class KeepAliveCallers {
   /** Every request that has ended. */
-  readonly seen: SeenRequest[] = [];
+  readonly records: SeenRequest[] = [];
   private readonly _options: KeptCallersOptions;
   private _isOver = false;
   private _running: Promise<void>[] = [];
@@ -57,14 +57,14 @@
   }
 
   /** Gets the requests that came to an end of some kind. */
-  getEnded(end: CallEnd): SeenRequest[] {
-    return this.seen.filter((request) => request.end === end);
+  getByOutcome(end: CallEnd): SeenRequest[] {
+    return this.records.filter((request) => request.end === end);
   }
 
   /** Gets how many requests came to an end of some kind, by what their callers saw of it. */
-  countEnds(...ends: readonly CallEnd[]): Record<string, number> {
+  countByOutcome(...ends: readonly CallEnd[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { end, reason, status, isOnKeptConnection } of this.seen) {
+    for (const { end, reason, status, isOnKeptConnection } of this.records) {
       if (!ends.includes(end)) continue;
       const connection = isOnKeptConnection ? "kept" : "new";
       const what = `${end} ${status} on a ${connection} connection: ${reason}`;
@@ -79,21 +79,21 @@
   }
 
   /** Waits until every caller has found nobody listening. */
-  async waitUntilGone(): Promise<void> {
+  async waitUntilDisconnected(): Promise<void> {
     await Promise.all(this._running);
   }
 
   /** Begins no more requests, and waits for those under way. */
   async stop(): Promise<void> {
     this._isOver = true;
-    await this.waitUntilGone();
+    await this.waitUntilDisconnected();
   }
 
   private async _callUntilGone(): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     while (!this._isOver) {
       const seen = await this._call(agent);
-      this.seen.push(seen);
+      this.records.push(seen);
       const { returnMs, pauseMs: restMs = 0 } = this._options;
       if (seen.end === "unsent" && returnMs === undefined) break;
       const pauseMs = { refused: REFUSED_PAUSE_MS, unsent: returnMs }[seen.end as string] ?? restMs;
--- a/test/platform/OperatorStandin.ts
+++ b/test/platform/OperatorStandin.ts
@@ -10,7 +10,7 @@
 }
 
 /** A version and what became of it, Unix milliseconds. */
-export interface SentOrder {
+export interface SentVersion {
   readonly version: number;
   readonly sentAt: number;
   acknowledgedAt?: number;
@@ -25,7 +25,7 @@
 /** An operator. */
 export class OperatorStandin {
   /** Every order so far, the newest last. */
-  readonly orders: SentOrder[] = [];
+  readonly versions: SentVersion[] = [];
   private readonly _options: OperatorOptions;
   private _next = 0;
   private _timer: NodeJS.Timeout | undefined;
@@ -43,9 +43,9 @@
   }
 
   /** Sends one version until it is acknowledged, then reads until it is read back. */
-  async send(version: number): Promise<SentOrder> {
-    const order: SentOrder = { version, sentAt: Date.now() };
-    this.orders.push(order);
+  async send(version: number): Promise<SentVersion> {
+    const order: SentVersion = { version, sentAt: Date.now() };
+    this.versions.push(order);
     const body = JSON.stringify(this._options.createDocument(version));
     const isTaken = (answer: OneAnswer) => answer.status === OK;
     if (await this._try("/-/Config.Put", isTaken, body)) order.acknowledgedAt = Date.now();
--- a/test/platform/PlatformCluster.ts
+++ b/test/platform/PlatformCluster.ts
@@ -47,7 +47,7 @@
   /** Entries, nine at most; one if not given. */
   readonly entries?: number;
   /** A worker that a request crashed starts again after this time, milliseconds, under another id. */
-  readonly returnMs?: number;
+  readonly restartMs?: number;
   /** Control processes, all of them voters; three if not given. */
   readonly controls?: number;
   /** Control processes that every process is told of, the first ones; all if not given. */
@@ -59,11 +59,11 @@
   /** How many reports the first workers have sent already. */
   readonly firstReportCount?: number;
   /** A defect on purpose: no worker tells when it started. */
-  readonly hidesStarts?: boolean;
+  readonly omitsStartTime?: boolean;
   /** Workers of a fabric domain; all are in one if not given. */
   readonly domainSize?: number;
   /** Whether workers are reached through relays that can fail. */
-  readonly areWorkersRelayed?: boolean;
+  readonly hasWorkerRelays?: boolean;
   /** How workers' streams run. */
   readonly stream?: StreamPace;
   /** Repeats in a window beyond the share of requests, of all entries together; 100 if not given. */
@@ -171,9 +171,9 @@
     domain: string,
     init: WorkerInit = {},
   ): Promise<WorkerStandin> {
-    const { reportMs, joinMs, areWorkersRelayed, stream } = this._options;
+    const { reportMs, joinMs, hasWorkerRelays, stream } = this._options;
     const worker = new WorkerStandin({
-      ...(this._options.hidesStarts === true ? { ...init, born: 0 } : init),
+      ...(this._options.omitsStartTime === true ? { ...init, born: 0 } : init),
       id,
       service,
       domain,
@@ -181,7 +181,7 @@
       reportMs,
       joinMs,
       stream,
-      isRelayed: areWorkersRelayed,
+      isRelayed: hasWorkerRelays,
       getLives: (other) => this.workers.filter((candidate) => candidate.id === other),
       onEvent: KEEPS_LOGS ? (event) => this._logEvent(event) : undefined,
       onCrashingRequest: () => this.crashingRequests.push(performance.now()),
@@ -245,7 +245,7 @@
   /** Notes that a request crashed a worker, which comes back under another id if it is to. */
   private _bringBack({ id, service, domain, staged }: WorkerStandin): void {
     this.crashes.push(performance.now());
-    const { returnMs } = this._options;
+    const { restartMs: returnMs } = this._options;
     if (returnMs === undefined) return;
     const nextId = `${id}-${this.crashes.length}`;
     setTimeout(() => {
--- a/test/platform/WorkerStandin.ts
+++ b/test/platform/WorkerStandin.ts
@@ -1,7 +1,7 @@
 /** A worker as the platform's pages describe it: reports itself, takes orders, serves. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import { Relay } from "../support/Relay";
+import { TcpProxy } from "../support/TcpProxy";
 
 /** What a worker is started with. */
 export interface WorkerOptions {
@@ -92,7 +92,7 @@
   readonly partialRuns: string[] = [];
   /** Groups and epochs in which it was ready. */
   private readonly _readyIn = new Set<string>();
-  private _relay: Relay | undefined;
+  private _relay: TcpProxy | undefined;
   private readonly _options: WorkerOptions;
   private readonly _server: Server;
   private _place: Place | undefined;
@@ -144,13 +144,13 @@
   async start(): Promise<void> {
     await new Promise<void>((resolve) => this._server.listen(0, "127.0.0.1", resolve));
     this._port = (this._server.address() as AddressInfo).port;
-    if (this._options.isRelayed === true) this._relay = await Relay.start(`127.0.0.1:${this._port}`);
+    if (this._options.isRelayed === true) this._relay = await TcpProxy.start(`127.0.0.1:${this._port}`);
     void this._reportAndGoOn();
     this._breakTimer = setInterval(() => this._breakIfLost(), STALL_CHECK_MS).unref();
   }
 
   /** Gets the relay before it, if it has one. */
-  get relay(): Relay | undefined {
+  get relay(): TcpProxy | undefined {
     return this._relay;
   }
 
@@ -175,7 +175,7 @@
   }
 
   /** Its streams stand still for some time, milliseconds, and go on by themselves. */
-  standStill(milliseconds: number): void {
+  pauseStreams(milliseconds: number): void {
     this._stillUntil = performance.now() + milliseconds;
   }
 
--- a/test/platform/oddReports.ts
+++ b/test/platform/invalidReports.ts
@@ -31,7 +31,7 @@
  * Sends every kind of odd report to a control process, in the name of a worker.
  * @returns Their statuses; 0 where there was no answer.
  */
-export function sendOddReports(control: string, workerId: string): Promise<number[]> {
+export function sendInvalidReports(control: string, workerId: string): Promise<number[]> {
   const bodies = [...ODD, "no JSON", ""];
   return Promise.all(
     bodies.map(async (body) => {
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -5,7 +5,7 @@
 import { describe, expect, it } from "vitest";
 import { PlatformDeclarations } from "../../platform/PlatformDeclarations";
 import { PlatformDialect } from "../../platform/PlatformDialect";
-import { createDeregistration, readBorn, readHeartbeat } from "../../platform/PlatformReports";
+import { createDeregistration, readHeartbeat, readStartTime } from "../../platform/PlatformReports";
 import { InvalidDeclaration, InvalidReport } from "../../src/errors";
 import { InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { checkReport } from "../../src/registration/checkReport";
@@ -198,9 +198,9 @@
     expect(readHeartbeat("i", JSON.stringify(HEARTBEAT)).born).toBe(0);
     expect(createDeregistration("i", JSON.stringify({ born }))).toMatchObject({ born, deregistered: true });
     expect(createDeregistration("i", "").born).toBe(0);
-    expect(readBorn({ seqNo: 1, born })).toBe(born);
-    expect(readBorn({ born: 1.5 })).toBeUndefined();
-    expect(readBorn("no report")).toBeUndefined();
+    expect(readStartTime({ seqNo: 1, born })).toBe(born);
+    expect(readStartTime({ born: 1.5 })).toBeUndefined();
+    expect(readStartTime("no report")).toBeUndefined();
   });
 });
 
--- a/test/platform/playLosses.ts
+++ b/test/platform/runPowerLosses.ts
@@ -1,7 +1,7 @@
 /** Control on small cores that loses power twice, the first time together with those who watch it. */
 import { createConfig } from "./createConfig";
 import { DirectoryCallers } from "./DirectoryCallers";
-import { OperatorStandin, type SentOrder } from "./OperatorStandin";
+import { OperatorStandin, type SentVersion } from "./OperatorStandin";
 import { PlatformCluster } from "./PlatformCluster";
 import { WatcherGroup } from "./WatcherGroup";
 
@@ -23,7 +23,7 @@
 const LOADS = { loadsPerS: 1_000, loads_at_once: 1_000 } as const;
 
 /** What an order came to, milliseconds; endless for what never was. */
-export interface OrderWait {
+export interface VersionDelays {
   /** Since power came back; of an order in calm since it was sent. */
   readonly acknowledgedMs: number;
   readonly readBackMs: number;
@@ -32,16 +32,16 @@
 /** What orders came to. */
 export interface LossOutcome {
   /** Of one that was sent before the first loss. */
-  readonly before: OrderWait;
+  readonly before: VersionDelays;
   /** Of those that were sent after the second loss, the first one first. */
-  readonly after: readonly OrderWait[];
+  readonly after: readonly VersionDelays[];
 }
 
 /**
  * Plays it once.
  * @param share - Part of a core that each control process may use.
  */
-export async function playLosses(share: number): Promise<LossOutcome> {
+export async function runPowerLosses(share: number): Promise<LossOutcome> {
   const cluster = await PlatformCluster.start(WORKERS, {
     controls: CONTROLS,
     seeds: FOUNDERS,
@@ -63,8 +63,8 @@
     await losePower(cluster);
     const onAt = Date.now();
     await pause(CONTACT_MS + ACKNOWLEDGEMENT_MS);
-    const calm = operator.orders[1]!;
-    const after = operator.orders.filter(({ sentAt }) => sentAt >= onAt);
+    const calm = operator.versions[1]!;
+    const after = operator.versions.filter(({ sentAt }) => sentAt >= onAt);
     return { before: getWait(calm, calm.sentAt), after: after.map((order) => getWait(order, onAt)) };
   } finally {
     operator.stop();
@@ -74,7 +74,7 @@
   }
 }
 
-function getWait({ acknowledgedAt, readBackAt }: SentOrder, since: number): OrderWait {
+function getWait({ acknowledgedAt, readBackAt }: SentVersion, since: number): VersionDelays {
   return {
     acknowledgedMs: (acknowledgedAt ?? Number.POSITIVE_INFINITY) - since,
     readBackMs: (readBackAt ?? Number.POSITIVE_INFINITY) - since,
--- a/test/process/ProcessSignals.test.ts
+++ b/test/process/ProcessSignals.test.ts
@@ -11,7 +11,7 @@
     const property = fc.asyncProperty(fc.array(fc.constantFrom(...SIGNALS)), async (series) => {
       const source = new EventEmitter();
       const lines: string[] = [];
-      const signals = ProcessSignals.takeOver(source);
+      const signals = ProcessSignals.install(source);
       signals.setLogger(pino({ level: "info" }, { write: (line: string) => lines.push(line) }));
       for (const signal of series) expect(source.emit(signal)).toBe(true);
       const stops = series.filter((signal) => signal !== "SIGHUP");
@@ -25,7 +25,7 @@
 
   it("never leaves a signal to its own effect, however often it came", () => {
     const source = new EventEmitter();
-    ProcessSignals.takeOver(source);
+    ProcessSignals.install(source);
     for (let i = 0; i < 3; i++) for (const signal of SIGNALS) expect(source.emit(signal)).toBe(true);
   });
 });
--- a/test/registration/CommittedFacts.test.ts
+++ b/test/registration/CommittedFacts.test.ts
@@ -7,14 +7,14 @@
   ReplicaPhase,
   ReplicaSchema,
 } from "../../src/gen/ploverstage/v1/state_pb";
-import { getLifeKey, type Life, parseLifeKey } from "../../src/ids";
+import { getIncarnationKey, type Incarnation, parseIncarnationKey } from "../../src/ids";
 import { CommittedFacts, type CommittedState } from "../../src/registration/CommittedFacts";
 
 const START_TIME = 1_700_000_000_000;
 
 /** Creates a committed state with one replica in each phase and the given departed incarnations. */
-function createFacts(departed: readonly Life[]): CommittedFacts {
-  const departedKeys = new Set(departed.map(getLifeKey));
+function createFacts(departed: readonly Incarnation[]): CommittedFacts {
+  const departedKeys = new Set(departed.map(getIncarnationKey));
   const state: CommittedState = {
     getDeclaration: () => create(DeclarationSchema, { version: 7 }),
     getReplica: (id) => {
@@ -25,7 +25,7 @@
     },
     getKnownReplicas: () => [],
     getDepartures: () => [...departed],
-    hasDeparted: (incarnation) => departedKeys.has(getLifeKey(incarnation)),
+    hasDeparted: (incarnation) => departedKeys.has(getIncarnationKey(incarnation)),
   };
   return new CommittedFacts(() => state);
 }
@@ -44,7 +44,7 @@
   it("ends the departed incarnation of a plain service's instance, but not its successor under the same id", () => {
     const facts = createFacts([{ instanceId: "app@1", born: START_TIME }]);
     const hasEnded = (born: number) => {
-      const id = getLifeKey({ instanceId: "app@1", born });
+      const id = getIncarnationKey({ instanceId: "app@1", born });
       return facts.hasEnded(create(TargetSchema, { id, instanceId: "app@1" }));
     };
     expect(hasEnded(START_TIME)).toBe(true);
@@ -55,7 +55,7 @@
   it("parses the incarnation from a target's id", () => {
     for (const born of [0, 1, START_TIME]) {
       const incarnation = { instanceId: "a@b", born };
-      expect(parseLifeKey("a@b", getLifeKey(incarnation))).toEqual(incarnation);
+      expect(parseIncarnationKey("a@b", getIncarnationKey(incarnation))).toEqual(incarnation);
     }
   });
 });
--- a/test/registration/ControlCallCounter.test.ts
+++ b/test/registration/ControlCallCounter.test.ts
@@ -1,16 +1,16 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { TextMetrics } from "../../src/metrics";
+import { PrometheusMetrics } from "../../src/metrics";
 import { ControlCallCounter } from "../../src/registration/ControlCallCounter";
 
 describe("ControlCallCounter", () => {
   let lines: object[];
-  let metrics: TextMetrics;
+  let metrics: PrometheusMetrics;
   let counter: ControlCallCounter;
 
   beforeEach(() => {
     vi.useFakeTimers();
     lines = [];
-    metrics = new TextMetrics({ role: "control", name: "c" });
+    metrics = new PrometheusMetrics({ role: "control", name: "c" });
     counter = new ControlCallCounter({ info: (line: object) => lines.push(line) } as never, metrics);
   });
 
--- a/test/registration/FleetLeadership.test.ts
+++ b/test/registration/FleetLeadership.test.ts
@@ -13,10 +13,10 @@
 import type { ConsensusDriver } from "../../src/consensus";
 import { InstanceReportSchema, PlaceState, ReportRequestSchema } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type Command, type Replica, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
-import { SilentMetrics } from "../../src/metrics";
+import { NoopMetrics } from "../../src/metrics";
 import { EntryRoster } from "../../src/registration/EntryRoster";
 import { FleetLeadership } from "../../src/registration/FleetLeadership";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 import { createMeter } from "../support/createMeter";
 import { createInstances, createReplica } from "../support/planning";
 
@@ -62,7 +62,7 @@
       },
       clock,
       logger: { info: () => {}, warn: () => {} } as never,
-      metrics: new SilentMetrics(),
+      metrics: new NoopMetrics(),
       meter: createMeter(clock),
       lag: { getWorstMs: () => 0 } as never,
       isFirstStart: false,
@@ -100,7 +100,7 @@
       getDeclaration: () => undefined,
       crashIndex: 0,
       getCrashRecords: () => [],
-      getDepartures: () => departures.map((id) => createLife(id)),
+      getDepartures: () => departures.map((id) => createIncarnation(id)),
       hasDeparted: () => false,
     };
     return {
--- a/test/registration/IdentityChecks.test.ts
+++ b/test/registration/IdentityChecks.test.ts
@@ -4,7 +4,7 @@
 import type { Identity, OrderReceiver } from "../../src/registration";
 import { IdentityChecks } from "../../src/registration/IdentityChecks";
 import { InstanceRegistry } from "../../src/registration/InstanceRegistry";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 const SERVICE = "llm";
 const ENGINE_SERVICES = new Set([SERVICE]);
@@ -59,14 +59,14 @@
   it("marks the claimant that does not run at the address as ended after one query, whichever claimant is queried", async () => {
     running = "second";
     await check();
-    expect(queried).toEqual([{ ...createLife("first"), address: ADDRESS }]);
-    expect(registry.hasEnded(createLife("first"))).toBe(true);
-    expect(registry.hasEnded(createLife("second"))).toBe(false);
+    expect(queried).toEqual([{ ...createIncarnation("first"), address: ADDRESS }]);
+    expect(registry.hasEnded(createIncarnation("first"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("second"))).toBe(false);
     running = "second";
     report("third");
     await check();
     expect(queried.length).toBe(2);
-    expect(registry.hasEnded(createLife("third"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("third"))).toBe(true);
     expect(registry.getConflicts()).toEqual([]);
     await check();
     expect(queried.length).toBe(2);
@@ -76,10 +76,12 @@
     await check();
     await check();
     expect(queried.map(({ instanceId }) => instanceId)).toEqual(["first", "second"]);
-    expect(registry.hasEnded(createLife("first")) || registry.hasEnded(createLife("second"))).toBe(false);
+    expect(
+      registry.hasEnded(createIncarnation("first")) || registry.hasEnded(createIncarnation("second")),
+    ).toBe(false);
     running = "first";
     await check();
-    expect(registry.hasEnded(createLife("second"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("second"))).toBe(true);
   });
 
   it("waits between two queries of an address, and sends one at a time", async () => {
@@ -93,22 +95,22 @@
   });
 
   it("sends no query when only one instance claims an address", async () => {
-    registry.markEnded(createLife("first"));
+    registry.markEnded(createIncarnation("first"));
     await check();
     expect(queried).toEqual([]);
   });
 
   it("queries a member that has not reported once another instance reports its address", async () => {
     const address = "10.0.0.2:80";
-    members = [{ ...createLife("member"), address }];
+    members = [{ ...createIncarnation("member"), address }];
     running = "second";
     await check();
     expect(queried.map(({ instanceId }) => instanceId)).toEqual(["first"]);
     report("next", SERVICE, address);
     running = "next";
     await check();
-    expect(queried.at(-1)).toEqual({ ...createLife("member"), address });
-    expect(registry.hasEnded(createLife("member"))).toBe(true);
+    expect(queried.at(-1)).toEqual({ ...createIncarnation("member"), address });
+    expect(registry.hasEnded(createIncarnation("member"))).toBe(true);
     await check();
     expect(queried.length).toBe(2);
   });
--- a/test/registration/OrderDispatcher.test.ts
+++ b/test/registration/OrderDispatcher.test.ts
@@ -1,20 +1,20 @@
 import { describe, expect, it } from "vitest";
-import type { Life } from "../../src/ids";
-import { SilentMetrics } from "../../src/metrics";
+import type { Incarnation } from "../../src/ids";
+import { NoopMetrics } from "../../src/metrics";
 import type { InstanceOrders, JoinOrder } from "../../src/registration";
 import { OrderDispatcher } from "../../src/registration/OrderDispatcher";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 const INSTANCES = 200;
 /** Bounds how long one turn may delay heartbeats: an order takes about a millisecond to start. */
 const MAX_PER_TURN = 20;
-const RECEIVER = { ...createLife("i"), address: "i:1" };
+const RECEIVER = { ...createIncarnation("i"), address: "i:1" };
 const JOIN: JoinOrder = { kind: "join", replicaId: "r", epoch: 1, model: "m", members: [] };
 
 describe("OrderDispatcher", () => {
   function createDispatcher(
     send: InstanceOrders["send"],
-    { term = 1, onEnd = (_life: Life) => {} } = {},
+    { term = 1, onEnd = (_life: Incarnation) => {} } = {},
   ): OrderDispatcher {
     return new OrderDispatcher({
       term,
@@ -26,7 +26,7 @@
       },
       clock: { getMonotonicMs: () => 0, getWallMs: () => 0 },
       logger: { info: () => {} } as never,
-      metrics: new SilentMetrics(),
+      metrics: new NoopMetrics(),
       onEnd,
       getLoadLimit: () => undefined,
     });
@@ -39,7 +39,7 @@
       return Promise.resolve("begun");
     });
     const sent = Array.from({ length: INSTANCES }, (_, i) =>
-      dispatcher.send({ ...createLife(`i${i}`), address: `i${i}:1` }, JOIN),
+      dispatcher.send({ ...createIncarnation(`i${i}`), address: `i${i}:1` }, JOIN),
     );
     let most = begun;
     for (let before = -1; before < begun; ) {
@@ -72,7 +72,7 @@
 
   it("reports an instance as ended when another one answers at its address", async () => {
     const ended: string[] = [];
-    const onEnd = ({ instanceId }: Life) => ended.push(instanceId);
+    const onEnd = ({ instanceId }: Incarnation) => ended.push(instanceId);
     const dispatcher = createDispatcher(() => Promise.resolve("elsewhere"), { onEnd });
     await dispatcher.send(RECEIVER, JOIN);
     expect(ended).toEqual([RECEIVER.instanceId]);
--- a/test/registration/PlanningFactsSource.test.ts
+++ b/test/registration/PlanningFactsSource.test.ts
@@ -8,7 +8,7 @@
 import { PlanningFactsSource } from "../../src/registration/PlanningFactsSource";
 import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import type { StateMachine } from "../../src/state";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 import { createInstances, createReplica } from "../support/planning";
 
 const NOW = 5_000;
@@ -71,7 +71,7 @@
     addReport("f0", [], PlaceState.UNSPECIFIED);
     addReport("f1", [], PlaceState.UNSPECIFIED);
     await dispatcher.sendLoad(
-      { ...createLife("f0"), address: "f0:1" },
+      { ...createIncarnation("f0"), address: "f0:1" },
       { kind: "join", replicaId: replica.id, epoch: replica.epoch, model: replica.model, members: [] },
     );
     expect(getReadsWeights()).toEqual({ f0: true, f1: false });
--- a/test/registration/incarnations.test.ts
+++ b/test/registration/incarnations.test.ts
@@ -11,7 +11,7 @@
 import { type InstanceReport, InstanceReportSchema, PlaceState } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { type IncarnationEndReason, InstanceRegistry } from "../../src/registration/InstanceRegistry";
 import { ReportRelay } from "../../src/registration/ReportRelay";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 const OLD_START = 1_000_000;
 const NEW_START = 2_000_000;
@@ -34,8 +34,8 @@
     expect(registry.addReport(10, createReport(NEW_START, 1))).toBe("taken");
     expect(registry.getInstance("i")).toMatchObject({ firstReportedAt: 10, sequence: 1 });
     expect(registry.getInstance("i")?.report.place).toBeUndefined();
-    expect(registry.hasEnded(createLife("i", OLD_START))).toBe(true);
-    expect(registry.hasEnded(createLife("i", NEW_START))).toBe(false);
+    expect(registry.hasEnded(createIncarnation("i", OLD_START))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("i", NEW_START))).toBe(false);
     expect(ends).toEqual([[OLD_START, "newerLife"]]);
   });
 
@@ -45,7 +45,7 @@
     expect(registry.addReport(10, createReport(OLD_START, 500, { place: PLACE }))).toBe("older");
     expect(registry.addHeartbeat(20, { ...createHeartbeat(OLD_START, 501, 500) })).toBe("older");
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, reportedAt: 0 });
-    registry.confirmIncarnation(30, createLife("i", NEW_START));
+    registry.confirmIncarnation(30, createIncarnation("i", NEW_START));
     expect(registry.getOlderIncarnations()).toEqual([]);
   });
 
@@ -54,7 +54,7 @@
     registry.addReport(0, createReport(NEW_START, 500));
     registry.addReport(100, createReport(OLD_START, 1));
     expect(registry.getInstance("i")?.report.born).toBe(NEW_START);
-    registry.confirmIncarnation(110, createLife("i", OLD_START));
+    registry.confirmIncarnation(110, createIncarnation("i", OLD_START));
     expect(registry.getInstance("i")).toMatchObject({ sequence: 1, report: { born: OLD_START } });
     expect(registry.addReport(120, createReport(NEW_START, 501))).toBe("ended");
     expect(registry.addReport(130, createReport(OLD_START, 2))).toBe("taken");
@@ -64,7 +64,7 @@
     const registry = new InstanceRegistry({}, () => NEW_START);
     registry.addReport(0, createReport(OLD_START, 9));
     registry.addReport(20, createReport(NEW_START, 1));
-    registry.confirmIncarnation(10, createLife("i", OLD_START));
+    registry.confirmIncarnation(10, createIncarnation("i", OLD_START));
     expect(registry.getInstance("i")?.report.born).toBe(NEW_START);
   });
 
@@ -128,13 +128,13 @@
     const relay = new ReportRelay();
     relay.addReport(0, createReport(OLD_START, 100));
     relay.addReport(10, createReport(NEW_START, 1));
-    relay.removeIncarnation(createLife("i", OLD_START));
+    relay.removeIncarnation(createIncarnation("i", OLD_START));
     expect(relay.takeBatch(20, 10).reports.map(({ born }) => born)).toEqual([NEW_START]);
   });
 });
 
 function createHeartbeat(born: number, sequence: number, contentSequence: number) {
-  const { instanceId } = createLife("i");
+  const { instanceId } = createIncarnation("i");
   return {
     $typeName: "ploverstage.v1.InstanceSign" as const,
     instanceId,
--- a/test/registration/ownership/FleetModel.ts
+++ b/test/registration/ownership/FleetModel.ts
@@ -18,7 +18,7 @@
   SuspicionSchema,
 } from "../../../src/gen/ploverstage/v1/fleet_pb";
 import { type Command, CommandSchema, ReplicaPhase } from "../../../src/gen/ploverstage/v1/state_pb";
-import { SilentMetrics } from "../../../src/metrics";
+import { NoopMetrics } from "../../../src/metrics";
 import { REASON } from "../../../src/planner/Planner";
 import { EntryRoster } from "../../../src/registration/EntryRoster";
 import { FleetLeadership } from "../../../src/registration/FleetLeadership";
@@ -403,7 +403,7 @@
       orders: this.orders,
       clock,
       logger: { info: () => {}, warn: () => {} } as never,
-      metrics: new SilentMetrics(),
+      metrics: new NoopMetrics(),
       meter: createMeter(clock),
       lag: { getWorstMs: () => 0 } as never,
       isFirstStart: this._term === 1,
--- a/test/registration/ownership/InstanceModel.ts
+++ b/test/registration/ownership/InstanceModel.ts
@@ -5,7 +5,7 @@
  * Time is simulated, and everything is an argument.
  */
 import { PlaceState } from "../../../src/gen/ploverstage/v1/fleet_pb";
-import type { Life } from "../../../src/ids";
+import type { Incarnation } from "../../../src/ids";
 import type { InstanceOrder, JoinOrder, OrderOutcome } from "../../../src/registration";
 
 /** Times of an instance, milliseconds. */
@@ -61,7 +61,7 @@
 
   private readonly _checksFences: boolean;
 
-  constructor({ instanceId, born }: Life, host: Host, checksFences: boolean) {
+  constructor({ instanceId, born }: Incarnation, host: Host, checksFences: boolean) {
     this.id = instanceId;
     this.born = born;
     this.host = host;
--- a/test/registration/registry.test.ts
+++ b/test/registration/registry.test.ts
@@ -6,7 +6,7 @@
 import { LoadLimiter } from "../../src/registration/LoadLimiter";
 import { PresenceSuspicions } from "../../src/registration/PresenceSuspicions";
 import { ReplicaCloser } from "../../src/registration/ReplicaCloser";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 function createReport(
   instanceId: string,
@@ -42,9 +42,11 @@
   it("retains all instances that claim an address until one of them is proved to have ended", () => {
     const registry = createRegistryWithConflict();
     expect(registry.isInConflict("a") && registry.isInConflict("b")).toBe(true);
-    expect(registry.hasEnded(createLife("a")) || registry.hasEnded(createLife("b"))).toBe(false);
-    registry.markEnded(createLife("a"));
-    expect(registry.hasEnded(createLife("a"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("a")) || registry.hasEnded(createIncarnation("b"))).toBe(
+      false,
+    );
+    registry.markEnded(createIncarnation("a"));
+    expect(registry.hasEnded(createIncarnation("a"))).toBe(true);
     expect(registry.getInstance("a")).toBeUndefined();
     expect(registry.addReport(2, createReport("a", 2, { address }))).toBe("ended");
     expect(registry.getInstance("b")).toBeDefined();
@@ -56,11 +58,11 @@
     const registry = createRegistryWithConflict();
     registry.addReport(6, createReport("c", 1, { address }));
     registry.confirmInstance(5, "a", address);
-    expect(registry.hasEnded(createLife("b"))).toBe(true);
-    expect(registry.hasEnded(createLife("c"))).toBe(false);
+    expect(registry.hasEnded(createIncarnation("b"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("c"))).toBe(false);
     expect(registry.isInConflict("a")).toBe(true);
     registry.confirmInstance(7, "c", address);
-    expect(registry.hasEnded(createLife("a"))).toBe(true);
+    expect(registry.hasEnded(createIncarnation("a"))).toBe(true);
     expect(registry.isInConflict("c")).toBe(false);
   });
 
@@ -75,7 +77,7 @@
     expect(registry.getInstance("a")).toBeDefined();
     registry.removeExpired(4_100, presenceMs);
     expect(registry.getInstance("a")).toBeUndefined();
-    expect(registry.hasEnded(createLife("a"))).toBe(false);
+    expect(registry.hasEnded(createIncarnation("a"))).toBe(false);
     expect(registry.isInConflict("b")).toBe(false);
     expect(registry.addReport(4_200, createReport("a", 2, { address }))).toBe("taken");
   });
@@ -174,7 +176,7 @@
     broken.report("head", 2, PlaceState.BROKEN);
     expect(broken.closer.hasEnded(10, replica, TIMES)).toBe(true);
     const ended = setUp(false);
-    ended.registry.markEnded(createLife("head"));
+    ended.registry.markEnded(createIncarnation("head"));
     expect(ended.closer.hasEnded(10, replica, TIMES)).toBe(true);
   });
 
--- a/test/rpc/GuardedSessionManager.test.ts
+++ b/test/rpc/ReconnectingSessionManager.test.ts
@@ -1,8 +1,8 @@
 import { EventEmitter } from "node:events";
 import type { Http2SessionManager } from "@connectrpc/connect-node";
 import { describe, expect, it } from "vitest";
-import { GuardedSessionManager } from "../../src/rpc/GuardedSessionManager";
-import { SessionPings } from "../../src/rpc/SessionPings";
+import { GuardedSessionManager } from "../../src/rpc/ReconnectingSessionManager";
+import { SessionPings } from "../../src/rpc/SessionPinger";
 
 describe("GuardedSessionManager", () => {
   it("outlives the errors of a stream that came too late for its call, and of its session", async () => {
--- a/test/rpc/SearchPause.test.ts
+++ b/test/rpc/SearchBackoff.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
-import { SearchPause } from "../../src/rpc/SearchPause";
+import { SearchBackoff } from "../../src/rpc/SearchBackoff";
 
 const PROCESSES = 5;
 
 /** Asks in vain for some time; gives how often. */
-function search(pause: SearchPause, milliseconds: number): number {
+function search(pause: SearchBackoff, milliseconds: number): number {
   let asked = 0;
   for (let passed = 0; passed < milliseconds; asked++) passed += pause.addFailure(PROCESSES);
   return asked;
@@ -12,10 +12,10 @@
 
 describe("SearchPause", () => {
   it("asks all at once first, then less and less often the longer there is no leader", () => {
-    const pause = new SearchPause();
+    const pause = new SearchBackoff();
     expect(search(pause, 40)).toBe(4);
     search(pause, 2_500);
-    const early = search(new SearchPause(), 1_000);
+    const early = search(new SearchBackoff(), 1_000);
     search(pause, 2_000);
     expect(search(pause, 5_000) / 5).toBeLessThan(early / 3);
     pause.reset();
--- a/test/rpc/SessionPings.test.ts
+++ b/test/rpc/SessionPinger.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { SessionPings } from "../../src/rpc/SessionPings";
+import { SessionPings } from "../../src/rpc/SessionPinger";
 
 const LOOK_MS = 250;
 const PATIENCE_MS = 500;
--- a/test/rpc/TransportPool.test.ts
+++ b/test/rpc/TransportPool.test.ts
@@ -6,7 +6,7 @@
 import { PeerTransport } from "../../src/membership/PeerTransport";
 import { RpcServer, TransportPool } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
-import { Relay } from "../support/Relay";
+import { TcpProxy } from "../support/TcpProxy";
 import { waitUntil } from "../support/waitUntil";
 
 /** Between late processes an answer takes so long, both ways together. */
@@ -17,7 +17,7 @@
 
 describe("TransportPool", () => {
   let server: RpcServer;
-  let relay: Relay;
+  let relay: TcpProxy;
   let sessions: number;
   let delivered: number;
   let members: PeerTransport;
@@ -49,7 +49,7 @@
         });
       },
     });
-    relay = await Relay.start(listen);
+    relay = await TcpProxy.start(listen);
     transports = new TransportPool(undefined);
     members = new PeerTransport(transports);
   });
--- a/test/rpc/createRpcTransport.test.ts
+++ b/test/rpc/createRpcTransport.test.ts
@@ -3,7 +3,7 @@
 import { FleetService } from "../../src/gen/ploverstage/v1/fleet_pb";
 import { createRpcTransport, RpcServer } from "../../src/rpc";
 import { getFreeAddresses } from "../support/ports";
-import { Relay } from "../support/Relay";
+import { TcpProxy } from "../support/TcpProxy";
 import { waitUntil } from "../support/waitUntil";
 
 /** Longer than a session says nothing before it is looked at. */
@@ -64,7 +64,7 @@
         router.service(FleetService, { putDeclaration: () => ({}), getDeclaration: () => ({}) });
       },
     });
-    const relay = await Relay.start(listen);
+    const relay = await TcpProxy.start(listen);
     const client = createClient(FleetService, createRpcTransport(relay.address, undefined));
     await client.getDeclaration({});
     relay.setDelay(ONE_WAY_MS);
@@ -85,7 +85,7 @@
         router.service(FleetService, { getDeclaration: () => ({}) });
       },
     });
-    const relay = await Relay.start(listen);
+    const relay = await TcpProxy.start(listen);
     const client = createClient(FleetService, createRpcTransport(relay.address, undefined));
     const call = () =>
       client.getDeclaration({}, { timeoutMs: CALL_MS }).then(
--- a/test/soak/AnswerSoak.ts
+++ b/test/soak/AnswerSoak.ts
@@ -7,7 +7,7 @@
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig } from "../platform/createConfig";
-import { KeptCallers } from "../platform/KeptCallers";
+import { KeepAliveCallers } from "../platform/KeepAliveCallers";
 import { PlatformCluster } from "../platform/PlatformCluster";
 import type { EndlessKind } from "../platform/WorkerStandin";
 import type { ProcessHandle } from "../support/ProcessHandle";
@@ -105,9 +105,9 @@
     }
   }
 
-  private _startCallers(entry: number): KeptCallers {
+  private _startCallers(entry: number): KeepAliveCallers {
     const address = this._cluster.getEntryAddress(entry);
-    const callers = new KeptCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
+    const callers = new KeepAliveCallers({ address, events: STREAM.events, returnMs: RETURN_MS });
     callers.start(CALLERS_PER_ENTRY);
     return callers;
   }
@@ -131,7 +131,7 @@
       stopControl: () => this._stopControl(),
       reload: async () => this._reload(),
       standStill: async () =>
-        this._drawHead()?.standStill(this._draw(this._options.maxStillMs ?? MAX_STILL_MS)),
+        this._drawHead()?.pauseStreams(this._draw(this._options.maxStillMs ?? MAX_STILL_MS)),
       sendWithoutEnd: () => this._sendWithoutEnd(),
       changeConfig: () => this._changeConfig(),
     };
@@ -141,7 +141,7 @@
   private _reload(): void {
     const handles = [...this._cluster.entries, ...this._cluster.controls];
     const handle = this._drawOne(handles.filter((candidate) => !this._stopping.has(candidate)));
-    handle.send("SIGHUP");
+    handle.sendSignal("SIGHUP");
   }
 
   /** One control process is away at a time: as many losses as the system bears. */
@@ -156,12 +156,12 @@
     this._stopping.add(handle);
     const gapsMs = Array.from({ length: this._draw(MAX_SIGNALS) }, () => this._draw(MAX_SIGNAL_GAP_MS));
     const signals = gapsMs.map(() => this._drawOne(SIGNALS));
-    handle.send("SIGTERM");
+    handle.sendSignal("SIGTERM");
     const ended = handle.waitForEnd();
     const stopsAt = performance.now();
     for (const [i, signal] of signals.entries()) {
       await pause(gapsMs[i]!);
-      handle.send(this._options.killsStoppingEntries === true ? "SIGKILL" : signal);
+      handle.sendSignal(this._options.killsStoppingEntries === true ? "SIGKILL" : signal);
     }
     const code = await ended;
     const tookMs = performance.now() - stopsAt;
@@ -198,23 +198,23 @@
     });
   }
 
-  private async _waitForService(groups: readonly KeptCallers[]): Promise<void> {
-    const before = groups.map((callers) => callers.getEnded("whole").length);
+  private async _waitForService(groups: readonly KeepAliveCallers[]): Promise<void> {
+    const before = groups.map((callers) => callers.getByOutcome("whole").length);
     await waitUntil("each entry serves", () =>
-      groups.every((callers, i) => callers.getEnded("whole").length > before[i]! + CALLERS_PER_ENTRY),
+      groups.every((callers, i) => callers.getByOutcome("whole").length > before[i]! + CALLERS_PER_ENTRY),
     );
   }
 
-  private _createResult(groups: readonly KeptCallers[]): SoakResult {
+  private _createResult(groups: readonly KeepAliveCallers[]): SoakResult {
     for (const [entry, callers] of groups.entries()) {
-      for (const [what, count] of Object.entries(callers.countEnds("cut", "unanswered"))) {
+      for (const [what, count] of Object.entries(callers.countByOutcome("cut", "unanswered"))) {
         this._violations.push(`entry ${entry}: ${count} ${what}`);
       }
     }
     return {
       seed: this._seed,
-      calls: groups.reduce((sum, { seen }) => sum + seen.length, 0),
-      served: groups.reduce((sum, callers) => sum + callers.getEnded("whole").length, 0),
+      calls: groups.reduce((sum, { records: seen }) => sum + seen.length, 0),
+      served: groups.reduce((sum, callers) => sum + callers.getByOutcome("whole").length, 0),
       faults: Object.fromEntries(this._counts),
       violations: this._violations,
     };
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -10,10 +10,10 @@
  */
 import { SeededRandom } from "../../src/consensus";
 import { createConfig, MODEL, STREAM } from "../platform/createConfig";
-import { sendOddReports } from "../platform/oddReports";
+import { sendInvalidReports } from "../platform/invalidReports";
 import { PlatformCluster, type WorkerInit } from "../platform/PlatformCluster";
 import { CRASHING_BODY, type WorkerStandin } from "../platform/WorkerStandin";
-import type { Relay } from "../support/Relay";
+import type { TcpProxy } from "../support/TcpProxy";
 import { waitUntil } from "../support/waitUntil";
 import { SoakLedger } from "./SoakLedger";
 
@@ -110,10 +110,10 @@
   /** Runs for some time, then lets everything come back and checks that work goes on. */
   async run(durationMs: number): Promise<SoakResult> {
     this._cluster = await PlatformCluster.start(ENGINES, {
-      areWorkersRelayed: true,
+      hasWorkerRelays: true,
       firstReportCount: REPORT_COUNT,
-      hidesStarts: this._options.hidesStarts,
-      returnMs: MAX_AWAY_MS,
+      omitsStartTime: this._options.hidesStarts,
+      restartMs: MAX_AWAY_MS,
     });
     try {
       await waitUntil("the first configuration is taken", () => this._putConfig(FIRST_VERSION, 0));
@@ -211,7 +211,7 @@
   /** Another writer's reports, in the name of a worker that runs. */
   private async _sendOddReports(): Promise<void> {
     const control = this._cluster.controlAddresses[this._draw(this._cluster.controls.length)]!;
-    const statuses = await sendOddReports(control, this._drawRunning("").id);
+    const statuses = await sendInvalidReports(control, this._drawRunning("").id);
     if (statuses.includes(200)) this._ledger.addViolation("an odd report was taken");
   }
 
@@ -240,7 +240,7 @@
   }
 
   /** The link heals by itself a while later, whatever else is done meanwhile. */
-  private async _spoilLink(spoil: (relay: Relay) => void): Promise<void> {
+  private async _spoilLink(spoil: (relay: TcpProxy) => void): Promise<void> {
     const { relay } = this._drawRunning("");
     if (relay === undefined) return;
     spoil(relay);
--- a/test/state/StateMachine.test.ts
+++ b/test/state/StateMachine.test.ts
@@ -3,7 +3,7 @@
 import { LogEntrySchema } from "../../src/gen/ploverstage/v1/consensus_pb";
 import { ClaimState, type Command, CommandSchema, ReplicaPhase } from "../../src/gen/ploverstage/v1/state_pb";
 import { type CommandResult, StateMachine } from "../../src/state";
-import { createLife } from "../support/createLife";
+import { createIncarnation } from "../support/createIncarnation";
 
 /** Applies commands one after another, as a member does with its log. */
 class Machine {
@@ -38,7 +38,7 @@
   form(...ids: string[]) {
     const members = ids.map((instanceId) => ({
       $typeName: "ploverstage.v1.ReplicaMember" as const,
-      ...createLife(instanceId),
+      ...createIncarnation(instanceId),
       address: "",
       failureDomain: "",
     }));
--- a/test/support/Cluster.ts
+++ b/test/support/Cluster.ts
@@ -11,7 +11,7 @@
 import { callEntry, createChat } from "./callEntry";
 import { ProcessHandle } from "./ProcessHandle";
 import { getFreeAddresses } from "./ports";
-import { Relay } from "./Relay";
+import { TcpProxy } from "./TcpProxy";
 import { waitUntil } from "./waitUntil";
 
 /** How large a system is started. */
@@ -25,7 +25,7 @@
   readonly withRelays?: boolean;
   readonly logLevel?: string;
   /** Instances a fabric domain; all of them in one by default. */
-  readonly perFabric?: number;
+  readonly instancesPerFabricDomain?: number;
 }
 
 const BINARY = process.env.PLOVERSTAGE_BINARY ?? "dist/test/ploverstage.cjs";
@@ -43,7 +43,7 @@
   readonly engines: EngineStandin[] = [];
   readonly services: ServiceStandin[] = [];
   /** Relays from one control process to another: `relays[from][to]`. */
-  readonly relays: (Relay | undefined)[][] = [];
+  readonly relays: (TcpProxy | undefined)[][] = [];
   platform!: PlatformStandin;
   private readonly _options: Required<ClusterOptions>;
   private _controlAddresses: string[] = [];
@@ -57,7 +57,7 @@
       engine: {},
       withRelays: false,
       logLevel: "info",
-      perFabric: 1_000,
+      instancesPerFabricDomain: 1_000,
       ...options,
     };
   }
@@ -157,7 +157,7 @@
     for (const relay of this._getRelaysOf(i)) relay.heal();
   }
 
-  private _getRelaysOf(i: number): Relay[] {
+  private _getRelaysOf(i: number): TcpProxy[] {
     const inbound = this.relays.map((row) => row[i]);
     return [...inbound, ...this.relays[i]!].filter((relay) => relay !== undefined);
   }
@@ -167,7 +167,7 @@
     for (let i = 0; i < this._options.engines; i++) {
       const engine = await EngineStandin.start({ id: `engine-${i}`, ...this._options.engine });
       this.engines.push(engine);
-      this._list(engine.id, engine.address, "engine", Math.floor(i / this._options.perFabric));
+      this._list(engine.id, engine.address, "engine", Math.floor(i / this._options.instancesPerFabricDomain));
     }
     for (let i = 0; i < this._options.services; i++) {
       const service = await ServiceStandin.start(`guichet-${i}`);
@@ -218,7 +218,7 @@
     for (let from = 0; from < count; from++) {
       this.relays[from] = [];
       for (let to = 0; to < count; to++) {
-        this.relays[from]![to] = from === to ? undefined : await Relay.start(this._controlAddresses[to]!);
+        this.relays[from]![to] = from === to ? undefined : await TcpProxy.start(this._controlAddresses[to]!);
       }
     }
   }
--- a/test/support/ProcessHandle.ts
+++ b/test/support/ProcessHandle.ts
@@ -81,7 +81,7 @@
   }
 
   /** Sends it a signal, whatever that does. */
-  send(signal: NodeJS.Signals): void {
+  sendSignal(signal: NodeJS.Signals): void {
     this._child?.kill(signal);
   }
 
@@ -123,7 +123,7 @@
   }
 
   private _end(signal: NodeJS.Signals): Promise<number | null> {
-    this.send(signal);
+    this.sendSignal(signal);
     return this.waitForEnd();
   }
 }
--- a/test/support/Relay.test.ts
+++ b/test/support/TcpProxy.test.ts
@@ -1,12 +1,12 @@
 import type { AddressInfo } from "node:net";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import { Relay } from "./Relay";
+import { TcpProxy } from "./TcpProxy";
 import { waitUntil } from "./waitUntil";
 
 describe("Relay", () => {
   let server: Server;
-  let relay: Relay;
+  let relay: TcpProxy;
   let caller: Socket;
   let seenByServer: string;
   let seenByCaller: string;
@@ -25,7 +25,7 @@
       });
     });
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-    relay = await Relay.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
+    relay = await TcpProxy.start(`127.0.0.1:${(server.address() as AddressInfo).port}`);
     const [host, port] = relay.address.split(":");
     caller = connect(Number(port), host);
     caller.on("error", () => {
--- a/test/support/Relay.ts
+++ b/test/support/TcpProxy.ts
@@ -11,7 +11,7 @@
 export type CutDirection = "both" | "toTarget" | "fromTarget";
 
 /** A relay to one address. */
-export class Relay {
+export class TcpProxy {
   address = "";
   private readonly _target: string;
   private readonly _sockets = new Set<Socket>();
@@ -27,8 +27,8 @@
   }
 
   /** Starts a relay. */
-  static async start(target: string): Promise<Relay> {
-    const relay = new Relay(target);
+  static async start(target: string): Promise<TcpProxy> {
+    const relay = new TcpProxy(target);
     const server = createServer((socket) => relay._relay(socket));
     await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
     relay._server = server;
--- a/test/support/createLife.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import type { Life } from "../../src/ids";
-
-/** Makes a life of an instance; without a start it is one that does not tell it. */
-export function createLife(instanceId: string, born = 0): Life {
-  return { instanceId, born };
-}
--- a/test/support/createMeter.ts
+++ b/test/support/createMeter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../../src/clock";
-import { SilentMetrics, WorkMeter } from "../../src/metrics";
+import { NoopMetrics, WorkMeter } from "../../src/metrics";
 
 /** Makes a meter whose figures and lines nobody reads. */
 export function createMeter(clock: Clock): WorkMeter {
-  return new WorkMeter({ clock, logger: { warn: () => {} } as never, metrics: new SilentMetrics() });
+  return new WorkMeter({ clock, logger: { warn: () => {} } as never, metrics: new NoopMetrics() });
 }
--- a/test/system/answers.test.ts
+++ b/test/system/answers.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { afterEach, describe, expect, it } from "vitest";
 import { createConfig, MODEL } from "../platform/createConfig";
-import { KeptCallers } from "../platform/KeptCallers";
+import { KeepAliveCallers } from "../platform/KeepAliveCallers";
 import { type ClusterOptions, PlatformCluster } from "../platform/PlatformCluster";
 import { waitUntil } from "../support/waitUntil";
 
@@ -43,9 +43,9 @@
     return cluster.workers.filter(({ place }) => place?.state === "open" && place.rank === 0);
   }
 
-  async function startCallers(count: number, pauseMs = 0): Promise<KeptCallers> {
+  async function startCallers(count: number, pauseMs = 0): Promise<KeepAliveCallers> {
     const { events } = STREAM;
-    const callers = new KeptCallers({ address: cluster.getEntryAddress(0), events, pauseMs });
+    const callers = new KeepAliveCallers({ address: cluster.getEntryAddress(0), events, pauseMs });
     callers.start(count);
     await waitUntil("all replicas stream", () => getHeads().every((head) => head.streamCount >= 2));
     return callers;
@@ -59,13 +59,13 @@
     await start();
     const callers = await startCallers(CALLERS);
     for (const signal of signals) {
-      cluster.entry.send(signal);
+      cluster.entry.sendSignal(signal);
       await new Promise((resolve) => setTimeout(resolve, gapMs));
     }
     expect(await cluster.entry.waitForEnd()).toBe(0);
-    await callers.waitUntilGone();
-    expect(callers.countEnds("cut")).toEqual({});
-    expect(callers.getEnded("whole").length).toBeGreaterThanOrEqual(CALLERS);
+    await callers.waitUntilDisconnected();
+    expect(callers.countByOutcome("cut")).toEqual({});
+    expect(callers.getByOutcome("whole").length).toBeGreaterThanOrEqual(CALLERS);
     const log = readFileSync(cluster.entry.logFile, "utf8");
     expect(log).toContain("gateway_stopped");
     // A signal that still waits when it comes again is one for the process.
@@ -81,7 +81,7 @@
       handle.start();
       // Node handles stop signals by itself before the program does, and reloads never.
       await waitUntil("it handles signals", () => handle.handles("SIGHUP"));
-      for (const signal of ["SIGHUP", "SIGTERM", "SIGHUP", "SIGTERM"] as const) handle.send(signal);
+      for (const signal of ["SIGHUP", "SIGTERM", "SIGHUP", "SIGTERM"] as const) handle.sendSignal(signal);
       const code = await handle.waitForEnd();
       expect(code, handle.lastOutput).toBe(0);
     },
@@ -91,25 +91,25 @@
     await start();
     const callers = await startCallers(CALLERS);
     cluster.entry.freeze();
-    cluster.entry.send("SIGTERM");
+    cluster.entry.sendSignal("SIGTERM");
     const sentAt = performance.now();
     await new Promise((resolve) => setTimeout(resolve, LATE_MS));
     cluster.entry.thaw();
     expect(await cluster.entry.waitForEnd()).toBe(0);
     expect(performance.now() - sentAt).toBeLessThan(SHORT_GRACE_S * MS_PER_S);
-    await callers.waitUntilGone();
+    await callers.waitUntilDisconnected();
   });
 
   it("though its endpoint stands still for a while and no repeat is left", async () => {
     await start({ budgetExtra: ONE_OF_EIGHT });
     const callers = await startCallers(CALLERS);
     for (const head of [...getHeads(), ...getHeads()]) {
-      head.standStill(STILL_MS);
+      head.pauseStreams(STILL_MS);
       await new Promise((resolve) => setTimeout(resolve, STILL_MS + STILL_MS / 2));
     }
     await callers.stop();
-    expect(callers.countEnds("cut")).toEqual({});
-    expect(callers.getEnded("whole").length).toBeGreaterThanOrEqual(CALLERS);
+    expect(callers.countByOutcome("cut")).toEqual({});
+    expect(callers.getByOutcome("whole").length).toBeGreaterThanOrEqual(CALLERS);
   });
 
   it.each(["event", "body", "head", "informational"] as const)(
@@ -123,10 +123,13 @@
       for (const head of others) head.endless = endless;
       await waitUntil("all have sent to some", () => others.every((head) => head.endlessCount >= CALLERS));
       for (const head of getHeads()) head.endless = undefined;
-      const before = callers.getEnded("whole").length;
-      await waitUntil("streams are whole again", () => callers.getEnded("whole").length > before + CALLERS);
+      const before = callers.getByOutcome("whole").length;
+      await waitUntil(
+        "streams are whole again",
+        () => callers.getByOutcome("whole").length > before + CALLERS,
+      );
       await callers.stop();
-      expect(callers.countEnds("cut", "unanswered")).toEqual({});
+      expect(callers.countByOutcome("cut", "unanswered")).toEqual({});
       expect(cluster.entry.isRunning).toBe(true);
       expect(cluster.entry.peakMemoryMb).toBeLessThan(MACHINE_MB);
     },
@@ -139,8 +142,8 @@
       const callers = await startCallers(count);
       const ended = cluster.entry.stop();
       expect(await ended).toBe(0);
-      await callers.waitUntilGone();
-      expect(callers.countEnds("cut", "unanswered")).toEqual({});
+      await callers.waitUntilDisconnected();
+      expect(callers.countByOutcome("cut", "unanswered")).toEqual({});
     },
   );
 });
--- a/test/system/crashingRequest.test.ts
+++ b/test/system/crashingRequest.test.ts
@@ -62,7 +62,7 @@
   afterEach(() => cluster.stop());
 
   async function start(engines: number): Promise<void> {
-    cluster = await PlatformCluster.start(engines, { entries: ENTRIES, returnMs: RETURN_MS });
+    cluster = await PlatformCluster.start(engines, { entries: ENTRIES, restartMs: RETURN_MS });
     await waitUntil(
       "the configuration is taken",
       async () => (await cluster.putConfig(0, createConfig(3, { routes: createRoutes() }))) === 200,
@@ -208,7 +208,7 @@
   afterEach(() => cluster.stop());
 
   it("is served on, however many they were", async () => {
-    cluster = await PlatformCluster.start(0, { entries: ENTRIES, returnMs: RETURN_MS });
+    cluster = await PlatformCluster.start(0, { entries: ENTRIES, restartMs: RETURN_MS });
     await waitUntil(
       "the configuration is taken",
       async () => (await cluster.putConfig(0, createConfig(3, { routes: createRoutes() }))) === 200,
--- a/test/system/endpoints.test.ts
+++ b/test/system/endpoints.test.ts
@@ -77,7 +77,7 @@
   });
 
   it("are left without a cut when they are leaving, and get no new work", async () => {
-    await start({ engines: 8, perFabric: 4, engine: { tokenMs: 30 } });
+    await start({ engines: 8, instancesPerFabricDomain: 4, engine: { tokenMs: 30 } });
     await cluster.waitForRouting(1);
     const members = await getMembers();
     let hasBegun = false;
@@ -109,7 +109,7 @@
   });
 
   it("run a new version after a roll-out that never left nothing serving", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     let isOver = false;
     let refused = 0;
@@ -130,7 +130,7 @@
   });
 
   it("show no instance in two replicas at any moment of losses and changes", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     const operator = await cluster.getOperator();
     let isOver = false;
@@ -156,7 +156,7 @@
   });
 
   it("go on in the other failure domains when a whole one is lost at once", async () => {
-    await start({ engines: 8, perFabric: 4 }, { replicas: 2 });
+    await start({ engines: 8, instancesPerFabricDomain: 4 }, { replicas: 2 });
     await cluster.waitForRouting(2);
     await Promise.all([
       cluster.controls[0]!.kill(),
--- a/test/system/lives.test.ts
+++ b/test/system/incarnations.test.ts
@@ -6,7 +6,7 @@
  */
 import { afterAll, beforeAll, describe, expect, it } from "vitest";
 import { createConfig, MODEL, STREAM } from "../platform/createConfig";
-import { sendOddReports } from "../platform/oddReports";
+import { sendInvalidReports } from "../platform/invalidReports";
 import { PlatformCluster } from "../platform/PlatformCluster";
 import type { WorkerStandin } from "../platform/WorkerStandin";
 import { waitUntil } from "../support/waitUntil";
@@ -90,8 +90,8 @@
       while (!isOver) {
         for (const control of cluster.controlAddresses) {
           statuses.push(
-            ...(await sendOddReports(control, "app-1")),
-            ...(await sendOddReports(control, "odd")),
+            ...(await sendInvalidReports(control, "app-1")),
+            ...(await sendInvalidReports(control, "odd")),
           );
         }
         await new Promise((resolve) => setTimeout(resolve, ODD_REPORT_PAUSE_MS));
--- a/test/system/outcomes.test.ts
+++ b/test/system/outcomes.test.ts
@@ -23,8 +23,8 @@
       for (const fault of Object.keys(engine.faults))
         delete engine.faults[fault as keyof typeof engine.faults];
     }
-    cluster.services[0]!.losesAnswers = false;
-    cluster.services[0]!.cutsAnswers = false;
+    cluster.services[0]!.dropsAnswers = false;
+    cluster.services[0]!.truncatesAnswers = false;
   });
 
   function call(request: CallerCall, entry = 0) {
@@ -246,7 +246,7 @@
     }
 
     it("is unknown when the answer to a write was lost, and ran once", async () => {
-      cluster.services[0]!.losesAnswers = true;
+      cluster.services[0]!.dropsAnswers = true;
       const before = countCalls();
       const answer = await call({ path: "/v1/services/guichet/members", body: "x" });
       expect(answer.headers["ploverstage-outcome"]).toBe("unknown");
@@ -258,7 +258,7 @@
         const answer = await call({ method: "GET", path: "/v1/services/guichet/x" });
         return answer.status === 200;
       });
-      cluster.services[0]!.losesAnswers = true;
+      cluster.services[0]!.dropsAnswers = true;
       const before = countCalls();
       const headers = { "ploverstage-repeatable": "yes" };
       await call({ path: "/v1/services/guichet/issue", body: "x", headers });
@@ -270,7 +270,7 @@
         const answer = await call({ method: "GET", path: "/v1/services/guichet/x" });
         return answer.status === 200;
       });
-      cluster.services[0]!.cutsAnswers = true;
+      cluster.services[0]!.truncatesAnswers = true;
       const answer = await call({ path: "/v1/services/guichet/members", body: "x" });
       expect(answer.isComplete).toBe(false);
     });
