--- a/bench/answers.ts
+++ b/bench/answers.ts
@@ -66,7 +66,7 @@
 
 function startCallers(cluster: PlatformCluster, entry: number): KeepAliveCallers {
   const address = cluster.getEntryAddress(entry);
-  const callers = new KeepAliveCallers({ address, events: STREAM.events, returnMs: RECONNECT_DELAY_MS });
+  const callers = new KeepAliveCallers({ address, events: STREAM.events, reconnectMs: RECONNECT_DELAY_MS });
   callers.start(CALLERS_PER_ENTRY);
   return callers;
 }
