--- a/test/explain/explain.test.ts
+++ b/test/explain/explain.test.ts
@@ -139,7 +139,7 @@
       encoding: "utf8",
     });
     const { attempts, models } = JSON.parse(text.split("\n")[0]!);
-    expect(attempts).toMatchObject([{ reason: "it refused with N", count: 1 }]);
+    expect(attempts).toMatchObject([{ reason: "endpoint refused the request with N", count: 1 }]);
     expect(models).toMatchObject([{ answered: 1, lateShare: 0 }]);
   });
 });
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -83,7 +83,7 @@
       kind: "stream",
       isResumable: true,
       gapObjectiveMs: 250,
-      callerPatienceMs: 2_000,
+      callerTimeoutMs: 2_000,
       split: CONFIG.routes[0]!.trafficSplit,
     });
     expect(declaration.routes[1]).toMatchObject({
@@ -249,7 +249,7 @@
     const sealed = { "x-ploverstage-response-seal": "s", "x-ploverstage-request-id": "r" };
     const read = (status: number, headers: object) =>
       dialect.readAnswer(call, { status, headers: { ...headers } });
-    expect(read(200, sealed)).toEqual({ isOwn: true, wasNotRun: false, isGenuine: true });
+    expect(read(200, sealed)).toEqual({ matchesRequest: true, wasNotRun: false, isGenuine: true });
     expect(read(200, {}).isGenuine).toBe(false);
     expect(read(200, { ...sealed, "content-encoding": "gzip" }).isGenuine).toBe(false);
     expect(read(200, { ...sealed, "x-ploverstage-request-id": "other" }).matchesRequest).toBe(false);
--- a/test/registration/orders.test.ts
+++ b/test/registration/orders.test.ts
@@ -61,7 +61,7 @@
           propose: (action: (leadership: object) => Promise<object>) => action({ publish: () => {} }),
         },
         clock: new SystemClock(),
-        calls: { follow: (_: string, outcome: Promise<object>) => outcome },
+        calls: { track: (_: string, outcome: Promise<object>) => outcome },
       } as never,
     );
     for (const version of [6, 7]) await put({ version } as PutDeclarationRequest);
