--- a/src/cli/configurationCommands.ts
+++ b/src/cli/configurationCommands.ts
@@ -103,7 +103,7 @@
 
 async function confirmChange(before: string, after: string, version: number, file: string): Promise<boolean> {
   const diff = diffConfiguration(before, after, `version ${version}`, basename(file));
-  printLine(diff === "" ? "no changes" : diff);
+  printLine(diff === "" ? "no difference" : diff);
   if (!process.stdin.isTTY) {
     printError("standard input is not a terminal; use --yes to apply without confirmation");
     return false;
@@ -155,7 +155,7 @@
   const client = await OperatorClient.create(options);
   if (options.versionText !== undefined) {
     const found = await client.getConfiguration(Number(options.versionText));
-    printLine(found?.text || "the text of this version is no longer stored");
+    printLine(found?.text || "the text of this version is no longer kept");
     return;
   }
   const { versions } = await client.getHistory(Number(options.limit));
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -27,12 +27,12 @@
   const explanation = createExplanation(log);
   if (options.json) printJson(explanation);
   else printExplanation(explanation, options.all === true);
-  printLine(`${log.requests.length} requests; ${log.skippedLines} other lines skipped`);
+  printLine(`${log.requests.length} requests; ${log.skippedLines} lines say something else`);
 }
 
 function printExplanation(explanation: Explanation, showsAll: boolean): void {
   printSeconds(explanation, showsAll);
-  printLine("\nPeriods in which more than half of the requests were refused or cut");
+  printLine("\nSeconds in which less than half was answered");
   printTable(
     ["FROM", "SECONDS", "LOST", "MOSTLY"],
     explanation.blackouts.map(({ from, seconds, lost, mainCause }) => [
@@ -49,7 +49,7 @@
     explanation.attempts.map(({ count, meanMs, reason }) => [String(count), String(meanMs), reason]),
   );
   printIdle(explanation);
-  printLine("\nInstance incarnations that ended");
+  printLine("\nLives of instances that were held for ended");
   printTable(
     ["AT", "INSTANCE", "STARTED", "GROUND"],
     explanation.endedLives.map(({ time, instance, born, ground }) => [
@@ -75,7 +75,7 @@
 }
 
 function printModels({ models }: Explanation): void {
-  printLine("\nTime to the first event (whole answer for plain services) against the objective");
+  printLine("\nFirst events, and whole answers of plain services, against their objective");
   printTable(
     ["MODEL", "ANSWERED", "LATE", "P50 MS", "P90 MS", "P99 MS", "REFUSED", "CUT"],
     models.map((row) => [
@@ -91,7 +91,7 @@
   const idleS = idle.reduce((sum, span) => sum + span.idle * span.seconds, 0);
   printLine(`\nInstances in no serving replica: ${idleS.toFixed(0)} instance-seconds`);
   printTable(
-    ["FROM", "SECONDS", "PRESENT", "SERVING", "IDLE", "REPLICAS", "RETIRED BECAUSE"],
+    ["FROM", "SECONDS", "PRESENT", "SERVING", "IDLE", "REPLICAS", "GIVEN UP"],
     idle.map((span) => [
       span.from.slice(11, 23),
       span.seconds.toFixed(1),
--- a/src/cli/processes.ts
+++ b/src/cli/processes.ts
@@ -33,7 +33,7 @@
 async function initialize(file: string): Promise<void> {
   const settings = await readControlSettings(file);
   await initializeDataFolder(settings, await readSecret(settings.secrets.clusterFile));
-  printLine(`created ${settings.control.dataFolder} for ${settings.process.name}`);
+  printLine(`made ${settings.control.dataFolder} for ${settings.process.name}`);
 }
 
 async function runControl(file: string): Promise<void> {
--- a/src/cli/reportCommands.ts
+++ b/src/cli/reportCommands.ts
@@ -59,7 +59,7 @@
     row.alert ?? "-",
   ]);
   const head = ["ORGANISATION", "CLASS", "OBJECTIVE", ...spans.map((span) => `BURN ${span.minutes}M`)];
-  if (rows.length === 0) printLine("no requests recorded");
+  if (rows.length === 0) printLine("no requests were counted");
   else printTable([...head, "FIRST TOKEN P50/95/99 MS", "ALERT"], rows);
   const losses = report.losses.map((loss) => [
     loss.model,
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -23,7 +23,7 @@
 }
 
 function printStatus(status: StatusResponse, showsAll: boolean): void {
-  if (status.problems.length === 0) printLine("no problems found");
+  if (status.problems.length === 0) printLine("nothing is wrong");
   for (const problem of status.problems) printLine(`! ${problem}`);
   printLine(
     `\nconfiguration ${status.configurationVersion}, term ${status.term}, log index ${status.logIndex}\n`,
