--- a/src/cli/configurationCommands.ts
+++ b/src/cli/configurationCommands.ts
@@ -125,7 +125,7 @@
   for (const fault of response.faults) printError(`${file}:${fault.line}: ${fault.path}: ${fault.message}`);
   if (response.outcome === ApplyOutcome.CONFLICT) {
     printError(
-      `refused: ${response.winner} applied version ${response.version} first; review it and apply again`,
+      `refused: ${response.winner} made version ${response.version} first; look at it and apply again`,
     );
   }
 }
