--- a/test/configuration/parseConfiguration.test.ts
+++ b/test/configuration/parseConfiguration.test.ts
@@ -96,7 +96,7 @@
 
   it("rejects an expression above the cost limit", () => {
     const long = Array.from({ length: 60 }, () => "hour > 1.0").join(" || ");
-    expect(getFaults(BASE.replace('when = "true"', `when = "${long}"`))[0]).toContain("120 at most");
+    expect(getFaults(BASE.replace('when = "true"', `when = "${long}"`))[0]).toContain("120 is the maximum");
   });
 
   it("reports the line of a syntax error", () => expect(getFaults("a = 1\nb = [")[0]).toMatch(/^c\.toml:2:/));
