--- a/src/gateway/CrashMonitor.ts
+++ b/src/gateway/CrashMonitor.ts
@@ -4,7 +4,7 @@
  * Callers retry a request that crashes its endpoints, so without blocking it would crash one instance after
  * the other, through this entry and all others. In a recorded day, one such request a second crashed 38 heads
  * of replicas in 20 s, and nearly none of the other requests of its model was served. With blocking, each
- * such request crashes three instances at most, measured on quiet runs of three entries that receive it in
+ * such request crashes at most three instances in quiet runs of three entries that receive it in
  * turn every 0.3 s.
  */
 import { pause } from "../clock";
