--- a/src/burn/BurnReport.ts
+++ b/src/burn/BurnReport.ts
@@ -146,8 +146,8 @@
 }
 
 /**
- * Gets the alert of a class. Too few requests never alert, because they can't use up a significant part of
- * the error budget.
+ * Gets the alert of a class. There is none below a minimum number of requests, because so few can't use up a
+ * significant part of the error budget.
  */
 function getAlert(spans: readonly BurnSpan[]): "fast" | "slow" | undefined {
   if ((spans.at(-1)?.total ?? 0) < MIN_ALERT_REQUESTS) return undefined;
--- a/src/cli/configurationCommands.ts
+++ b/src/cli/configurationCommands.ts
@@ -31,7 +31,10 @@
   program
     .command("check")
     .description("check a configuration or the settings of a process, and list all faults")
-    .argument("<file>", "TOML file; a [process] table marks it as settings")
+    .argument(
+      "<file>",
+      "TOML file: a configuration, or the settings of a process if it has a [process] table",
+    )
     .option("--json", "print faults as JSON")
     .action((file: string, options: { json?: true }) => check(file, options.json === true));
   addOperatorOptions(program.command("apply"))
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -9,7 +9,6 @@
   readonly all?: true;
 }
 
-/** Adds the command `explain`. */
 export function addExplainCommand(program: Command): void {
   program
     .command("explain")
--- a/src/cli/statusCommand.ts
+++ b/src/cli/statusCommand.ts
@@ -8,7 +8,7 @@
 import { addOperatorOptions } from "./operatorOptions";
 import { printJson, printLine, printTable } from "./output";
 
-/** Adds the command `status`. */
+/** Adds `status`, which prints the state of the system as observed by the control leader. */
 export function addStatusCommand(program: Command): void {
   addOperatorOptions(program.command("status"))
     .description("show problems, then replicas, stranded instances, entries and control processes")
--- a/src/clock/SuspendedTime.ts
+++ b/src/clock/SuspendedTime.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Shortest suspension that is counted, in milliseconds. Clocks that are read one after the other differ by
- * less, and so does their drift between two readings.
+ * Shortest suspension that is counted, in milliseconds. Reading the clocks one after the other, and their
+ * drift between two readings, cause smaller differences.
  */
 const MIN_SUSPENSION_MS = 20;
 /**
--- a/src/consensus/MemoryLog.ts
+++ b/src/consensus/MemoryLog.ts
@@ -85,7 +85,7 @@
   compact(index: number): void {
     if (index <= this._snapshotIndex) return;
     const term = this.getTerm(index);
-    assertInvariant(term !== undefined, "a snapshot must cover entries of the log", index);
+    assertInvariant(term !== undefined, "the last index of a snapshot must be in the log", index);
     this._snapshotMembership = this.getMembership(index);
     this._entries = this._entries.slice(index - this._snapshotIndex);
     this._membershipEntries = this._membershipEntries.filter((entry) => entry.index > index);
--- a/src/consensus/Outbox.ts
+++ b/src/consensus/Outbox.ts
@@ -31,7 +31,6 @@
     this._durable.push(message);
   }
 
-  /** Adds an entry to write. */
   addEntry(entry: LogEntry): void {
     this._entries.push(entry);
   }
--- a/src/consensus/Progress.ts
+++ b/src/consensus/Progress.ts
@@ -18,10 +18,13 @@
 const PROBE_HEARTBEATS = 5;
 
 /**
- * A voter loses its vote to a learner if its last response is older than the majority's by more than this.
+ * A voter loses its vote to a learner if it last responded more than this long before the last time a
+ * majority responded.
  */
 const UNRESPONSIVE_MS = 1_000;
-/** A learner is removed if its last response is older than the majority's by more than this. */
+/**
+ * A learner is removed if it last responded more than this long before the last time a majority responded.
+ */
 const EXPIRY_MS = 10_000;
 /** A joining member may vote if it lacks at most this many entries. */
 const CAUGHT_UP_ENTRIES = 50;
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -17,7 +17,6 @@
   return membership.members.some((member) => member.id === id && !member.learner);
 }
 
-/** Gets the member with an id. */
 export function getMember(membership: Membership, id: string): Member | undefined {
   return membership.members.find((member) => member.id === id);
 }
--- a/src/containment/crashRecords.ts
+++ b/src/containment/crashRecords.ts
@@ -19,8 +19,8 @@
 const MAX_CRASHES_PER_RECORD = 64;
 
 /**
- * Gets the number of instances that a request crashed in a row, where each run began after the previous crash
- * was recorded.
+ * Gets the length of the longest chain of crashes in which each run of the request began after the previous
+ * crash was recorded.
  */
 export function getCrashDepth({ crashes }: CrashRecord): number {
   return crashes.reduce((depth, crash) => Math.max(depth, crash.depth), 0);
--- a/src/control/ConfigurationCache.ts
+++ b/src/control/ConfigurationCache.ts
@@ -6,7 +6,10 @@
 /** Longest lease that a configuration may declare, in milliseconds. */
 export const MAX_LEASE_MS = 10_000;
 
-/** Number of configuration versions that stay cached and are searched for the longest lease. */
+/**
+ * Number of recent configuration versions that stay cached. The longest lease that may still be valid is
+ * computed from them.
+ */
 const RETAINED_VERSIONS = 20;
 
 /** The parsed configurations of one consensus member's state. */
--- a/src/control/ControlProcess.ts
+++ b/src/control/ControlProcess.ts
@@ -43,7 +43,6 @@
   readonly order: string;
 }
 
-/** Options of a control process. */
 export interface ControlProcessOptions {
   readonly settings: ControlSettings;
   readonly secrets: ControlSecrets;
--- a/src/control/InstanceMonitor.ts
+++ b/src/control/InstanceMonitor.ts
@@ -5,7 +5,6 @@
 import type { InstanceId } from "../ids";
 import { type EngineFactory, PresenceProber, type PresenceTable } from "../presence";
 
-/** Options of an instance monitor. */
 export interface InstanceMonitorOptions {
   readonly platform: InstanceSource;
   readonly createEngine: EngineFactory;
--- a/src/control/Leadership.ts
+++ b/src/control/Leadership.ts
@@ -30,7 +30,6 @@
 import { InstanceMonitor } from "./InstanceMonitor";
 import { LossLedger } from "./LossLedger";
 
-/** Options of a leadership. */
 export interface LeadershipOptions {
   readonly driver: ConsensusDriver;
   readonly platform: InstanceSource;
@@ -49,7 +48,6 @@
 
 /** The work of the leader during one term. */
 export class Leadership {
-  /** The consensus term. */
   readonly term: number;
   /** Leases granted in this term. */
   readonly leases: LeaseTable;
--- a/src/control/routes/entryRoutes.ts
+++ b/src/control/routes/entryRoutes.ts
@@ -20,7 +20,6 @@
 import { getAbsentInstances } from "../LossLedger";
 import type { PatchCache } from "../PatchCache";
 
-/** Options of the entry routes. */
 export interface EntryRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<Leadership>;
@@ -29,7 +28,7 @@
   readonly patches: PatchCache;
 }
 
-/** Adds the entry service to a router. */
+/** Adds the RPCs by which entries renew their leases and claim and settle keys. */
 export function addEntryRoutes(router: ConnectRouter, options: EntryRouteOptions): void {
   const { driver, guard, clock } = options;
   router.service(EntryService, {
--- a/src/control/routes/operatorRoutes.ts
+++ b/src/control/routes/operatorRoutes.ts
@@ -11,7 +11,6 @@
 import type { Leadership } from "../Leadership";
 import { createLossStatuses, createStatus } from "./status";
 
-/** Options of the operator routes. */
 export interface OperatorRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<Leadership>;
@@ -24,7 +23,9 @@
 /** Most versions that one history call returns. */
 const MAX_HISTORY = 1_000;
 
-/** Adds the operator service to a router. */
+/**
+ * Adds the RPCs by which operators apply and read configurations, and read the status and the burn report.
+ */
 export function addOperatorRoutes(router: ConnectRouter, options: OperatorRouteOptions): void {
   const { driver, guard, clock } = options;
   router.service(OperatorService, {
--- a/src/control/routes/status.ts
+++ b/src/control/routes/status.ts
@@ -21,7 +21,7 @@
 type EntryInit = MessageInitShape<typeof EntryStatusSchema>;
 type InstanceInit = MessageInitShape<typeof InstanceStatusSchema>;
 
-/** Sources of the status. */
+/** State from which the status is computed, in addition to that of the leadership. */
 export interface StatusSources {
   readonly driver: ConsensusDriver;
   readonly clock: Clock;
--- a/src/entry/ClusterView.ts
+++ b/src/entry/ClusterView.ts
@@ -15,7 +15,6 @@
   readonly policy: PolicyProgram;
 }
 
-/** The view of one entry. */
 export class ClusterView {
   private _configuration: ActiveConfiguration | undefined;
   private _replicas = new Map<string, Replica>();
--- a/src/entry/EntryProcess.ts
+++ b/src/entry/EntryProcess.ts
@@ -24,7 +24,6 @@
 import { LeaseKeeper } from "./LeaseKeeper";
 import { ReplicaRouter } from "./ReplicaRouter";
 
-/** Options of an entry process. */
 export interface EntryProcessOptions {
   readonly settings: EntrySettings;
   readonly clusterSecret: string;
--- a/src/entry/EntryServer.ts
+++ b/src/entry/EntryServer.ts
@@ -26,7 +26,6 @@
 import type { ReplicaRouter } from "./ReplicaRouter";
 import type { ClassifiedRequest, IdentifiedRequest } from "./requests";
 
-/** Options of an entry server. */
 export interface EntryServerOptions {
   /** host:port */
   readonly listen: string;
@@ -131,7 +130,7 @@
   private _answerQuery(url: string, response: ServerResponse): boolean {
     if (handleHealthRequest(url, response, () => this.getUnreadyReason())) return true;
     if (url === "/v1/addresses") sendJson(response, this._createAddresses());
-    else if (url === "/v1/models") sendJson(response, this._createModels());
+    else if (url === "/v1/models") sendJson(response, this._createModelList());
     else return false;
     return true;
   }
@@ -147,7 +146,7 @@
     };
   }
 
-  private _createModels() {
+  private _createModelList() {
     const models = this._options.view.configuration?.declared.models ?? [];
     const names = models.flatMap((model) => [
       model.name,
--- a/src/entry/LeaseKeeper.ts
+++ b/src/entry/LeaseKeeper.ts
@@ -12,7 +12,6 @@
 /** The load that an entry reports with each renewal. */
 export type EntryReport = Pick<RenewRequest, "inFlight" | "queued">;
 
-/** Options of a lease keeper. */
 export interface LeaseKeeperOptions {
   readonly entryId: EntryId;
   readonly entryName: string;
@@ -37,7 +36,6 @@
  */
 const FAILED_RENEWAL_PAUSE_MS = 50;
 
-/** Result of a renewal. */
 type RenewalResult = "changed" | "unchanged" | "failed";
 
 /** Renews the lease of one entry. */
--- a/src/entry/Refusal.ts
+++ b/src/entry/Refusal.ts
@@ -79,7 +79,6 @@
     return this.reason;
   }
 
-  /** Gets the HTTP status. */
   get status(): number {
     return STATUS_BY_CODE[this.code];
   }
--- a/src/entry/filters/ModelDispatch.ts
+++ b/src/entry/filters/ModelDispatch.ts
@@ -26,7 +26,6 @@
 /** A classified model request. */
 export type ModelRequest = ClassifiedRequest & { readonly call: ModelCall };
 
-/** Result of a model request. */
 export interface ModelResult {
   readonly replicaId: string;
   /** Milliseconds from the receipt of the request to the first frame of the answer. */
@@ -35,7 +34,6 @@
   readonly retries: number;
 }
 
-/** Options of the model dispatch. */
 export interface ModelDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
@@ -227,7 +225,10 @@
     await attempt.writer.write(frames, attempt.route.replica.id);
   }
 
-  /** Only a cut connection is resumed. A foreign answer or an error of the engine would recur. */
+  /**
+   * A request is resumed only if its answer was lost on the way. An answer that belongs to another request,
+   * or an error of the engine, would recur.
+   */
   private _mayResume(attempt: Attempt, cause: unknown, signal: AbortSignal): boolean {
     if (!(cause instanceof LostAnswer) || signal.aborted || attempt.tokens === 0) return false;
     return !attempt.controller.signal.aborted && this._isCurrent(attempt.route.replica);
--- a/src/entry/filters/RequestRecorder.ts
+++ b/src/entry/filters/RequestRecorder.ts
@@ -5,7 +5,6 @@
 import type { Refusal } from "../Refusal";
 import type { ClassifiedRequest } from "../requests";
 
-/** The result of a request. */
 export interface RequestRecord {
   readonly request: ClassifiedRequest;
   /** Why the request was refused or aborted. `undefined` after a complete answer. */
--- a/src/entry/filters/ServiceDispatch.ts
+++ b/src/entry/filters/ServiceDispatch.ts
@@ -25,14 +25,12 @@
 /** A classified service call. */
 export type ServiceRequest = ClassifiedRequest & { readonly call: ServiceCall };
 
-/** Result of a service call. */
 export interface ServiceResult {
   readonly instanceId: string;
   readonly status: number;
   readonly retries: number;
 }
 
-/** Options of the service dispatch. */
 export interface ServiceDispatchOptions {
   readonly clock: Clock;
   readonly view: ClusterView;
--- a/src/explain/Explanation.ts
+++ b/src/explain/Explanation.ts
@@ -31,7 +31,7 @@
  * Times to the first event, or to the whole answer, of one model's requests, compared with their objective.
  */
 export interface ModelRow {
-  /** Empty for plain services. */
+  /** Empty for requests to services that serve no model. */
   readonly model: string;
   readonly answered: number;
   readonly lateShare: number;
--- a/src/gateway/CrashMonitor.ts
+++ b/src/gateway/CrashMonitor.ts
@@ -25,7 +25,6 @@
   readonly answeredAt: number | undefined;
 }
 
-/** Options of a `CrashMonitor`. */
 export interface CrashMonitorOptions {
   readonly ledger: CrashLedger;
   readonly logger: Logger;
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -52,7 +52,6 @@
   readonly deadlineAt: number;
 }
 
-/** Dependencies of exchanges. */
 export interface ExchangeDependencies {
   readonly clock: Clock;
   readonly client: HttpClient;
@@ -216,7 +215,7 @@
     );
   }
 
-  /** Gets the current time. */
+  /** Gets the monotonic time in milliseconds. */
   getNow(): number {
     return this.dependencies.clock.getMonotonicMs();
   }
@@ -420,8 +419,8 @@
   }
 
   /**
-   * Checks whether the request can still meet its objective. Always true for a resumed stream: its first
-   * event has been sent, but its gaps still have an objective.
+   * Checks whether the request can still meet its objective. Always true for a resumed stream: the objective
+   * for the first event no longer applies, only the one for the time between events.
    */
   private _canMeetObjective(lastEventId: string | undefined): boolean {
     const { firstRequestedAt, route } = this.request;
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -33,7 +33,6 @@
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
-/** Options of a gateway. */
 export interface GatewayOptions {
   /** Addresses are read once at the start; all other settings may change at runtime. */
   readonly settings: LiveSettings<GatewaySettings>;
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -18,7 +18,6 @@
 import { getFirstViewRetryAfterMs } from "./retryAfter";
 import { StreamExchange } from "./StreamExchange";
 
-/** Options of a gateway server. */
 export interface GatewayServerOptions {
   /** host:port */
   readonly listen: string;
@@ -245,7 +244,7 @@
     progress.call = call;
     const routes = this._options.getRoutes();
     if (routes === undefined) {
-      throw this._createUnconfirmedRefusal(
+      throw this._createRefusalBeforeFirstView(
         "no_declaration",
         "this entry has not received a declaration yet",
         progress,
@@ -309,10 +308,10 @@
   ): GatewayRefusal {
     if (this._options.isConfirmed()) return createFinalRefusal(status, code, reason);
     const unconfirmedReason = `${reason} in the cached declaration, which may be outdated`;
-    return this._createUnconfirmedRefusal("unconfirmed_declaration", unconfirmedReason, progress, call);
+    return this._createRefusalBeforeFirstView("unconfirmed_declaration", unconfirmedReason, progress, call);
   }
 
-  private _createUnconfirmedRefusal(
+  private _createRefusalBeforeFirstView(
     code: GatewayRefusal["code"],
     reason: string,
     { receivedAt }: RequestProgress,
@@ -443,7 +442,7 @@
       declaration: this._options.getRoutes()?.declaration.version ?? 0,
       view_term: publishedView.term,
       view_control: publishedView.control,
-      // JSON can't represent infinity, which stands for no published view.
+      // Before the first view is published the age is infinite, which JSON can't represent.
       view_silence_ms: publishedView.control === "" ? undefined : Math.round(publishedView.heartbeatAgeMs),
       outcome,
       code,
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -15,7 +15,6 @@
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
 import { getAnswerTimeoutMs, getGapTimeoutMs } from "./timeouts";
 
-/** Result of a stream. */
 export interface StreamResult {
   /** Whether the caller received the complete answer. */
   readonly isWhole: boolean;
--- a/src/gateway/retryAfter.ts
+++ b/src/gateway/retryAfter.ts
@@ -15,8 +15,8 @@
  */
 const MIN_RANDOM_SHARE = 0.6;
 /**
- * Time from an entry's start to its first view. After a power loss everywhere, where control starts on a
- * fifth of a core, it took 0.85 s from listening to the first declaration.
+ * Time from an entry's start to its first view. When the whole system restarts after a power loss and control
+ * processes have a fifth of a core, 0.85 s pass between listening and the first declaration.
  */
 const FIRST_VIEW_MS = 1_000;
 /** Callers refused before the first view retry spread over this time. */
--- a/src/membership/LeadershipWatch.ts
+++ b/src/membership/LeadershipWatch.ts
@@ -11,7 +11,6 @@
   end(): void;
 }
 
-/** Dependencies of a watch. */
 export interface LeadershipWatchOptions<L extends TermLeadership> {
   readonly driver: ConsensusDriver;
   /** Creates the work for the current term. */
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -58,7 +58,6 @@
   return FileStorage.open(folder);
 }
 
-/** Dependencies of a member's driver. */
 export interface MemberDriverOptions {
   readonly storage: FileStorage;
   readonly stored: StoredState;
@@ -115,7 +114,6 @@
   );
 }
 
-/** Dependencies of `joinMembership`. */
 export interface JoinOptions {
   readonly driver: ConsensusDriver;
   /** This member. */
--- a/src/planner/Planner.ts
+++ b/src/planner/Planner.ts
@@ -257,7 +257,7 @@
     for (const replica of broken.sort((a, b) => this._countAbsent(a) - this._countAbsent(b))) {
       if (this._retiring.has(replica.id)) continue;
       if (this._shouldWait(view, replica)) continue;
-      const donors = this._getDonors(view, replica) ?? (this._repair.isLossFinal ? [] : undefined);
+      const donors = this._getReplicasToBreakUp(view, replica) ?? (this._repair.isLossFinal ? [] : undefined);
       if (donors === undefined) continue;
       this._retire(replica, REASON.lost);
       for (const donor of donors) this._retire(donor, REASON.donor);
@@ -291,7 +291,7 @@
    * come first, since they do not serve either, then complete replicas of lower value.
    * @returns `undefined` when the replica cannot be completed; waiting then costs nothing.
    */
-  private _getDonors(view: GroupView, replica: Replica): Replica[] | undefined {
+  private _getReplicasToBreakUp(view: GroupView, replica: Replica): Replica[] | undefined {
     let missing = this._countAbsent(replica) - this._pool.getCount(replica.fabricDomain);
     const donors: Replica[] = [];
     for (const donor of this._getDonorCandidates(view, replica)) {
@@ -405,7 +405,7 @@
     const forming = this._views
       .flatMap((view) => view.forming.map((replica) => ({ replica, view })))
       .filter(({ replica }) => !this._retiring.has(replica.id))
-      .map((item) => ({ ...item, missing: this._getMissingShare(item.replica) }))
+      .map((item) => ({ ...item, missing: this._getUnjoinedFraction(item.replica) }))
       .sort((a, b) => b.view.group.value - a.view.group.value || this._compareLoads(a, b));
     for (const { replica, view } of forming) {
       for (const { instance, rank } of this._getUnjoinedMembers(replica)) {
@@ -486,7 +486,7 @@
     return getOrder(a) - getOrder(b) || a.missing - b.missing;
   }
 
-  private _getMissingShare(replica: Replica): number {
+  private _getUnjoinedFraction(replica: Replica): number {
     return this._getUnjoinedMembers(replica).length / replica.members.length;
   }
 
--- a/src/planner/RepairPolicy.ts
+++ b/src/planner/RepairPolicy.ts
@@ -7,7 +7,7 @@
  */
 import type { Absence } from "./facts";
 
-/** Input for choosing the waiting time; durations are in milliseconds. */
+/** Input for choosing how long a replica waits for a missing instance; durations are in milliseconds. */
 export interface RepairFacts {
   /** Expected duration of a rebuild once it starts. */
   readonly rebuildMs: number;
@@ -15,7 +15,7 @@
   readonly maxWaitMs: number;
 }
 
-/** A policy for choosing the waiting time. */
+/** Chooses how long a replica waits for a missing instance. */
 export interface RepairPolicy {
   /**
    * Whether a lost instance never returns to its replica, so that waiting leaves the other instances stranded
--- a/src/process/LoadMonitor.ts
+++ b/src/process/LoadMonitor.ts
@@ -8,7 +8,6 @@
 import { type Clock, type EventLoopLag, getProcessorMs } from "../clock";
 import type { CallLoad, Logger, Metrics } from "../metrics";
 
-/** Options of a load monitor. */
 export interface LoadMonitorOptions {
   readonly clock: Clock;
   readonly lag: EventLoopLag;
--- a/src/process/ProcessSignals.ts
+++ b/src/process/ProcessSignals.ts
@@ -16,7 +16,7 @@
 /** Source of signals, usually the process itself. */
 export type SignalSource = Pick<NodeJS.EventEmitter, "on">;
 
-/** The signals received by one process. */
+/** Records the stop signals (SIGTERM, SIGINT) and reload signals (SIGHUP) that this process receives. */
 export class ProcessSignals {
   /** Resolves with the first stop signal; later stop signals are only logged. */
   readonly firstStop: Promise<StopSignal>;
--- a/src/process/SuspensionMonitor.ts
+++ b/src/process/SuspensionMonitor.ts
@@ -18,7 +18,6 @@
  */
 const MIN_SUSPENSION_MS = 100;
 
-/** Options of a suspension monitor. */
 export interface SuspensionMonitorOptions {
   readonly clock: SuspensionClock;
   readonly logger: Logger;
--- a/src/registration/ControlCallCounter.ts
+++ b/src/registration/ControlCallCounter.ts
@@ -13,7 +13,7 @@
 /** Minimum time between two log lines about refused calls. */
 const LOG_INTERVAL_MS = 1_000;
 
-/** The calls of one process. */
+/** Counts calls by kind, and logs the refused ones once a second. */
 export class ControlCallCounter {
   private readonly _logger: Logger;
   private readonly _metrics: Metrics;
--- a/src/registration/CrashRegistry.ts
+++ b/src/registration/CrashRegistry.ts
@@ -17,7 +17,6 @@
 const RELEASE_CHECK_INTERVAL_MS = 1_000;
 const NEVER = Number.NEGATIVE_INFINITY;
 
-/** Dependencies of a registry. */
 export interface CrashRegistryOptions {
   readonly driver: ConsensusDriver;
   readonly clock: Clock;
--- a/src/registration/FleetControlProcess.ts
+++ b/src/registration/FleetControlProcess.ts
@@ -41,7 +41,6 @@
 import { Registrar } from "./Registrar";
 import type { ReplicaTimes } from "./ReplicaController";
 
-/** Options of a fleet control process. */
 export interface FleetControlOptions {
   /** Addresses and folders are read once at the start; every other setting may change. */
   readonly settings: LiveSettings<FleetControlSettings>;
--- a/src/registration/FleetLeadership.ts
+++ b/src/registration/FleetLeadership.ts
@@ -36,7 +36,6 @@
 import { RelayRoster } from "./RelayRoster";
 import { ReplicaController, type ReplicaTimes } from "./ReplicaController";
 
-/** Options of a leadership. */
 export interface FleetLeadershipOptions {
   readonly driver: ConsensusDriver;
   readonly orders: InstanceOrders;
@@ -64,9 +63,8 @@
  */
 const TARGET_EXPIRY_MS = 20_000;
 
-/** The leadership of one term. */
+/** Work of this process as the leader during one term. */
 export class FleetLeadership {
-  /** The term of this leadership. */
   readonly term: number;
   /** The view that this leader publishes. */
   readonly view = new FleetView();
--- a/src/registration/FleetRelay.ts
+++ b/src/registration/FleetRelay.ts
@@ -28,16 +28,15 @@
 import { ViewHub } from "./ViewHub";
 import { ViewWatcher } from "./ViewWatcher";
 
-/** Options of a relay. */
 export interface FleetRelayOptions {
   readonly driver: ConsensusDriver;
   /** Gets the leadership while this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
   /** Gets the host:port addresses of the seeds. */
   readonly getSeeds: () => readonly string[];
-  /** The address at which other control processes reach this one. */
+  /** Address at which other control processes reach this control process. */
   readonly listen: string;
-  /** The address at which instances reach this one. */
+  /** Address at which instances reach this control process. */
   readonly publicAddress: string;
   readonly transports: TransportPool;
   /**
--- a/src/registration/FleetView.ts
+++ b/src/registration/FleetView.ts
@@ -14,7 +14,7 @@
 } from "../gen/ploverstage/v1/fleet_pb";
 import { type CrashRecord, CrashRecordSchema, type Declaration } from "../gen/ploverstage/v1/state_pb";
 
-/** The changes that a watcher has received. */
+/** Position up to which a watcher has received the changes of the view. */
 export interface WatchPosition {
   readonly revision: number;
   readonly declarationVersion: number;
--- a/src/registration/IdentityChecks.ts
+++ b/src/registration/IdentityChecks.ts
@@ -11,7 +11,6 @@
 import type { InstanceOrders, OrderReceiver } from "./InstanceOrders";
 import type { InstanceRegistry } from "./InstanceRegistry";
 
-/** Dependencies of the checks. */
 export interface IdentityChecksOptions {
   readonly registry: InstanceRegistry;
   readonly orders: Pick<InstanceOrders, "identify" | "askBorn">;
--- a/src/registration/InstanceOrders.ts
+++ b/src/registration/InstanceOrders.ts
@@ -44,7 +44,6 @@
   readonly model: string;
 }
 
-/** Any order. */
 export type InstanceOrder = JoinOrder | OpenOrder | CloseOrder | LeaveOrder | StageOrder;
 
 /**
--- a/src/registration/InstanceRegistry.ts
+++ b/src/registration/InstanceRegistry.ts
@@ -61,7 +61,6 @@
 /** An instance without a heartbeat for this time is removed. */
 const EXPIRY_MS = 60_000;
 
-/** The registered instances. */
 export class InstanceRegistry {
   private readonly _instances = new Map<string, RegisteredInstance>();
   /**
@@ -99,7 +98,6 @@
     return this._revision;
   }
 
-  /** Gets an instance by its id. */
   getInstance(id: string): RegisteredInstance | undefined {
     return this._instances.get(id);
   }
--- a/src/registration/LeaderContact.ts
+++ b/src/registration/LeaderContact.ts
@@ -3,7 +3,7 @@
 /** Time that a process has to find its first leader: the other processes may be starting as well. */
 const INITIAL_TIMEOUT_MS = 5_000;
 
-/** The leader contact of one process. */
+/** Records when this process last heard from a leader, or from a majority as the leader itself. */
 export class LeaderContact {
   private readonly _startedAt: number;
   private _lastContactAt: number | undefined;
--- a/src/registration/LoadLimiter.ts
+++ b/src/registration/LoadLimiter.ts
@@ -1,6 +1,5 @@
 /** Limits the loads that begin within a sliding window. Pure. */
 
-/** A limit on loads. */
 export interface LoadLimit {
   /** Loads that may begin within the window. */
   readonly loads: number;
--- a/src/registration/OrderDispatcher.ts
+++ b/src/registration/OrderDispatcher.ts
@@ -8,7 +8,6 @@
 import type { InstanceOrder, InstanceOrders, OrderOutcome, OrderReceiver } from "./InstanceOrders";
 import { type LoadLimit, LoadLimiter } from "./LoadLimiter";
 
-/** Dependencies of an order dispatcher. */
 export interface OrderDispatcherOptions {
   /** The leader's term. */
   readonly term: number;
@@ -70,7 +69,7 @@
     this._fence = options.term * FENCES_PER_TERM;
   }
 
-  /** Gets the number of orders that have completed, answered or not. */
+  /** Gets the number of orders that were answered, failed or timed out. */
   get completedCount(): number {
     return this._completedCount;
   }
--- a/src/registration/PlanningFactsSource.ts
+++ b/src/registration/PlanningFactsSource.ts
@@ -10,7 +10,6 @@
 import type { PresenceSuspicions } from "./PresenceSuspicions";
 import { LOADED_VERSION } from "./planningConfiguration";
 
-/** Dependencies of a facts source. */
 export interface PlanningFactsOptions {
   readonly machine: () => StateMachine;
   readonly registry: InstanceRegistry;
@@ -82,7 +81,7 @@
         checksOrders: true,
         answeredAt: this._getAnsweredAt(now, member.instanceId, hearing.startedAt),
         epoch: replica.epoch,
-        // Only a replica whose members were all ready has served.
+        // A replica serves only after all its members were ready.
         isReady: replica.phase === ReplicaPhase.SERVING,
         model: replica.model,
         modelVersion: LOADED_VERSION,
@@ -94,9 +93,10 @@
   }
 
   /**
-   * Checks whether an instance is too uncertain to be chosen. While reports cannot arrive, a missing report
-   * does not count against a serving instance, but it does not make an instance eligible either: without this
-   * rule, ended instances that had last reported 8 s before a term began were chosen in it.
+   * Checks whether an instance must not be chosen for a replica, because another instance claims its address
+   * or its last report is too old. Time in which reports can't arrive does not count against instances that
+   * serve, but it counts here: otherwise ended instances that last reported 8 s before a term began would be
+   * chosen in that term.
    */
   private _isUncertain(now: number, { report, reportedAt }: RegisteredInstance, presenceMs: number): boolean {
     return now - reportedAt > presenceMs || this._options.registry.isInConflict(report.instanceId);
--- a/src/registration/PresenceSuspicions.ts
+++ b/src/registration/PresenceSuspicions.ts
@@ -5,7 +5,7 @@
  * A suspicion lasts until the instance reports again. Performs no I/O.
  */
 
-/** The instances under suspicion. */
+/** Instances that are suspected to be absent because they did not answer a query. */
 export class PresenceSuspicions {
   private readonly _suspectedAt = new Map<string, number>();
   private _revision = 0;
--- a/src/registration/Registrar.ts
+++ b/src/registration/Registrar.ts
@@ -28,7 +28,6 @@
 import type { ReportRelay } from "./ReportRelay";
 import type { ReportSender } from "./ReportSender";
 
-/** Dependencies of a registrar. */
 export interface RegistrarOptions {
   /** Gets the leadership if this process leads. */
   readonly getLeadership: () => FleetLeadership | undefined;
--- a/src/registration/ReplicaCloser.ts
+++ b/src/registration/ReplicaCloser.ts
@@ -132,9 +132,9 @@
 
   /**
    * Gets the orders that are due for a retiring replica, if it has not ended.
-   * @param isAbsent - Whether an instance counts as absent. An absent head is not waited for: its last
-   * reported state is out of date, and it takes long to break. In two repairs that waited, the other
-   * instances were idle for 14.6 and 18.8 s.
+   * @param isAbsent - Whether an instance counts as absent. The orders do not wait for an absent head: its
+   * last reported state is out of date, and it takes long until the head is broken. With such a wait, the
+   * other instances are idle until then, 14.6 s and 18.8 s in two repairs.
    */
   getDueOrders(
     now: number,
@@ -165,13 +165,13 @@
     return [...receivers].map((receiver) => ({ receiver, order: { kind: "leave", replicaId, epoch } }));
   }
 
-  /** Adds the outcome of an order. */
+  /** Records the outcome of a close or leave order, on which the next orders depend. */
   addOutcome(now: number, replica: Replica, due: DueOrder, outcome: OrderOutcome): void {
     const closing = this._closings.get(replica.id);
     if (closing === undefined) return;
     const isHead = due.receiver.instanceId === replica.members[0]!.instanceId;
     if (due.order.kind === "close") {
-      // If the close order fails, the head is ordered to leave next.
+      // Also set if the order failed: it is not repeated, and the next order tells the head to leave.
       closing.isClosed = true;
       if (outcome === "elsewhere") closing.hasLeft = true;
       return;
--- a/src/registration/ReplicaController.ts
+++ b/src/registration/ReplicaController.ts
@@ -35,7 +35,6 @@
 /** Times and limits of replica control, milliseconds. */
 export interface ReplicaTimes extends ClosingTimes, PlanningTimes {}
 
-/** Dependencies of a replica controller. */
 export interface ReplicaControllerOptions {
   readonly driver: ConsensusDriver;
   readonly registry: InstanceRegistry;
--- a/src/registration/ReportSender.ts
+++ b/src/registration/ReportSender.ts
@@ -23,7 +23,6 @@
 import type { RelayBatch, ReportRelay } from "./ReportRelay";
 import type { SuspicionQueue } from "./SuspicionQueue";
 
-/** Dependencies of a sender. */
 export interface ReportSenderOptions {
   readonly relay: ReportRelay;
   readonly entries: EntryRoster;
@@ -58,7 +57,7 @@
  * next answers.
  */
 const MAX_REPORTS = 40;
-/** Suspicions in one request. */
+/** Maximum number of suspicions in one request. */
 const MAX_SUSPICIONS = 500;
 
 /** Sends one request at a time. */
@@ -92,7 +91,7 @@
   stop(): void {
     this._isStopped = true;
     clearTimeout(this._timer);
-    this._endCall("this process stops");
+    this._endCall("this process is stopping");
   }
 
   /**
--- a/src/registration/ServicePlanner.ts
+++ b/src/registration/ServicePlanner.ts
@@ -19,7 +19,6 @@
   readonly reserve: number;
 }
 
-/** Dependencies of a service planner. */
 export interface ServicePlannerOptions {
   readonly facts: PlanningFactsSource;
   readonly logger: Logger;
--- a/src/registration/SuspicionQueue.ts
+++ b/src/registration/SuspicionQueue.ts
@@ -33,7 +33,6 @@
     this._intervalMs = intervalMs;
   }
 
-  /** Checks whether the queue is empty. */
   get isEmpty(): boolean {
     return this._pending.size === 0;
   }
--- a/src/registration/SuspicionReporter.ts
+++ b/src/registration/SuspicionReporter.ts
@@ -10,7 +10,6 @@
 import type { Logger } from "../metrics";
 import { SuspicionQueue } from "./SuspicionQueue";
 
-/** Dependencies of a reporter. */
 export interface SuspicionReporterOptions {
   /**
    * Sends suspicions to control.
@@ -28,7 +27,7 @@
 /** Delay after a failed call; it doubles with each consecutive failure, up to the maximum. */
 const INITIAL_RETRY_MS = 500;
 const MAX_RETRY_MS = 4_000;
-/** Suspicions in one call. */
+/** Maximum number of suspicions in one call. */
 const MAX_SUSPICIONS = 500;
 
 /** Reports suspicions until it is stopped. */
--- a/src/registration/ViewHub.ts
+++ b/src/registration/ViewHub.ts
@@ -10,7 +10,6 @@
 import type { ViewSource } from "./FleetView";
 import type { RelayedView } from "./RelayedView";
 
-/** Options of a hub. */
 export interface ViewHubOptions {
   readonly clock: Clock;
   /** Gets this process's own view while it leads. */
--- a/src/registration/ViewWatcher.ts
+++ b/src/registration/ViewWatcher.ts
@@ -16,7 +16,6 @@
 import { LEADER_HEADER, SearchBackoff, type TransportPool } from "../rpc";
 import { type FollowedView, RECOVERED_TERM } from "./FollowedView";
 
-/** Options of a watcher. */
 export interface ViewWatcherOptions {
   readonly watcherId: string;
   /** This entry's address for callers; `undefined` for a control process. */
@@ -121,7 +120,10 @@
     return this._isConnected && this._pendingSince === undefined;
   }
 
-  /** Gets the control process that is followed or asked; "" before the first one. */
+  /**
+   * Gets the address of the control process that sends the view or was last asked for it; "" before the first
+   * attempt.
+   */
   get currentAddress(): string {
     return this._currentAddress;
   }
@@ -250,9 +252,9 @@
   }
 
   /**
-   * Applies an update. An update of an older term comes from a leader that has not noticed its successor yet,
-   * or from before a restart.
-   * @returns Whether more than the declaration was applied.
+   * Applies an update. An update of an older term was sent by a leader that has not noticed its successor
+   * yet, or before a restart; only its declaration is applied.
+   * @returns `false` if only the declaration was applied.
    */
   private _applyUpdate(update: ViewUpdate): boolean {
     const { view, logger, onChange, onDeclaration } = this._options;
--- a/src/registration/fleetRoutes.ts
+++ b/src/registration/fleetRoutes.ts
@@ -17,7 +17,6 @@
 import type { ViewHub } from "./ViewHub";
 import { watchView } from "./watchView";
 
-/** Options of the routes. */
 export interface FleetRouteOptions {
   readonly driver: ConsensusDriver;
   readonly guard: LeaderGuard<FleetLeadership>;
@@ -38,7 +37,10 @@
 /** Control processes whose reports are applied in one turn of the event loop. */
 const RELAYS_PER_TURN = 1;
 
-/** Adds the fleet service to a router. */
+/**
+ * Adds the RPCs for watching the view, for relaying reports, suspicions and crashes to the leader, and for
+ * putting and getting the declaration.
+ */
 export function addFleetRoutes(router: ConnectRouter, options: FleetRouteOptions): void {
   const { driver, guard, clock, hub, calls, meter, getLeadership } = options;
   const relayTurns = new TurnQueue(RELAYS_PER_TURN);
--- a/src/registration/loadLimits.ts
+++ b/src/registration/loadLimits.ts
@@ -2,10 +2,10 @@
 import type { EngineProfile } from "../declaration";
 import type { LoadLimit } from "./LoadLimiter";
 
-/** The sliding window of the weight store. */
+/** Sliding window in which the number of model loads from the weight store is limited. */
 export interface LoadWindow {
   readonly loadWindowMs: number;
-  /** Factor by which loads may exceed the declared rate within a window. */
+  /** Factor by which the number of model loads started within one window may exceed the declared rate. */
   readonly loadOverrun: number;
 }
 
--- a/src/registration/planningConfiguration.ts
+++ b/src/registration/planningConfiguration.ts
@@ -6,7 +6,6 @@
 import { countFirstLoads } from "./loadLimits";
 import { sizeGroups } from "./sizeGroups";
 
-/** Limits of planning. */
 export interface PlanningBounds {
   /** An instance that has not reported for this time is absent; milliseconds. */
   readonly presenceMs: number;
--- a/src/registration/sizeGroups.ts
+++ b/src/registration/sizeGroups.ts
@@ -8,7 +8,6 @@
 import type { Group } from "../configuration";
 import type { DeclaredModel, EngineProfile } from "../declaration";
 
-/** The input of the sizing. */
 export interface SizingFacts {
   readonly engine: EngineProfile;
   /** Present instances that are not leaving, by fabric domain. */
@@ -23,7 +22,6 @@
   readonly warmModels: ReadonlySet<string>;
 }
 
-/** The result of the sizing. */
 export interface Sizing {
   /**
    * Groups, sorted: first those that can grow without a load, then those with the lowest ratio of existing to
--- a/src/registration/watchView.ts
+++ b/src/registration/watchView.ts
@@ -10,7 +10,6 @@
 /** Maximum interval between two messages to a watcher, milliseconds. */
 export const WATCH_HEARTBEAT_MS = 300;
 
-/** Context of one watch call. */
 export interface WatchContext {
   readonly clock: Clock;
   readonly meter: WorkMeter;
--- a/src/rpc/LeaderClient.ts
+++ b/src/rpc/LeaderClient.ts
@@ -16,7 +16,6 @@
 /** Header in which a process that is not the leader names the leader. */
 export const LEADER_HEADER = "leader-address";
 
-/** Options of a leader client. */
 export interface LeaderClientOptions {
   /** host:port of the control processes; read again before each attempt. */
   readonly addresses: readonly string[];
--- a/src/rpc/RpcServer.ts
+++ b/src/rpc/RpcServer.ts
@@ -19,7 +19,6 @@
 import { SESSION_SETTINGS, widenWindow } from "./flowControl";
 import { SessionPinger } from "./SessionPinger";
 
-/** Options of an RPC server. */
 export interface RpcServerOptions {
   /** host:port */
   readonly listen: string;
--- a/src/rpc/SearchBackoff.ts
+++ b/src/rpc/SearchBackoff.ts
@@ -14,8 +14,9 @@
 const FIRST_ROUND_PAUSE_MS = 50;
 const MAX_ROUND_PAUSE_MS = 200;
 /**
- * Number of rounds, about two seconds of them, in which an election usually completes. If callers kept this
- * rate afterwards, the processes would spend their time on refusals and the next election would not complete.
+ * Number of rounds (about two seconds in total) within which an election usually completes. Later rounds have
+ * longer waits: at the rate of the first rounds, the processes would spend their time on refusals and the
+ * next election would not complete.
  */
 const ELECTION_ROUNDS = 12;
 /** Longest wait after `ELECTION_ROUNDS`, in milliseconds. */
--- a/src/settings/LiveSettings.ts
+++ b/src/settings/LiveSettings.ts
@@ -5,7 +5,6 @@
 /** Interval of the check for a changed file. */
 const POLL_MS = 1_000;
 
-/** Options of {@link LiveSettings}. */
 export interface LiveSettingsOptions<T> {
   readonly file: string;
   /** Reads and validates the file; throws if the file is invalid. */
@@ -27,7 +26,7 @@
     this._current = current;
   }
 
-  /** Gets the current settings. */
+  /** Gets the settings from the last successful read of the file. */
   get current(): T {
     return this._current;
   }
--- a/test/gateway/explanation.test.ts
+++ b/test/gateway/explanation.test.ts
@@ -57,7 +57,7 @@
     expect(await countRequests("refused", "endpoint_refused")).toBe(true);
   });
 
-  it("that was cut: which side ended it, which endpoint broke off, and that it may not be resumed", async () => {
+  it("that was interrupted: which side ended it, how the attempt failed, and why it was not resumed", async () => {
     harness = await GatewayHarness.start([streamEvents([1, 2], "cut"), streamEvents([3], "whole")], {
       kind: "stream",
     });
--- a/test/planner/staging.test.ts
+++ b/test/planner/staging.test.ts
@@ -67,7 +67,7 @@
     expect(actions.filter((action) => action.kind === "loadInstance").length).toBe(4);
   });
 
-  it("counts only present instances that read weights against the weight store's limit", () => {
+  it("counts towards the weight store's limit only present instances that are reading weights", () => {
     const gone = createInstances(6, { fabricDomain: "x", isLoading: true, answeredAt: NOW - 60_000 });
     const rejoining = createInstances(6, { fabricDomain: "y", isLoading: true, readsWeights: false });
     const [cold] = createInstances(1, { fabricDomain: "z" });
--- a/test/registration/CrashRegistry.test.ts
+++ b/test/registration/CrashRegistry.test.ts
@@ -109,7 +109,7 @@
     expect(machine.getCrashRecords().map(({ digest }) => digest)).toEqual([OTHER_DIGEST]);
   });
 
-  it("releases a request after a time that grows with each release, and then needs only one crash to confirm the cause again", async () => {
+  it("releases a blocked request after a time that grows sixfold with each release, and blocks it again after one more crash", async () => {
     await registry.addRecords([createRecord(DIGEST, 3), createRecord(OTHER_DIGEST, 1)]);
     const heldBackMs: number[] = [];
     for (let i = 0; i < 3; i++) {
--- a/test/registration/FleetRelay.test.ts
+++ b/test/registration/FleetRelay.test.ts
@@ -94,7 +94,7 @@
     return relay.hub.getSource() !== undefined;
   }
 
-  it("releases its entries in time, counted from the last answer of a majority when it led before", () => {
+  it("stops publishing early enough for its entries to find another process, counted from the last answer of a majority when it led before", () => {
     const partitionedAt = now;
     // It leads until it detects that the majority is missing, and publishes its view meanwhile.
     for (let at = partitionedAt; at < partitionedAt + STEP_DOWN_MS; at += WATCH_HEARTBEAT_MS) {
@@ -120,7 +120,7 @@
     expect(publishesView(failedAt + ELECTION_MS + WATCH_HEARTBEAT_MS)).toBe(true);
   });
 
-  it("releases its entries in time when there is a leader from which it receives no view", () => {
+  it("stops publishing early enough for its entries to find another process when there is a leader from which it receives nothing", () => {
     const contactAt = now;
     expect(publishesView(contactAt)).toBe(true);
     isLeading = false;
--- a/test/registration/PlanningSchedule.test.ts
+++ b/test/registration/PlanningSchedule.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe("PlanningSchedule", () => {
-  it("delays the first run of a term by 300 ms, for publishing to followers and for queued orders", () => {
+  it("delays the first run of a term by 300 ms, in which followers receive the view and queued orders are committed", () => {
     const pace = new PlanningSchedule(1_000);
     expect(pace.isDue(1_299, "a")).toBe(false);
     expect(pace.isDue(1_300, "a")).toBe(true);
--- a/test/registration/ReplicaController.test.ts
+++ b/test/registration/ReplicaController.test.ts
@@ -61,7 +61,7 @@
     });
   }
 
-  it("probes an unresponsive member again at once, until its last report is old enough to suspect it", async () => {
+  it("repeats the probe of an unresponsive member without delay until its last report is old enough to suspect it", async () => {
     outcomes = ["silent", "silent", "silent"];
     controller.checkReplica(replica.id);
     await waitUntil("the member is suspected", () => events.includes("instance_doubted f1"));
--- a/test/rpc/LeaderClient.test.ts
+++ b/test/rpc/LeaderClient.test.ts
@@ -168,7 +168,7 @@
     });
   });
 
-  it("fails when its time is over, and at once after a permanent error", async () => {
+  it("fails on timeout, and immediately on a permanent error", async () => {
     const call = client.call(() => Promise.reject(createLeaderRefusal("")), TOTAL_MS);
     const failed = expect(call).rejects.toBeInstanceOf(UnreachableControl);
     await vi.advanceTimersByTimeAsync(TOTAL_MS + 1);
--- a/test/state/StateMachine.test.ts
+++ b/test/state/StateMachine.test.ts
@@ -157,7 +157,7 @@
       ]);
     });
 
-    it("can't be listed as changes once released replicas since the index were removed", () => {
+    it("can't be listed as changes since an index once replicas released after that index were removed", () => {
       const machine = new Machine();
       machine.form("a");
       const index = machine.state.assignmentIndex;
--- a/test/system/incarnations.test.ts
+++ b/test/system/incarnations.test.ts
@@ -86,7 +86,7 @@
     expect(next.isRunning).toBe(true);
   });
 
-  it("are served while another client sends invalid reports to every control process, also in their names", async () => {
+  it("serve again in time while another client sends invalid reports, some of them under their ids, to every control process", async () => {
     let isFinished = false;
     const statuses: number[] = [];
     const writer = (async () => {
--- a/test/system/outcomes.test.ts
+++ b/test/system/outcomes.test.ts
@@ -165,7 +165,7 @@
   });
 
   describe("a non-repeatable request", () => {
-    it("is unknown when the answer is lost, and runs once", async () => {
+    it("has an unknown outcome when the answer is lost, and runs only once", async () => {
       await waitUntilRouting();
       setFaults({ dropsAnswers: true });
       await expectUnknownOnce({ body: createChat("once"), headers: NOT_REPEATABLE });
@@ -218,7 +218,7 @@
       await expectDuplicateRefusal("done", createNonRepeatable("issue"), "claim_done", "done");
     });
 
-    it("is unknown when the first request may have run", async () => {
+    it("has an unknown outcome when the first request may have run", async () => {
       await waitUntilRouting();
       setFaults({ dropsAnswers: true });
       await expectDuplicateRefusal("unknown", createNonRepeatable("issue"), "claim_unknown", "unknown");
@@ -257,7 +257,7 @@
       return cluster.services[0]!.ran.length;
     }
 
-    it("is unknown when the answer to a write is lost, and runs once", async () => {
+    it("has an unknown outcome when the answer to a write is lost, and runs only once", async () => {
       cluster.services[0]!.dropsAnswers = true;
       const before = countServiceCalls();
       const answer = await call({ path: "/v1/services/guichet/members", body: "x" });
--- a/test/system/platform.test.ts
+++ b/test/system/platform.test.ts
@@ -148,7 +148,7 @@
     }
   });
 
-  it("continues with every control process after a pause so long that its peers close its sessions", async () => {
+  it("keeps each control process working after it was paused until its peers closed their sessions with it", async () => {
     for (const [index, control] of cluster.controls.entries()) {
       control.pause();
       await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
