--- a/src/gateway/AdmissionWindow.ts
+++ b/src/gateway/AdmissionWindow.ts
@@ -1,60 +1,63 @@
 /**
- * How many streams of one model may wait at endpoints for their first event, as one entry
- * sees it.
+ * Limits how many streams of one model an entry lets wait at endpoints for their first event.
  *
- * The window follows what the first events tell: it grows while they come well within their
- * objective, and shrinks when they don't, so that what waits does so here, where the order
- * can still be chosen, and not in an endpoint's queue. Pure.
+ * The window grows while first events arrive well within their objective and shrinks when they do not. Excess
+ * streams then wait in the entry, which can still reorder them, instead of in an endpoint's queue. Pure.
  */
 
-/** With fewer, an entry with little work would wait for each answer in turn. */
+/** A smaller window would make an entry with little load wait for each answer in turn. */
 const MIN_SIZE = 3;
 const MAX_SIZE = 64;
-/** First events that take more than this part of their objective, in the mean, tell of a queue. */
+/**
+ * The mean share of the objective that first events may take. A higher mean shows that endpoints queue
+ * streams.
+ */
 const SLOW_SHARE = 0.75;
-/** Weight of the newest first event in that mean: a long prompt alone is no queue. */
+/**
+ * Weight of the newest first event in the mean. It is low because a single long prompt does not show a queue.
+ */
 const SHARE_WEIGHT = 0.2;
 const SHRINK_FACTOR = 0.8;
-/** The window shrinks no more often than this: events of one moment tell of one queue. */
+/**
+ * Minimum time between two reductions of the window: first events that arrive together show the same queue.
+ */
 const SHRINK_PAUSE_MS = 100;
 
-/** The window of one model. */
+/** Admission window of one model. */
 export class AdmissionWindow {
   private _size: number;
   private _waiting = 0;
   private _meanShare = 0;
   private _shrunkAt = Number.NEGATIVE_INFINITY;
 
-  /**
-   * @param firstSize - Where it begins, within its bounds.
-   */
+  /** @param firstSize - Initial size; clamped to the bounds. */
   constructor(firstSize: number) {
     this._size = Math.min(MAX_SIZE, Math.max(MIN_SIZE, firstSize));
   }
 
-  /** Gets how many may wait at endpoints. */
+  /** Gets how many streams may wait at endpoints. */
   get size(): number {
     return this._size;
   }
 
-  /** Checks whether one more may be sent. */
+  /** Checks whether one more stream may be sent. */
   hasRoom(): boolean {
     return this._waiting < Math.floor(this._size);
   }
 
-  /** Notes that a request was sent. */
+  /** Records that a stream was sent to an endpoint. */
   addSent(): void {
     this._waiting += 1;
   }
 
-  /** Notes that a request waits no more, for whatever reason. */
+  /** Records that a stream no longer waits for its first event, for any reason. */
   removeSent(): void {
     this._waiting -= 1;
   }
 
   /**
-   * Notes a first event.
-   * @param share - Time from sending to the first event, as a part of the objective.
+   * Records the arrival of a first event and adjusts the window.
+   * @param share - Time from sending the request to its first event, as a fraction of the objective.
    */
   addFirstEvent(now: number, share: number): void {
     this._meanShare += (share - this._meanShare) * SHARE_WEIGHT;
@@ -64,7 +67,8 @@
     }
     if (now - this._shrunkAt < SHRINK_PAUSE_MS) return;
     this._shrunkAt = now;
-    // What was never used says nothing: the window begins to shrink at what waits.
+    // Unused capacity shows nothing about the endpoints, so the reduction starts from the number of waiting
+    // streams.
     this._size = Math.max(MIN_SIZE, Math.min(this._size, this._waiting + 1) * SHRINK_FACTOR);
   }
 }
--- a/src/gateway/AnswerPace.ts
+++ b/src/gateway/AnswerPace.ts
@@ -1,24 +1,24 @@
 /**
- * How steadily a target's streams advance: tells one that stands still from one that is slow.
+ * Detects that a target's streams have stalled, as opposed to being slow.
  *
- * All streams of a target advance together, so that the silence of all of them says more
- * than the silence of one. Pure: times are monotonic milliseconds given by the caller.
+ * An endpoint advances all its streams together, so a pause of all of them shows a stall more reliably than a
+ * pause of one. Pure: times are monotonic milliseconds given by the caller.
  */
 
-/** Weight of the newest gap in the mean. */
+/** Weight of the newest gap in the mean gap. */
 const GAP_WEIGHT = 0.1;
-/** A target whose streams have all been silent for so many mean gaps stands still. */
+/** A target is stalled when none of its streams has sent an event for this many mean gaps. */
 const STALL_GAPS = 4;
-/** Reading long prompts may hold a target's streams up for so long. */
+/** Reading long prompts may pause a target's streams for this long. */
 const MIN_STALL_MS = 200;
 
-/** The pace of one target. */
+/** Stall detector of one target. */
 export class AnswerPace {
   private _streams = 0;
   private _heardAt = Number.NEGATIVE_INFINITY;
   private _meanGapMs: number | undefined;
 
-  /** Notes that a stream's first event arrived; gives what notes its end. */
+  /** Records that the first event of a stream arrived. Returns a function that records the stream's end. */
   startStream(now: number): () => void {
     this._streams += 1;
     this._heardAt = now;
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Notes that an event of a stream arrived.
-   * @param gapMs - Time since the event before it in the same stream.
+   * Records that a later event of a stream arrived.
+   * @param gapMs - Time since the previous event of the same stream.
    */
   addEvent(now: number, gapMs: number): void {
     this._heardAt = now;
@@ -40,7 +40,10 @@
       this._meanGapMs === undefined ? gapMs : this._meanGapMs + (gapMs - this._meanGapMs) * GAP_WEIGHT;
   }
 
-  /** Checks whether all streams under way have been silent for longer than their pace explains. */
+  /**
+   * Checks whether streams are in progress and all of them have paused for longer than their mean gap
+   * explains.
+   */
   isStalled(now: number): boolean {
     if (this._streams === 0 || this._meanGapMs === undefined) return false;
     return now - this._heardAt > Math.max(MIN_STALL_MS, this._meanGapMs * STALL_GAPS);
--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -1,22 +1,22 @@
-/** One sending of a request to an endpoint: how it began, how it ended, and who ended it. */
+/** One attempt to run a request at an endpoint: how it started, how it ended, and which side ended it. */
 import type { IncomingMessage } from "node:http";
 import { LostAnswer, OversizedAnswer, UnreachableEndpoint } from "../errors";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 
-/** A failed attempt, as the log tells it. */
+/** A failed attempt, as written to the log. */
 export interface FailedAttempt {
   readonly target: string;
   readonly instance: string;
   readonly reason: string;
   readonly wasNotRun: boolean;
-  /** Whether it was left for another attempt that went on. */
+  /** Whether this entry abandoned the attempt because another attempt produced output. */
   readonly wasLeft: boolean;
   readonly tookMs: number;
-  /** How long its answer had been coming; `undefined` where nothing of one had come. */
+  /** Time between the start of the answer and the failure; `undefined` when no part of an answer arrived. */
   readonly answeredForMs: number | undefined;
 }
 
-/** An attempt whose endpoint has begun to answer. */
+/** An attempt whose endpoint has started to answer. */
 export interface BegunAttempt {
   readonly target: Target;
   readonly incoming: IncomingMessage;
@@ -27,38 +27,47 @@
 
 /** Why an attempt failed. */
 export type AttemptFailure = Pick<FailedAttempt, "reason" | "wasNotRun"> & {
-  /** Whether an endpoint got any of it. */
+  /** Whether any part of the request was sent to the endpoint. */
   readonly wasSent: boolean;
-  /** When the first of its answer came, if any did; monotonic milliseconds. */
+  /** When the first part of the answer arrived, monotonic milliseconds; `undefined` when none did. */
   readonly answeredAt?: number | undefined;
-  /** Whether the endpoint broke off, and not this entry. */
+  /** Whether the endpoint ended the attempt, not this entry. */
   readonly wasBroken?: boolean;
-  /** Whether it was left for another attempt that went on: that is no failure of its endpoint. */
+  /**
+   * Whether this entry abandoned the attempt because another one produced output. This is no failure of the
+   * endpoint.
+   */
   readonly wasLeft?: boolean;
 };
 
-/** Checks whether the other side ended an attempt: what this entry gives up says nothing of an instance. */
+/**
+ * Checks whether the endpoint ended an attempt. An attempt that this entry aborts is no evidence about the
+ * instance.
+ */
 export function wasBroken(abort: AbortController): boolean {
   return !abort.signal.aborted;
 }
 
-/** Checks whether an attempt was left for another one that went on. */
+/** Checks whether an attempt was abandoned because another one produced output. */
 export function wasLeft(abort: AbortController): boolean {
   return abort.signal.reason instanceof LostAnswer;
 }
 
-/** Leaves an attempt for another one. */
+/** Aborts an attempt because another one produced output. */
 export function leaveAttempt(abort: AbortController, { address }: Target, reason: string): void {
   abort.abort(new LostAnswer({ address, reason }));
 }
 
-/** Ends an attempt of whose answer more came than may be held. */
+/** Aborts an attempt whose answer exceeds the buffer limit. */
 export function breakOffOversized(abort: AbortController, { address }: Target, bytes: number): void {
-  const reason = `more than ${bytes} bytes of its answer can't be held`;
+  const reason = `answer exceeds the buffer limit: ${bytes} bytes are buffered`;
   abort.abort(new OversizedAnswer({ address, reason }));
 }
 
-/** Gets why an attempt ended: what aborted it says more than what that looked like on the connection. */
+/**
+ * Gets why an attempt ended. The reason given for an abort takes precedence over the resulting connection
+ * error.
+ */
 export function explainFailure(cause: unknown, abort: AbortController): string {
   const given = abort.signal.reason;
   const told = isExplained(given) ? given : cause;
@@ -72,7 +81,7 @@
   );
 }
 
-/** Checks whether an attempt has begun to be answered. */
+/** Checks whether the endpoint has started to answer an attempt. */
 export function hasBegun(attempt: BegunAttempt | AttemptFailure): attempt is BegunAttempt {
   return "incoming" in attempt;
 }
--- a/src/gateway/AttemptRace.ts
+++ b/src/gateway/AttemptRace.ts
@@ -1,9 +1,10 @@
 /**
- * The attempts of one request in the order in which they may replace each other.
+ * Runs the attempts of one request and hedges an attempt that stops producing output.
  *
- * An attempt that falls silent goes on while another one is sent beside it: whichever goes on first is kept, the other
- * is left. So nothing that an endpoint would have finished is given up before its replacement is there, and what the
- * caller gets comes from one attempt at a time.
+ * When the primary attempt is idle for too long, a second attempt (the hedge) runs concurrently with it. The
+ * first one that produces output is kept and the other one is aborted. Work that an endpoint would have
+ * finished is therefore only discarded once its replacement has produced output, and the caller receives
+ * output from one attempt at a time.
  */
 
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
@@ -11,24 +12,30 @@
 /** One attempt, as a source of the parts of an answer. */
 export interface AnswerSource<T> {
   readonly target: Target;
-  /** When anything of it was heard, or the last part was taken; monotonic milliseconds. */
+  /** When data last arrived or the last part was taken, whichever is later; monotonic milliseconds. */
   readonly heardAt: number;
   /**
    * Gets the next part of the answer.
    * @returns `undefined` when the attempt has failed.
    */
   next(): Promise<T | undefined>;
-  /** Ends it, for another one that goes on. */
+  /** Aborts the attempt because another one produced output. */
   leave(reason: string): void;
 }
 
-/** What a race decides with. */
+/** Callbacks with which a race opens attempts. */
 export interface RaceRules<T> {
-  /** Gets the present time, monotonic milliseconds. */
+  /** Gets the current time, monotonic milliseconds. */
   getNow(): number;
-  /** Sends the request once none of its attempts is left; gives nothing where it may not be sent again. */
+  /**
+   * Sends the request when no attempt is in progress; resolves with `undefined` when it may not be sent
+   * again.
+   */
   openNext(): Promise<AnswerSource<T> | undefined>;
-  /** Sends the request to another endpoint, if it has been silent for too long at one and may be sent again. */
+  /**
+   * Sends the request to a second endpoint; returns `undefined` unless the first one has been idle for too
+   * long and the request may be sent again.
+   */
   openBeside(silent: AnswerSource<T>, silentMs: number): AnswerSource<T> | undefined;
 }
 
@@ -37,39 +44,41 @@
   readonly reject: (cause: unknown) => void;
 }
 
-/** Silence is looked for this often. */
+/** Interval at which the primary attempt is checked for being idle. */
 const WATCH_MS = 50;
-/** A watch that runs so late has not seen yet what arrived meanwhile: it decides nothing. */
+/**
+ * A check that runs later than this is skipped, because data that arrived meanwhile has not been processed
+ * yet.
+ */
 const MAX_WATCH_LAG_MS = 30;
 
-/** The race of one request's attempts. */
+/** Race between the attempts of one request. */
 export class AttemptRace<T> {
   private readonly _rules: RaceRules<T>;
   private readonly _timer: NodeJS.Timeout;
   private _lead: AnswerSource<T> | undefined;
-  /** Sent beside a lead that is silent. */
+  /** Second attempt, opened while the primary one is idle. */
   private _rival: AnswerSource<T> | undefined;
-  /** Nobody waits while the caller takes what it was sent: no silence counts then. */
+  /** `undefined` while the caller processes a part; idle time does not count then. */
   private _wait: Wait<T> | undefined;
   private _lookedAt: number;
 
-  /**
-   * @param rules - Opens attempts.
-   */
+  /** @param rules - Callbacks that open attempts. */
   constructor(rules: RaceRules<T>) {
     this._rules = rules;
     this._lookedAt = rules.getNow();
     this._timer = setInterval(() => this._look(), WATCH_MS);
   }
 
-  /** Gets whether two attempts are under way. */
+  /** Gets whether two attempts are in progress. */
   get hasRival(): boolean {
     return this._rival !== undefined;
   }
 
   /**
-   * Gets the next part of the answer, from whichever attempt goes on first; one call at a time.
-   * @returns `undefined` when every attempt has failed.
+   * Gets the next part of the answer from the first attempt that produces one. Only one call may be pending
+   * at a time.
+   * @returns `undefined` when all attempts have failed.
    */
   next(): Promise<T | undefined> {
     return new Promise((resolve, reject) => {
@@ -79,7 +88,7 @@
     });
   }
 
-  /** Looks for silence no more. */
+  /** Stops checking for idle attempts. */
   close(): void {
     clearInterval(this._timer);
   }
@@ -103,7 +112,7 @@
     const silentMs = Math.round(this._rules.getNow() - (this._lead?.heardAt ?? 0));
     this._lead = source;
     this._rival = undefined;
-    other?.leave(isLead ? "the endpoint before it went on" : `silent for ${silentMs} ms`);
+    other?.leave(isLead ? "the primary attempt resumed" : `no data received for ${silentMs} ms`);
     this._end(part);
   }
 
--- a/src/gateway/CallerWaits.ts
+++ b/src/gateway/CallerWaits.ts
@@ -1,14 +1,14 @@
 /**
- * How long callers of each route wait when they ask for the first time.
+ * Estimates how long ago a caller first sent a request, from the timeout it states.
  *
- * A caller that comes back says that it waits for less: what it lacks tells how long ago it asked
- * first, and so whether it can still be answered within its objective. Where callers of one route
- * wait for different times, those with less are taken for having come back; that decides nothing
- * but the order in which waiting requests are sent. Pure: times are monotonic milliseconds given
+ * A caller that retries states a shorter timeout than at first. The difference to the longest timeout of its
+ * route is the time since its first request, which shows whether it can still be answered within its
+ * objective. On a route whose callers use different timeouts, those with shorter ones are taken for retries;
+ * this only affects the order in which queued requests are sent. Pure: times are monotonic milliseconds given
  * by the caller.
  */
 
-/** The longest wait of a route is forgotten after two spans of this length. */
+/** The longest timeout of a route is discarded after two periods of this length. */
 const SPAN_MS = 10_000;
 
 interface RouteWaits {
@@ -17,13 +17,13 @@
   previousLongestMs: number;
 }
 
-/** Waits by route. */
+/** Timeouts of callers, by route. */
 export class CallerWaits {
   private readonly _routes = new Map<string, RouteWaits>();
 
   /**
-   * Notes how long a caller waits.
-   * @returns How long ago it asked first, as far as that can be told.
+   * Records a caller's timeout.
+   * @returns Estimated time since the caller's first request, milliseconds.
    */
   addWait(now: number, route: string, waitMs: number): number {
     const waits = this._getWaits(now, route);
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashWatch.ts
@@ -1,10 +1,11 @@
 /**
- * Watches what requests do to the endpoints that run them, and says which are kept away.
+ * Detects requests that crash the endpoints that run them, and decides which requests are blocked.
  *
- * A request that ends whatever runs it would otherwise go from one instance to the next, at this entry and at all
- * others, as often as its caller asks: one such request a second ended 38 heads of replicas in 20 s, and of the other
- * requests of its model nearly none was served (a recorded day). With it three instances end under each at most, in quiet
- * runs of three entries that are asked for it by turns every 0.3 s.
+ * Callers retry a request that crashes its endpoints, so without blocking it would crash one instance after
+ * the other, through this entry and all others. In a recorded day, one such request a second crashed 38 heads
+ * of replicas in 20 s, and nearly none of the other requests of its model was served. With blocking, each
+ * such request crashes three instances at most, measured on quiet runs of three entries that receive it in
+ * turn every 0.3 s.
  */
 import { pause } from "../clock";
 import type { Admittance, CrashLedger, RequestDigest } from "../containment";
@@ -13,71 +14,73 @@
 import type { Logger, Metrics } from "../metrics";
 import { EndedLives } from "./EndedLives";
 
-/** An attempt whose endpoint broke off. */
+/** An attempt that its endpoint broke off. */
 export interface BrokenAttempt {
   readonly target: Target;
   readonly requestId: string;
-  /** When it was sent; monotonic milliseconds. */
+  /** When the request was sent; monotonic milliseconds. */
   readonly startedAt: number;
   readonly brokeAt: number;
-  /** When the first of an answer came, if any did. */
+  /** When the first part of an answer arrived; `undefined` when none did. */
   readonly answeredAt: number | undefined;
 }
 
-/** What a watch works with. */
+/** Options of a `CrashMonitor`. */
 export interface CrashWatchOptions {
   readonly ledger: CrashLedger;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called when there is something to tell the others. */
+  /** Called when the ledger has changes to report to control. */
   readonly onNews: () => void;
 }
 
 /**
- * A request that was answered for longer is not what ended its endpoint: those that were ended one 40 to 100 ms
- * after their run had begun, before an event in all cases that were traced.
+ * A request that has been answered for longer than this is not taken for the cause of the crash. All traced
+ * requests that crashed their endpoint did so 40 to 100 ms after it started to run them, before the first
+ * event.
  */
 const EARLY_MS = 300;
 
-/** An endpoint that has begun to run a request that ends it has ended by then: those that were traced did within 100 ms. */
+/**
+ * Delay after which a withdrawn request's endpoint is probed. In all traced crashes the endpoint ended within
+ * 100 ms of starting to run the request.
+ */
 const WITHDRAWN_MS = 150;
 
-/** The watch of one entry. */
+/** Crash monitor of one entry. */
 export class CrashWatch {
   private readonly _options: CrashWatchOptions;
   private readonly _ended = new EndedLives();
 
-  /**
-   * @param options - What is known, and whom to tell.
-   */
+  /** @param options - Ledger of crashes, and the callback for its changes. */
   constructor(options: CrashWatchOptions) {
     this._options = options;
   }
 
   /**
    * Decides whether a request may be sent to endpoints.
-   * @param getDigest - Called only where anything is known of any request.
+   * @param getDigest - Only called when the ledger contains crashes.
    */
   admit(now: number, getDigest: () => RequestDigest): Admittance {
     const { ledger } = this._options;
     return ledger.isEmpty ? "admitted" : ledger.admit(now, getDigest());
   }
 
-  /** Checks whether a request is kept away from endpoints now. */
+  /** Checks whether a request is blocked from endpoints at the moment. */
   isKeptAway(now: number, getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
     return !ledger.isEmpty && ledger.isKeptAway(now, getDigest());
   }
 
-  /** Checks whether a request is proven guilty. */
+  /** Checks whether a request is the confirmed cause of crashes. */
   isProven(getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
     return !ledger.isEmpty && ledger.isProven(getDigest());
   }
 
   /**
-   * Notes that a request was taken back from an endpoint. It may have been run by then: if the endpoint ends now, that is its
-   * doing, and no longer that of what ran beside it.
+   * Records that a request was withdrawn from an endpoint, which may have started to run it already. If the
+   * endpoint ends now, the crash is attributed to this request and not to the requests that ran concurrently.
    */
   async addWithdrawal(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
     await pause(WITHDRAWN_MS);
@@ -85,8 +88,8 @@
   }
 
   /**
-   * Notes that an endpoint broke off; it counts once the endpoint is proved to have ended. Resolves with the first look at
-   * it, which shows an end in all but few cases.
+   * Records that an endpoint broke off. This counts as a crash once a probe shows that the endpoint has
+   * ended. Resolves after the first probe, which detects nearly all crashes.
    */
   async addBreak(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
     const { target, brokeAt, answeredAt } = attempt;
@@ -96,7 +99,7 @@
     else void atLast.then((hasEnded) => hasEnded && this._addCrash(digest, attempt));
   }
 
-  /** Takes over what was agreed on; the log tells each request of which that says something else than before. */
+  /** Applies committed crash records. Each request whose verdict changes is logged. */
   addAgreed(now: number, records: readonly CrashRecord[]): void {
     const { ledger, logger, metrics } = this._options;
     const digests = records.map(({ digest }) => digest);
@@ -110,8 +113,8 @@
   }
 
   /**
-   * Notes that a request came to a good end.
-   * @param getDigest - Called only where anything is known of any request.
+   * Records that a request completed successfully.
+   * @param getDigest - Only called when the ledger contains crashes.
    */
   addGoodEnd(now: number, getDigest: () => RequestDigest): void {
     const { ledger, logger, onNews } = this._options;
--- a/src/gateway/Dialect.ts
+++ b/src/gateway/Dialect.ts
@@ -1,45 +1,47 @@
 /**
- * How callers, this system and endpoints put their facts into headers.
+ * Maps request metadata of callers, gateway and endpoints to HTTP headers.
  *
- * A gateway passes requests through unchanged; what it has to know of them, and what it
- * adds for an endpoint, is spoken in a dialect.
+ * A gateway passes requests through unchanged. A dialect defines the headers from which it reads metadata and
+ * those that it adds for an endpoint.
  */
 import type { IncomingHttpHeaders } from "node:http";
 
-/** What a caller says of its request. */
+/** Metadata that a caller sends with its request. */
 export interface CallFacts {
-  /** The caller's own id of this attempt. */
+  /** Id that the caller gives to this request; a retry has another one. */
   readonly requestId: string;
-  /** Milliseconds that the caller waits. */
+  /** The caller's timeout, milliseconds. */
   readonly waitMs: number | undefined;
   readonly key: string | undefined;
-  /** Model that the request is for, "" for a plain service. */
+  /** Requested model; "" for a plain service. */
   readonly model: string;
   readonly promptTokens: number;
   readonly answerTokens: number;
-  /** Last event that the caller has of an earlier attempt. */
+  /** Id of the last event that the caller received from an earlier attempt. */
   readonly lastEventId: string | undefined;
 }
 
-/** What an endpoint is told. */
+/** Metadata that the gateway sends to an endpoint. */
 export interface AttemptFacts {
-  /** Milliseconds that are left. */
+  /** Time left for the request, milliseconds. */
   readonly leftMs: number;
   readonly instanceId: string;
   readonly organisation: string | undefined;
-  /** Where a resumed stream goes on. */
+  /** Id of the event after which a resumed stream continues. */
   readonly lastEventId: string | undefined;
-  /** Whether its caller can still be answered within the objective; endpoints begin the others later. */
+  /**
+   * Whether the caller can still be answered within the objective; endpoints start the other requests later.
+   */
   readonly canBeInTime: boolean;
 }
 
-/** What the head of an endpoint's answer means. */
+/** Metadata in the head of an endpoint's answer. */
 export interface AnswerFacts {
-  /** Whether it answers this request and no other. */
+  /** Whether the answer belongs to this request. */
   readonly isOwn: boolean;
-  /** Whether the endpoint says that it did not run the request. */
+  /** Whether the endpoint reports that it did not run the request. */
   readonly wasNotRun: boolean;
-  /** Whether it bears the marks of an endpoint's answer that may be passed on. */
+  /** Whether the answer carries the headers that mark an endpoint's answer; others may not be passed on. */
   readonly isGenuine: boolean;
 }
 
@@ -49,13 +51,13 @@
   readonly headers: IncomingHttpHeaders;
 }
 
-/** One way to speak. */
+/** Header conventions of one platform. */
 export interface Dialect {
-  /** Reads what a caller says; what can't be read is taken as not said. */
+  /** Reads the metadata of a caller's request. Values that can't be parsed count as absent. */
   readCall(headers: IncomingHttpHeaders): CallFacts;
   /**
-   * Makes the headers for an endpoint: the caller's own and what the system adds.
-   * @param raw - Names and values in turn, end-to-end headers only.
+   * Creates the headers for an endpoint: the caller's headers and those that the system adds.
+   * @param raw - Alternating names and values, end-to-end headers only.
    */
   createHeaders(raw: readonly string[], attempt: AttemptFacts): string[];
   /** Reads the head of an answer. */
--- a/src/gateway/EndedLives.ts
+++ b/src/gateway/EndedLives.ts
@@ -1,8 +1,9 @@
 /**
- * Finds out whether an instance has ended, where an answer of it broke off.
+ * Determines whether an instance has ended after one of its answers broke off.
  *
- * Connections are reset and answers are cut for many reasons. One whose port refuses connections a moment
- * later is gone; a silent one may be cut off, and one that takes connections is there.
+ * Connections are reset and answers are cut for many reasons. An instance has ended if its port refuses
+ * connections a moment later. One whose port does not respond may only be partitioned, and one that accepts
+ * connections is running.
  */
 
 import { connect } from "node:net";
@@ -10,27 +11,32 @@
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { splitAddress } from "../http";
 
-/** A connection within a region comes up or is refused in a few milliseconds. */
+/** A connection within a region is established or refused within a few milliseconds. */
 const CONNECT_MS = 300;
-/** A process that crashes may close its connections before its port. */
+/**
+ * A crashing process may close its connections before its listening port, so the port is probed several
+ * times.
+ */
 const TRIES = 3;
 const PAUSE_MS = 30;
-/** Lives that were asked for lately; those of one moment share the answer. */
+/**
+ * Number of incarnations whose results are cached, so that attempts that break off together share one result.
+ */
 const KEPT_ANSWERS = 256;
 
 /** Whether an instance has ended. */
 export interface EndedAnswer {
-  /** As the first look shows it. */
+  /** Result of the first connection attempt. */
   readonly atOnce: Promise<boolean>;
-  /** As the last look shows it. */
+  /** Result after the last connection attempt. */
   readonly atLast: Promise<boolean>;
 }
 
-/** Asks the addresses of instances. */
+/** Probes the addresses of instances. */
 export class EndedLives {
   private readonly _asked = new Map<string, EndedAnswer>();
 
-  /** Checks whether a target's address refuses connections. */
+  /** Probes whether a target's address refuses connections. */
   ask({ id, address }: Target): EndedAnswer {
     const known = this._asked.get(id);
     if (known !== undefined) return known;
@@ -47,7 +53,7 @@
       await pause(PAUSE_MS);
       if (await refusesConnections(address)) return true;
     }
-    // It is there, or cut off: what breaks off next is asked for anew.
+    // The instance is running or partitioned, so the next broken attempt probes it again.
     this._asked.delete(id);
     return false;
   }
--- a/src/gateway/EventSplitter.ts
+++ b/src/gateway/EventSplitter.ts
@@ -1,15 +1,15 @@
 /**
- * Cuts a stream of server-sent events into whole events, bytes unchanged.
+ * Splits a stream of server-sent events into complete events without changing their bytes.
  *
- * An event ends with an empty line. Only whole events are given out, so that a stream
- * that stops within one can go on elsewhere without a trace of the piece.
+ * An event ends with an empty line. Only complete events are returned, so a stream that breaks off within an
+ * event can be resumed at another endpoint without passing on a partial event.
  */
 
-/** One whole event. */
+/** One complete event. */
 export interface StreamEvent {
-  /** The bytes, the empty line included. */
+  /** The event's bytes, including the empty line. */
   readonly bytes: Buffer;
-  /** Its id, `undefined` when it bears none. */
+  /** The event's id; `undefined` when it has none. */
   readonly id: string | undefined;
 }
 
@@ -17,20 +17,20 @@
 const CARRIAGE_RETURN = 13;
 const ID_LINE = /^id:[ ]?([^\r\n]*)/m;
 
-/** Splits one stream. */
+/** Splitter of one stream. */
 export class EventSplitter {
-  /** Holds what stands behind the last whole event; its room grows by doubling. */
+  /** Bytes after the last complete event; the capacity grows by doubling. */
   private _store: Buffer = Buffer.alloc(0);
   private _length = 0;
-  /** Where the search for an empty line goes on. */
+  /** Offset at which the search for an empty line continues. */
   private _searchedTo = 0;
 
-  /** Gets how many bytes stand behind the last whole event. */
+  /** Gets the number of bytes after the last complete event. */
   get restLength(): number {
     return this._length;
   }
 
-  /** Takes what is left over. */
+  /** Removes and returns the bytes after the last complete event. */
   takeRest(): Buffer {
     const rest = this._store.subarray(0, this._length);
     this._keep(Buffer.alloc(0));
@@ -38,7 +38,7 @@
     return rest;
   }
 
-  /** Adds bytes; gives the events that are whole now. */
+  /** Adds bytes; returns the events that they complete. */
   addBytes(bytes: Buffer): StreamEvent[] {
     let rest = this._join(bytes);
     const events: StreamEvent[] = [];
@@ -49,10 +49,11 @@
       rest = rest.subarray(end);
       this._searchedTo = 0;
     }
-    // What was given out must not be written over: the rest has no room behind it then.
+    // Returned events share this buffer and must not be overwritten, so the remainder gets no spare capacity
+    // in it.
     if (events.length > 0 || this._length === 0) this._keep(rest);
     else this._length = rest.length;
-    // An empty line may be cut within; three bytes may belong to it.
+    // The last three bytes may be the start of an empty line.
     this._searchedTo = Math.max(0, rest.length - 3);
     return events;
   }
@@ -79,7 +80,7 @@
   return { bytes, id: ID_LINE.exec(bytes.toString("latin1"))?.[1] };
 }
 
-/** Gets the index behind the first empty line. */
+/** Gets the index after the first empty line; `undefined` when there is none. */
 function findEventEnd(bytes: Buffer, from: number): number | undefined {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2;
--- a/src/gateway/Exchange.ts
+++ b/src/gateway/Exchange.ts
@@ -1,9 +1,8 @@
 /**
  * One caller's request and all its attempts at endpoints.
  *
- * Shared by plain answers and streams: choosing a target, sending, telling what a failure
- * means, and whether another attempt is allowed. What did not run is told as not run;
- * what may have run never is.
+ * Shared by plain answers and streams: chooses targets, sends the request, interprets failures and decides
+ * whether to retry. A request that did not run is refused as not run; a request that may have run never is.
  */
 import type { IncomingMessage } from "node:http";
 import { type Clock, pause } from "../clock";
@@ -29,7 +28,7 @@
 import type { GatePass, StreamGate } from "./StreamGate";
 import type { TargetPool } from "./TargetPool";
 
-/** A request that was accepted. Times are monotonic milliseconds. */
+/** An accepted request. Times are monotonic milliseconds. */
 export interface ExchangeRequest {
   readonly call: CallFacts;
   readonly route: Route;
@@ -38,60 +37,63 @@
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly path: string;
-  /** End-to-end headers without framing, names and values in turn. */
+  /** End-to-end headers without framing, alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly receivedAt: number;
-  /** When its caller asked for the first time, as far as that can be told. */
+  /** Estimated time of the caller's first request. */
   readonly firstAskedAt: number;
   readonly deadlineAt: number;
 }
 
-/** What exchanges work with. */
+/** Dependencies of exchanges. */
 export interface ExchangeTools {
   readonly clock: Clock;
   readonly client: HttpClient;
   readonly dialect: Dialect;
   readonly pool: TargetPool;
-  /** Holds streams back while endpoints are overloaded. */
+  /** Queues streams in the entry while endpoints are overloaded. */
   readonly gate: StreamGate;
-  /** Knows which requests are kept away from endpoints. */
+  /** Decides which requests are blocked because they crash endpoints. */
   readonly crashes: CrashWatch;
-  /** Takes one repeat from the entries' budget, if there is one. */
+  /** Takes one retry from the budget that all entries share; `false` when none is left. */
   readonly takeRetry: () => boolean;
-  /** What is held of answers that are not whole. */
+  /** Counts and limits the buffered bytes of incomplete answers. */
   readonly held: HeldBytes;
-  /** Spreads refused callers. */
+  /** Randomizes the time at which refused callers retry. */
   readonly random: RandomSource;
-  /** Called when a target can't be reached or stands still. */
+  /** Called when a target can't be reached or has stalled. */
   readonly onSuspicion: (target: Target, isUnreachable: boolean) => void;
 }
 
 const CONNECT_MS = 300;
-/** Once so much of its objective has passed before it is sent, a request will be late whatever is done. */
+/**
+ * A request that has waited for more than this fraction of its objective before it is sent will miss the
+ * objective.
+ */
 const IN_TIME_SHARE = 0.8;
-/** A request waits so long for an endpoint whose streams all stand still. */
+/** Idle time after which a request at a stalled endpoint is sent to another one. */
 const STALLED_PATIENCE_MS = 100;
-/** Less time than this is not worth an attempt. */
+/** An attempt is not started with less time left than this. */
 const MIN_LEFT_MS = 5;
 /**
- * A broken request goes on once it is known whether the endpoint has ended, or after this time: a look at its port takes a
- * connection to come up or be refused, some milliseconds. Without it one try ended as many endpoints as its route allows
- * attempts, three in a quiet run; with it two.
+ * Maximum time that a retry waits for the probe of the endpoint that broke off. The probe's connection
+ * attempt takes some milliseconds to succeed or be refused. Without the wait one call crashed as many
+ * endpoints as its route allows attempts, three on a quiet machine; with it two.
  */
 const PROOF_MS = 50;
 
-/** Why a request was not tried again after a failed attempt. */
+/** Why a request was not retried after a failed attempt. */
 export type RepeatDenial =
-  /** Its caller is gone, or its time is over. */
+  /** The caller has disconnected or the request's time has expired. */
   | "over"
-  /** It has been sent as often as its route allows, or has no time left. */
+  /** The route allows no more attempts, or no time is left. */
   | "noAttempt"
-  /** It may have run, and may run only once. */
+  /** The request may have run and must not run twice. */
   | "runsOnce"
-  /** Nothing else serves it. */
+  /** No other target serves the request. */
   | "noTarget"
-  /** The entries have no repeat left. */
+  /** The retry budget of the entries is exhausted. */
   | "noRepeat";
 
 /** The attempts of one request. */
@@ -104,44 +106,49 @@
   private _mayHaveRun = false;
   private _isWithdrawn = false;
   private _isOnTrial = false;
-  /** Where the request was sent, and when. */
+  /** Attempts whose request was sent, in order. */
   private readonly _sentTo: { readonly target: Target; readonly startedAt: number }[] = [];
   private readonly _over = new AbortController();
-  /** Attempts under way: one, or two while the first one is silent. */
+  /** Attempts in progress: one, or two while the primary one is idle. */
   private readonly _running = new Set<AbortController>();
-  /** Targets whose silence has been told. */
+  /** Targets whose suspected failure has been reported. */
   private readonly _suspected = new Set<string>();
-  /** Resolves once it is known whether the last endpoint has ended, where it broke off. */
+  /**
+   * Resolves when the probe of the endpoint that broke off last has finished; `undefined` when none broke
+   * off.
+   */
   private _proof: Promise<void> | undefined;
   private _digest: RequestDigest | undefined;
   private _denial: RepeatDenial | undefined;
 
   /**
    * @param request - The request.
-   * @param tools - What it is carried out with.
+   * @param tools - Dependencies.
    */
   constructor(request: ExchangeRequest, tools: ExchangeTools) {
     this.request = request;
     this.tools = tools;
   }
 
-  /** Gets how many endpoints got the request. */
+  /** Gets how many endpoints the request was sent to. */
   get sentCount(): number {
     return this._sent;
   }
 
-  /** Gets why it was not tried again, if so. */
+  /** Gets why the request was not retried; `undefined` when it was not denied a retry. */
   get denial(): RepeatDenial | undefined {
     return this._denial;
   }
 
-  /** Gets what tells whether another request is the same one. */
+  /** Gets the digest that identifies equal requests. */
   get digest(): RequestDigest {
     this._digest ??= getRequestDigest(this.request);
     return this._digest;
   }
 
-  /** Ends the attempts under way: the caller is gone, or its time is over. */
+  /**
+   * Aborts the attempts in progress because the caller has disconnected or the request's time has expired.
+   */
   cancel(): void {
     this._over.abort();
     this._abortAll();
@@ -154,7 +161,10 @@
     return admittance !== "keptAway";
   }
 
-  /** Takes the request back from the endpoints that have it; that says nothing of them. */
+  /**
+   * Aborts the attempts in progress because the request is blocked. This does not count as a failure of their
+   * endpoints.
+   */
   withdraw(): void {
     if (this._isWithdrawn) return;
     this._isWithdrawn = true;
@@ -173,8 +183,8 @@
   }
 
   /**
-   * Waits until endpoints bear one more stream.
-   * @returns `undefined` when the request is given up on.
+   * Waits until endpoints have capacity for one more stream.
+   * @returns `undefined` when the request waited for too long or was cancelled.
    */
   enterGate(): Promise<GatePass | undefined> {
     const { call, route, service, receivedAt, firstAskedAt, deadlineAt } = this.request;
@@ -194,47 +204,50 @@
     );
   }
 
-  /** Makes the final answer of a request that found no room in time. */
+  /** Creates the refusal of a request that got no capacity in time. */
   createOverload(): GatewayRefusal {
-    return createNotRun("overloaded", "more is asked for than can be served now", this._getRetryMs());
+    return createNotRun("overloaded", "the endpoints have no capacity for this request now", this._getRetryMs());
   }
 
-  /** Gets the present time. */
+  /** Gets the current time. */
   getNow(): number {
     return this.tools.clock.getMonotonicMs();
   }
 
-  /** Gets how much time is left, milliseconds. */
+  /** Gets the remaining time, milliseconds. */
   getLeftMs(): number {
     return this.request.deadlineAt - this.getNow();
   }
 
-  /** Checks whether the request is kept away from endpoints, for what it did to those that ran it. */
+  /** Checks whether the request is blocked because endpoints crashed while they ran it. */
   get isKeptAway(): boolean {
     const { crashes } = this.tools;
     return this._isOnTrial ? this.isProven : crashes.isKeptAway(this.getNow(), () => this.digest);
   }
 
-  /** Checks whether the request is proven to end those that run it. */
+  /** Checks whether the request is the confirmed cause of crashes. */
   get isProven(): boolean {
     return this.tools.crashes.isProven(() => this.digest);
   }
 
   /** Chooses a target that this request has not been sent to. */
   chooseTarget(): Target | undefined {
-    // Asked before each attempt: what it does may have shown at another entry while it waited here.
+    // Checked before each attempt: another entry may have reported crashes while the request waited here.
     if (this.isKeptAway) return undefined;
     const { service, call } = this.request;
     const { pool } = this.tools;
     return pool.chooseTarget(this.getNow(), { service, model: call.model, excluded: this._tried });
   }
 
-  /** Checks whether the request may go to one more endpoint, were there one. */
+  /** Checks whether the route and the remaining time allow one more attempt. */
   hasAttemptsLeft(): boolean {
     return this._sent < this.request.route.maxAttempts && this.getLeftMs() > MIN_LEFT_MS;
   }
 
-  /** Checks whether an attempt has been silent for longer than its endpoint's pace, or a patience, explains. */
+  /**
+   * Checks whether an attempt has been idle for too long, given its timeout and the activity of the
+   * endpoint's other streams.
+   */
   isSilentTooLong(target: Target, silentMs: number, patienceMs: number): boolean {
     const { pool, onSuspicion } = this.tools;
     const now = this.getNow();
@@ -246,8 +259,9 @@
   }
 
   /**
-   * Chooses where the request may be sent beside an endpoint that is silent; takes a repeat from the budget.
-   * @returns `undefined` where it may not be sent again, or nothing else would serve it sooner.
+   * Chooses the target of a hedge for an idle attempt; takes a retry from the budget.
+   * @returns `undefined` when the request may not be sent again, or no other target is likely to answer
+   * sooner.
    */
   takeTargetBeside(silent: Target): Target | undefined {
     if (this.isOver || this._isWithdrawn || this._isOnTrial) return undefined;
@@ -259,9 +273,7 @@
     return this.tools.takeRetry() ? other : undefined;
   }
 
-  /**
-   * Decides whether to try again after a failed attempt; takes a repeat from the budget.
-   */
+  /** Decides whether to retry after a failed attempt; takes a retry from the budget. */
   async takeNextAttempt(): Promise<boolean> {
     this._denial = this._getDenial();
     if (this._denial !== undefined) return false;
@@ -272,8 +284,8 @@
 
   /**
    * Sends the request to a target and waits for the head of its answer.
-   * @param lastEventId - Where a stream goes on.
-   * @param abort - Ends the attempt.
+   * @param lastEventId - Id of the event after which a stream continues.
+   * @param abort - Aborts the attempt.
    */
   async send(
     target: Target,
@@ -303,7 +315,7 @@
     }
   }
 
-  /** Notes that an attempt failed after its answer had begun. */
+  /** Records that an attempt failed after its answer had started. */
   failAttempt(attempt: BegunAttempt, failure: AttemptFailure): void {
     attempt.end();
     this._running.delete(attempt.abort);
@@ -311,7 +323,7 @@
     this._addFailure(attempt.target, failure, attempt.startedAt);
   }
 
-  /** Notes that an attempt came to a good end. */
+  /** Records that an attempt completed successfully. */
   endAttempt(attempt: BegunAttempt): void {
     attempt.end();
     this._running.delete(attempt.abort);
@@ -319,18 +331,18 @@
     this.tools.crashes.addGoodEnd(this.getNow(), () => this.digest);
   }
 
-  /** Makes the caller's final answer after the attempts that failed. */
+  /** Creates the refusal for the caller after all attempts have failed. */
   createRefusal(): GatewayRefusal {
     const last = this.failures.at(-1);
     if (this._mayHaveRun) {
       const isLate = this.getLeftMs() <= MIN_LEFT_MS;
-      return createUnknown(isLate ? "time_over" : "answer_lost", last?.reason ?? "the time is over");
+      return createUnknown(isLate ? "time_over" : "answer_lost", last?.reason ?? "the request's time has expired");
     }
     if (this.isKeptAway) return createKeptAway(this.isProven);
     if (last === undefined) {
       const { service, call } = this.request;
       const what = call.model === "" ? service : `${service}/${call.model}`;
-      return createNotRun("no_target", `nothing serves ${what} now`, this._getRetryMs());
+      return createNotRun("no_target", `no target serves ${what} now`, this._getRetryMs());
     }
     const code = this._sent === 0 ? "endpoint_unreachable" : "endpoint_refused";
     return createNotRun(code, last.reason, this._getRetryMs());
@@ -339,7 +351,7 @@
   private _getDenial(): RepeatDenial | undefined {
     if (this.isOver) return "over";
     if (!this.hasAttemptsLeft()) return "noAttempt";
-    // A doubted request has one run.
+    // A suspected request may run only once.
     if (this._mayHaveRun && (this._isOnTrial || !mayRepeat(this.request.route))) return "runsOnce";
     return undefined;
   }
@@ -357,7 +369,9 @@
     for (const abort of this._running) abort.abort();
   }
 
-  /** Told once: the attempt may go on, and others need not wait to see whether it does. */
+  /**
+   * Reports an idle target once. The attempt may still succeed, but other requests avoid the target at once.
+   */
   private _suspect(now: number, target: Target): void {
     if (this._suspected.has(target.id)) return;
     this._suspected.add(target.id);
@@ -395,7 +409,7 @@
     });
   }
 
-  /** A stream that goes on has had its first event in time, or not: its pauses still count. */
+  /** A resumed stream always counts: its first event has been sent, but its gaps still have an objective. */
   private _canBeInTime(lastEventId: string | undefined): boolean {
     const { firstAskedAt, route } = this.request;
     return lastEventId !== undefined || this.getNow() - firstAskedAt < route.objectiveMs * IN_TIME_SHARE;
@@ -423,7 +437,7 @@
       tookMs: Math.round(now - startedAt),
       answeredForMs: failure.answeredAt === undefined ? undefined : Math.round(now - failure.answeredAt),
     });
-    // A caller that left says nothing about the endpoint.
+    // An attempt that this entry aborts is no evidence against the endpoint.
     if (this.isOver || this._isWithdrawn || failure.wasLeft === true) return;
     this.tools.pool.addFailure(now, target.id);
     this.tools.onSuspicion(target, !failure.wasSent);
@@ -443,7 +457,7 @@
   }
 }
 
-/** Methods whose requests have no body unless one was sent. */
+/** Checks whether requests of a method have no body unless one was sent. */
 function isBodiless(method: string): boolean {
   return method === "GET" || method === "HEAD" || method === "DELETE" || method === "OPTIONS";
 }
--- a/src/gateway/FreshFirstQueue.ts
+++ b/src/gateway/FreshFirstQueue.ts
@@ -1,40 +1,39 @@
 /**
- * Requests that wait at an entry, in the order in which they are worth being sent.
+ * Queue of an entry's waiting requests.
  *
- * Those that can still meet their objective come first, the oldest of them at the head; the
- * others are late whatever is done, and come after them by their deadline. Pure.
+ * Requests that can still meet their objective come first, oldest first. The others will miss it in any case
+ * and follow in the order of their deadlines. Pure.
  */
 
-/** A request that waits. Times are monotonic milliseconds. */
+/** A waiting request. Times are monotonic milliseconds. */
 export interface WaitingRequest {
   readonly arrivedAt: number;
   readonly objectiveMs: number;
   readonly deadlineAt: number;
 }
 
-/** Part of its objective that a request may wait here and still meet it. */
+/** Fraction of its objective that a request may wait here and still meet it. */
 const FRESH_SHARE = 0.5;
 
-/** The queue of one model. */
+/** Queue of one model. */
 export class FreshFirstQueue<T extends WaitingRequest> {
   private readonly _waiting = new Set<T>();
 
-  /** Gets how many wait. */
+  /** Gets the number of waiting requests. */
   get size(): number {
     return this._waiting.size;
   }
 
-  /** Adds a request. */
   add(request: T): void {
     this._waiting.add(request);
   }
 
-  /** Takes a request out; does nothing if it is not in. */
+  /** Removes a request; returns `false` when it is not queued. */
   remove(request: T): boolean {
     return this._waiting.delete(request);
   }
 
-  /** Takes out the request to send next. */
+  /** Removes and returns the request to send next; `undefined` when the queue is empty. */
   takeNext(now: number): T | undefined {
     let best: T | undefined;
     for (const request of this._waiting) {
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -1,9 +1,9 @@
 /**
- * An entry that routes by declarations: follows the control leader's view and passes
- * requests on to targets.
+ * Runs an entry that routes by declarations: it follows the control leader's view and passes requests on to
+ * targets.
  *
- * Out of touch with control it serves on from the last view: targets refuse what is not
- * theirs, and a refused caller is worse served than one that is served as of a moment ago.
+ * An entry that can't reach control continues to serve from its cached view. Targets refuse requests that are
+ * not meant for them, and a slightly outdated route serves callers better than a refusal.
  */
 import { randomBytes } from "node:crypto";
 import { createServer } from "node:http";
@@ -33,9 +33,9 @@
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
-/** What a gateway is started with. */
+/** Options of a gateway. */
 export interface GatewayOptions {
-  /** Addresses count as read at the start; all else may change. */
+  /** Addresses are read once at the start; all other settings may change at runtime. */
   readonly settings: LiveSettings<GatewaySettings>;
   readonly secret: string | undefined;
   readonly format: DeclarationFormat;
@@ -45,27 +45,37 @@
 }
 
 const IDLE_ENDPOINT_MS = 30_000;
-/** Of answers that are not whole, over all requests: a process has a few hundred megabytes. */
+/**
+ * Limit on the buffered bytes of incomplete answers over all requests: a process has a few hundred megabytes
+ * of memory.
+ */
 const MAX_HELD_BYTES = 64 * 1_024 * 1_024;
 /**
- * Part of an entry's share of the endpoints' slots that may wait for a first event at first: the rest
- * is writing. Callers that come back after a loss of power find few replicas: with a first window of
- * 32 streams at each of 7 entries they waited in the endpoints' queues for up to 2 s. Mean worth of
- * four days with that and with this 0.710 and 0.722, refused 0.013 and 0.010 of all.
+ * Fraction of an entry's share of the endpoints' slots that may initially wait for a first event; the other
+ * slots are expected to generate. Callers that return after a power loss find few replicas: with an initial
+ * window of 32 streams at each of 7 entries they waited in the endpoints' queues for up to 2 s. Mean worth of
+ * four days with that window 0.710 and with this fraction 0.722; refused 0.013 and 0.010 of all requests.
  */
 const FIRST_WINDOW_SHARE = 0.5;
-/** Part of the time to stop in which requests are still taken; they need the rest of it to end. */
+/**
+ * Fraction of the stop timeout in which requests are still accepted; they need the rest of it to complete.
+ */
 const ACCEPTING_SHARE = 0.36;
-/** Part of the time to stop that may be over before it begins. */
+/** Maximum fraction of the stop timeout that is assumed to have passed before the signal was handled. */
 const MAX_LATE_SHARE = 0.5;
-/** Part of the time to stop after which nothing new is listened for, though callers still come. */
+/**
+ * Fraction of the stop timeout after which the listening socket closes even while requests are in progress.
+ */
 const LISTENING_SHARE = 0.8;
-/** Part of the time to stop after which callers that connect without a pause are not accepted any more. */
+/**
+ * Fraction of the stop timeout after which connections are no longer accepted, even if callers keep
+ * connecting.
+ */
 const CONNECTING_SHARE = 0.88;
-/** Part of the time to stop after which what is left is cut. */
+/** Fraction of the stop timeout after which the remaining connections are closed. */
 const ENDING_SHARE = 0.95;
 
-/** Starts a gateway; closing its scope is a planned stop. */
+/** Starts a gateway; closing its scope stops it gracefully. */
 export function startGateway(options: GatewayOptions): Effect.Effect<GatewayServer, unknown, Scope.Scope> {
   return Effect.gen(function* () {
     const parts = createParts(options);
@@ -169,7 +179,7 @@
       failureDomain: process.failureDomain,
     },
     getSeeds: () => getControlAddresses(live.current),
-    // Entries are spread over the control processes.
+    // Spreads the entries over the control processes.
     orderCandidates: (addresses) => orderByAffinity(watcherId, addresses),
     transports: new TransportPool(secret),
     view,
@@ -206,7 +216,10 @@
   };
 }
 
-/** An entry that starts takes its share of what the endpoints run at once for its first window. */
+/**
+ * Gets the initial window of an entry: a fraction of its share of the requests that the endpoints run
+ * concurrently.
+ */
 function getFirstWindow(pool: TargetPool, entries: number, service: string, model: string): number {
   return (pool.getSlots(service, model) / entries) * FIRST_WINDOW_SHARE;
 }
@@ -224,12 +237,13 @@
 }
 
 /**
- * Callers are sent elsewhere at once, served a while longer, then refused while what was taken ends; connections end
- * once their callers know of it.
+ * Stops a gateway in steps: callers are directed elsewhere at once, but still served for some time; then new
+ * requests are refused while those in progress complete; connections close after their callers have been
+ * notified.
  */
 async function stopGracefully({ settings, logger }: GatewayOptions, parts: Parts): Promise<void> {
   const stopMs = settings.current.gateway.stopS * 1_000;
-  // Whoever sent the signal counts from then: a process that ran late may have had it for so long.
+  // The stop timeout counts from the signal, which a process with a blocked event loop handles late.
   const lateMs = Math.min(Math.max(0, parts.lag.getWorstMs()), stopMs * MAX_LATE_SHARE);
   const startedAt = parts.clock.getMonotonicMs() - lateMs;
   const getLeftMs = (share: number) =>
@@ -248,11 +262,11 @@
   await Promise.race([ended, pause(getLeftMs(ENDING_SHARE))]);
   const { requestCount: requests, connectionCount: connections } = parts.server;
   parts.server.stop();
-  // What is still open now is cut.
+  // Connections that are still open now are closed.
   logger.info({ event: "gateway_stopped", requests, connections });
 }
 
-/** 200 while callers may be sent here. */
+/** Serves readiness: 200 while callers may be directed to this entry, else 503. */
 function serveReadiness({ settings }: GatewayOptions, parts: Parts) {
   const { readyListen } = settings.current.gateway;
   if (readyListen === undefined) return Effect.void;
--- a/src/gateway/GatewayRefusal.ts
+++ b/src/gateway/GatewayRefusal.ts
@@ -1,8 +1,8 @@
-/** Why the gateway itself ends a request, as the caller is told. */
+/** Refusals with which the gateway itself ends a request. */
 import { Data } from "effect";
 import { DOUBT_MS, KEEP_AWAY_MS } from "../containment";
 
-/** Reasons, as logs and answers name them. */
+/** Refusal codes, as written to logs and answers. */
 export type GatewayRefusalCode =
   | "no_declaration"
   | "unconfirmed_declaration"
@@ -20,12 +20,12 @@
   | "time_over"
   | "caller_gone";
 
-/** A final answer of the gateway's own. */
+/** A refusal that the gateway sends to a caller. */
 export class GatewayRefusal extends Data.TaggedError("GatewayRefusal")<{
   readonly status: number;
   readonly code: GatewayRefusalCode;
   readonly reason: string;
-  /** When to come back, milliseconds; only where nothing ran. */
+  /** When the caller may retry, milliseconds; `undefined` when the request may have run. */
   readonly retryAfterMs: number | undefined;
 }> {
   override get message(): string {
@@ -33,18 +33,18 @@
   }
 }
 
-/** Makes the refusal of a request that did not run and never will. */
+/** Creates the refusal of a request that did not run and will not run. */
 export function createNotRun(code: GatewayRefusalCode, reason: string, retryAfterMs: number): GatewayRefusal {
   return new GatewayRefusal({ status: 503, code, reason, retryAfterMs });
 }
 
-/** Makes the refusal of a request that is kept away from endpoints: it did not run, and is not to for so long. */
+/** Creates the refusal of a blocked request, which did not run; it may be retried once the block ends. */
 export function createKeptAway(isProven: boolean): GatewayRefusal {
-  const reason = "the last endpoints that ran this request ended while they did, so it isn't run for a while";
+  const reason = "the last endpoints that ran this request crashed while running it, so it is blocked temporarily";
   return createNotRun("kept_away", reason, isProven ? KEEP_AWAY_MS : DOUBT_MS);
 }
 
-/** Makes the refusal of a request that may have run. */
+/** Creates the refusal of a request that may have run. */
 export function createUnknown(code: GatewayRefusalCode, reason: string): GatewayRefusal {
   const status = code === "time_over" ? 504 : 502;
   return new GatewayRefusal({ status, code, reason, retryAfterMs: undefined });
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -1,4 +1,4 @@
-/** The callers' side of a gateway: finds the route and the organisation of each request, and runs it. */
+/** HTTP server of a gateway: determines the route and the organisation of each request, and runs it. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 import type { Clock } from "../clock";
@@ -18,7 +18,7 @@
 import { getFirstViewReturnMs } from "./returnTime";
 import { StreamExchange } from "./StreamExchange";
 
-/** What a gateway server works with. */
+/** Options of a gateway server. */
 export interface GatewayServerOptions {
   /** host:port */
   readonly listen: string;
@@ -27,29 +27,35 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly tools: ExchangeTools;
-  /** Gets the declaration in force here. */
+  /** Gets the routes of the current declaration; `undefined` until one has been received. */
   readonly getRoutes: () => RouteTable | undefined;
-  /** Gets whether a leader has confirmed that declaration in this process's life, and a control process shows its view now. */
+  /**
+   * Gets whether a leader has confirmed that declaration to this process, and a control process is publishing
+   * its view to this entry.
+   */
   readonly isConfirmed: () => boolean;
-  /** Gets what control showed this entry last, and how long ago. */
+  /** Gets which control process last published its view to this entry, and how long ago. */
   readonly getShown: () => ShownView;
-  /** Called with each request that is let in. */
+  /** Called with each accepted request. */
   readonly onRequest: () => void;
 }
 
 const MAX_HEADER_BYTES = 16_384;
 const REQUEST_TIMEOUT_MS = 30_000;
-/** Senders that take too long for their headers are looked for this often. */
+/** Interval of the check for callers that send their headers too slowly. */
 const SLOW_SENDER_CHECK_MS = 500;
-/** Bodies that are held now are out of the way by then. */
+/**
+ * Retry time for a caller refused because request buffers are full: the requests buffered now have been sent
+ * on by then.
+ */
 const FULL_RETRY_MS = 500;
 const STOPPING_RETRY_MS = 50;
-/** Callers reuse a connection up to the declared time; it is kept a little longer. */
+/** Callers reuse a connection up to the declared time, so the server closes it a little later. */
 const IDLE_SLACK_MS = 1_000;
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 const FRAMING: ReadonlySet<string> = new Set(["content-length"]);
 
-/** A request as far as it got. */
+/** State of a partially processed request. */
 interface Progress {
   readonly receivedAt: number;
   call: CallFacts | undefined;
@@ -57,14 +63,14 @@
   exchange: Exchange | undefined;
 }
 
-/** A request under way. */
+/** A request in progress. */
 interface RunningRequest {
   readonly response: ServerResponse;
-  /** Ends it, once its time is over. */
+  /** Ends the request once its time has expired. */
   readonly endLate: () => void;
 }
 
-/** The server of one gateway. */
+/** HTTP server of one gateway. */
 export class GatewayServer {
   private readonly _options: GatewayServerOptions;
   private readonly _server: Server;
@@ -78,9 +84,7 @@
   private _refusesAll = false;
   private _onIdle: () => void = () => {};
 
-  /**
-   * @param options - Address and what requests are run with.
-   */
+  /** @param options - Listening address and dependencies. */
   constructor(options: GatewayServerOptions) {
     this._options = options;
     this._startedAt = options.clock.getMonotonicMs();
@@ -92,7 +96,8 @@
     });
     this._connections = new Connections(this._server, () => options.clock.getMonotonicMs());
     this._server.on("request", (request, response) => void this._handle(request, response));
-    // A caller that waits for permission to send its body gets it: bodies are bounded anyway.
+    // A caller that waits for `100 Continue` may always send its body, because bodies are limited in size
+    // anyway.
     this._server.on("checkContinue", (request, response) => {
       response.writeContinue();
       void this._handle(request, response);
@@ -102,17 +107,17 @@
     );
   }
 
-  /** Gets how many requests are being worked on. */
+  /** Gets the number of requests in progress. */
   get requestCount(): number {
     return this._requests;
   }
 
-  /** Gets how many connections of callers are open. */
+  /** Gets the number of open connections of callers. */
   get connectionCount(): number {
     return this._connections.count;
   }
 
-  /** Gets whether a planned stop is under way. */
+  /** Gets whether a graceful stop is in progress. */
   get isStopping(): boolean {
     return this._isStopping;
   }
@@ -122,7 +127,7 @@
     await listen(this._server, this._options.listen);
   }
 
-  /** Takes bounds of the declaration over. */
+  /** Applies the limits of the current declaration. */
   updateLimits(): void {
     const limits = this._options.getRoutes()?.declaration.limits;
     if (limits === undefined) return;
@@ -131,17 +136,18 @@
   }
 
   /**
-   * Ends all requests whose time is over. Their timers may come late by the time in which the machine was
-   * suspended: an endpoint would work on for that long, for a caller that is gone.
+   * Ends all requests whose time has expired. After a suspension of the machine their timers fire late by the
+   * length of the suspension, and endpoints would work that long for callers that have disconnected.
    */
   endLate(): void {
     for (const [exchange, { endLate }] of [...this._running]) if (exchange.getLeftMs() <= 0) endLate();
   }
 
   /**
-   * Takes back what is proven guilty since it was sent: it may wait in their queues, and would end the next
-   * instance as soon as it is run. In a recorded day it waited for 1.8 s at the last head that was left. One that is being
-   * answered may yet prove that it was only there.
+   * Withdraws requests that were confirmed as the cause of crashes after they were sent. Such a request may
+   * wait in endpoints' queues and would crash the next instance as soon as it runs; in a recorded day one
+   * waited for 1.8 s at the last remaining head. A request that is being answered is not withdrawn, since its
+   * completion may still clear it.
    */
   withdrawProven(): void {
     for (const [exchange, { response }] of this._running) {
@@ -149,19 +155,19 @@
     }
   }
 
-  /** Serves on, but ends each connection with its answer. */
+  /** Continues to serve, but closes each connection after its answer. */
   announceStop(): void {
     this._isStopping = true;
     this._connections.announceEnd();
   }
 
-  /** Refuses what comes from now on; what was taken goes on. */
+  /** Refuses new requests; those in progress continue. */
   refuseAll(): void {
     this._refusesAll = true;
     this._options.tools.gate.refuseAll();
   }
 
-  /** Resolves once every answer is out. */
+  /** Resolves when all answers have been sent. */
   async waitUntilIdle(): Promise<void> {
     await new Promise<void>((resolve) => {
       this._onIdle = resolve;
@@ -170,14 +176,14 @@
   }
 
   /**
-   * Takes no new connections; resolves once no caller uses one any more.
-   * @param maxAcceptMs - How long callers that connect without a pause may hold that up.
+   * Stops accepting connections; resolves when no caller uses one any more.
+   * @param maxAcceptMs - How long callers that keep connecting may delay this.
    */
   async endConnections(maxAcceptMs: number): Promise<void> {
     await this._connections.end(maxAcceptMs);
   }
 
-  /** Ends all connections and listens no more. */
+  /** Closes the server and all its connections. */
   stop(): void {
     this._server.close();
     this._server.closeAllConnections();
@@ -201,7 +207,7 @@
       this._refuse(response, progress, toRefusal(cause));
     } finally {
       this._requests -= 1;
-      // The last bytes of an answer go out with this turn.
+      // The last bytes of an answer are sent in this turn of the event loop.
       setImmediate(() => this._endIfIdle());
     }
   }
@@ -212,7 +218,7 @@
     const exchange = new Exchange(request, this._options.tools);
     progress.exchange = exchange;
     this._options.onRequest();
-    // At once, before it waits for room: no endpoint is to run it.
+    // Checked before the request waits for capacity: a blocked request must not run at any endpoint.
     if (!exchange.admit()) throw exchange.createRefusal();
     response.once("close", () => {
       if (!response.writableFinished) exchange.cancel();
@@ -234,17 +240,17 @@
     progress.call = call;
     const routes = this._options.getRoutes();
     if (routes === undefined) {
-      throw this._createUnknown("no_declaration", "no declaration is in force here yet", progress, call);
+      throw this._createUnknown("no_declaration", "this entry has not received a declaration yet", progress, call);
     }
-    if (this._refusesAll) throw createNotRun("stopping", "this entry stops", STOPPING_RETRY_MS);
+    if (this._refusesAll) throw createNotRun("stopping", "this entry is stopping", STOPPING_RETRY_MS);
     const route = routes.getRoute(incoming.headers.host ?? "", incoming.url ?? "");
     if (route === undefined) {
-      throw this._createNo(404, "no_route", "no route has this host and path", progress, call);
+      throw this._createNo(404, "no_route", "no route matches this host and path", progress, call);
     }
     progress.route = route;
     const organisation = getOrganisation(routes, route, call.key);
     if (organisation === "unknown") {
-      throw this._createNo(401, "unknown_key", "the request needs a key that is known", progress, call);
+      throw this._createNo(401, "unknown_key", "the request needs a valid key", progress, call);
     }
     const body = await this._readBody(incoming, routes.declaration.limits.bodyBytes);
     const { receivedAt } = progress;
@@ -265,10 +271,11 @@
   }
 
   /**
-   * Makes the refusal of what the declaration doesn't allow. One that was recovered after a start may be older than the
-   * newest acknowledged one, by whatever came right before all processes ended, and so may one that no control process
-   * shows any more: nothing is refused for good by it. After a kill of all processes right after an acknowledgement, a route of that version got 404 from the entry's
-   * first listening until it heard a leader.
+   * Creates the refusal of a request that the declaration does not allow. It is only final when the
+   * declaration is confirmed. One recovered after a start, or no longer published by a control process, may
+   * be older than the newest acknowledged version: after a kill of all processes right after an
+   * acknowledgement, a route of the acknowledged version got 404 from the entry's first listening until it
+   * received from a leader.
    */
   private _createNo(
     status: number,
@@ -278,7 +285,7 @@
     call: CallFacts,
   ): GatewayRefusal {
     if (this._options.isConfirmed()) return createFinal(status, code, reason);
-    const unconfirmed = `${reason} in the declaration known here, which may not be the newest one`;
+    const unconfirmed = `${reason} in the cached declaration, which may be outdated`;
     return this._createUnknown("unconfirmed_declaration", unconfirmed, progress, call);
   }
 
@@ -293,7 +300,7 @@
     return createNotRun(code, reason, returnMs);
   }
 
-  /** A request goes to a service with the chance that its weight gives. */
+  /** Chooses a service with the probability given by its weight. */
   private _chooseService(route: Route): string {
     const total = route.split.reduce((sum, share) => sum + share.weight, 0);
     let left = this._options.random.next() * total;
@@ -306,22 +313,22 @@
 
   private async _readBody(incoming: IncomingMessage, limit: number): Promise<Buffer> {
     const declared = Number(incoming.headers["content-length"] ?? 0);
-    if (declared > limit) throw createFinal(413, "body_too_large", `a body has at most ${limit} bytes`);
+    if (declared > limit) throw createFinal(413, "body_too_large", `the body exceeds ${limit} bytes`);
     const chunks: Buffer[] = [];
     let length = 0;
     try {
       for await (const chunk of incoming as AsyncIterable<Buffer>) {
         length += chunk.length;
         this._bufferedBytes += chunk.length;
-        if (length > limit) throw createFinal(413, "body_too_large", `a body has at most ${limit} bytes`);
+        if (length > limit) throw createFinal(413, "body_too_large", `the body exceeds ${limit} bytes`);
         if (this._bufferedBytes > MAX_BUFFERED_BYTES) {
-          throw createNotRun("body_too_large", "too many bodies are held now", FULL_RETRY_MS);
+          throw createNotRun("body_too_large", "too many request bodies are buffered", FULL_RETRY_MS);
         }
         chunks.push(chunk);
       }
     } catch (cause) {
       if (cause instanceof GatewayRefusal) throw cause;
-      throw createFinal(400, "malformed_request", "the body broke off");
+      throw createFinal(400, "malformed_request", "the connection closed before the body was complete");
     } finally {
       this._bufferedBytes -= length;
     }
@@ -348,7 +355,7 @@
     this._log(progress, "done", { status: answer.status });
   }
 
-  /** The time is over: the final answer goes out now, and what is under way ends. */
+  /** Sends the final answer when the request's time has expired, and aborts the attempts in progress. */
   private _endLate(response: ServerResponse, progress: Progress): void {
     const { exchange } = progress;
     if (exchange === undefined || response.writableEnded || response.destroyed) return;
@@ -358,7 +365,7 @@
       response.destroy();
       return;
     }
-    const reason = "the time that the request had is over";
+    const reason = "the request's time has expired";
     const refusal = hasRun
       ? createFinal(504, "time_over", reason)
       : createNotRun("time_over", reason, STOPPING_RETRY_MS);
@@ -400,7 +407,7 @@
       declaration: this._options.getRoutes()?.declaration.version ?? 0,
       view_term: shown.term,
       view_control: shown.control,
-      // JSON has no infinity: nothing was shown yet.
+      // JSON can't represent infinity, which stands for no published view.
       view_silence_ms: shown.control === "" ? undefined : Math.round(shown.silenceMs),
       outcome,
       code,
@@ -408,14 +415,14 @@
       sent: exchange?.sentCount ?? 0,
       failures: exchange?.failures,
       not_repeated: exchange?.denial,
-      // Whether two tries that failed were the same request.
+      // Shows whether two failed calls were the same request.
       digest: isDigestTold(exchange, code) ? exchange?.digest : undefined,
       ...details,
     });
   }
 }
 
-/** Gets who ended an answer before its end. */
+/** Gets which side ended an answer early. */
 function getCutCode(exchange: Exchange): string {
   if (exchange.getLeftMs() <= 0) return "time_over";
   return exchange.isOver ? "caller_gone" : "endpoint_broke_off";
@@ -425,7 +432,10 @@
   return exchange !== undefined && (exchange.failures.length > 0 || code === "kept_away");
 }
 
-/** Gets whose key it is; "unknown" where the route needs one that is known. */
+/**
+ * Gets the organisation that a key belongs to; "unknown" when the route requires a valid key, `undefined` for
+ * anonymous access.
+ */
 function getOrganisation(
   routes: RouteTable,
   route: Route,
@@ -452,19 +462,22 @@
   if (refusal.retryAfterMs !== undefined) {
     response.setHeader("Retry-After", (refusal.retryAfterMs / 1_000).toString());
   }
-  // What was not read of a refused body must not be taken for the next request.
+  // The unread rest of a refused body must not be parsed as the next request.
   if (refusal.status === 400 || refusal.status === 413) response.setHeader("Connection", "close");
   response.writeHead(refusal.status);
   response.end(body);
 }
 
-/** Answers to what is no whole request, by the parser's error. */
+/** Answers to malformed requests, by the parser's error code. */
 const MALFORMED_ANSWERS: Readonly<Record<string, string>> = {
   ERR_HTTP_REQUEST_TIMEOUT: "408 Request Timeout",
   HPE_HEADER_OVERFLOW: "431 Request Header Fields Too Large",
 };
 
-/** What can't be parsed is answered and the connection ended: where the next request begins is unknown. */
+/**
+ * Answers a request that can't be parsed and closes the connection, because the start of the next request is
+ * unknown.
+ */
 function refuseMalformed(socket: Socket, errorCode: string | undefined): void {
   if (!socket.writable) {
     socket.destroy();
--- a/src/gateway/HeldAnswer.ts
+++ b/src/gateway/HeldAnswer.ts
@@ -1,39 +1,42 @@
-/** What a process holds of one answer that is not whole yet; counts toward the bound of all of them. Pure. */
+/** Counts the buffered bytes of one incomplete answer toward the limit over all answers. Pure. */
 
-/** What counts all answers together. */
+/** Total over all buffered answers. */
 export interface HeldSum {
-  /** Adds bytes, or takes them off. */
+  /** Adds a number of bytes to the total; a negative number subtracts. */
   change(bytes: number): void;
-  /** Gives answers up until the bound holds. */
+  /** Abandons answers until the total is within the limit. */
   bound(): void;
-  /** Forgets an answer. */
+  /** Removes an answer from the total. */
   remove(answer: HeldAnswer): void;
 }
 
-/** What is held of one answer. */
+/** Buffered bytes of one answer. */
 export class HeldAnswer {
   private readonly _held: HeldSum;
   private readonly _giveUp: (bytes: number) => void;
   private _bytes = 0;
   private _isOpen = true;
 
-  /** @internal Use `HeldBytes.open`. */
+  /** @internal Use `AnswerBuffers.open`. */
   constructor(held: HeldSum, giveUp: (bytes: number) => void) {
     this._held = held;
     this._giveUp = giveUp;
   }
 
-  /** Gets how many bytes are held of it. */
+  /** Gets the number of buffered bytes. */
   get bytes(): number {
     return this._bytes;
   }
 
-  /** Gets whether it is held still, and not given up. */
+  /** Gets whether the answer is still buffered; `false` once it is closed or abandoned. */
   get isOpen(): boolean {
     return this._isOpen;
   }
 
-  /** Sets how many bytes are held of it; may give up this or another one. */
+  /**
+   * Sets the number of buffered bytes. When the total exceeds the limit, this abandons the largest answer,
+   * which may be this one.
+   */
   setBytes(bytes: number): void {
     if (!this._isOpen) return;
     this._held.change(bytes - this._bytes);
@@ -41,7 +44,7 @@
     this._held.bound();
   }
 
-  /** Holds nothing of it any more. */
+  /** Removes the answer's bytes from the total. */
   close(): void {
     this._isOpen = false;
     this._held.change(-this._bytes);
@@ -49,7 +52,7 @@
     this._held.remove(this);
   }
 
-  /** Ends it, since it is the largest one of too many bytes. */
+  /** Abandons the answer because it is the largest one while the total exceeds the limit. */
   giveUp(): void {
     const bytes = this._bytes;
     this.close();
--- a/src/gateway/HeldBytes.ts
+++ b/src/gateway/HeldBytes.ts
@@ -1,31 +1,30 @@
 /**
- * What a process holds of answers that are not whole yet, bounded over all of them together.
+ * Limits the bytes that a process buffers for all incomplete answers together.
  *
- * Over the bound the largest one is given up, so that what an endpoint sends without end costs nobody else their answer. Pure.
+ * When the total exceeds the limit, the largest answer is abandoned. An endpoint that sends data without end
+ * therefore costs no other caller its answer. Pure.
  */
 import { HeldAnswer, type HeldSum } from "./HeldAnswer";
 
-/** What is held of all answers of a process. */
+/** Buffered bytes of all answers of a process. */
 export class HeldBytes implements HeldSum {
   private readonly _maxBytes: number;
   private readonly _answers = new Set<HeldAnswer>();
   private _bytes = 0;
 
-  /**
-   * @param maxBytes - Bound of all of them together.
-   */
+  /** @param maxBytes - Limit on the total. */
   constructor(maxBytes: number) {
     this._maxBytes = maxBytes;
   }
 
-  /** Gets how many bytes are held. */
+  /** Gets the total number of buffered bytes. */
   get bytes(): number {
     return this._bytes;
   }
 
   /**
-   * Begins to hold an answer.
-   * @param giveUp - Ends the answer; called with how many bytes of it were held.
+   * Starts to count an answer.
+   * @param giveUp - Called when the answer is abandoned, with the number of bytes that were buffered for it.
    */
   open(giveUp: (bytes: number) => void): HeldAnswer {
     const answer = new HeldAnswer(this, giveUp);
@@ -43,7 +42,7 @@
     this._answers.delete(answer);
   }
 
-  /** @internal Gives answers up until the bound holds. */
+  /** @internal Abandons the largest answers until the total is within the limit. */
   bound(): void {
     while (this._bytes > this._maxBytes) this._getLargest().giveUp();
   }
--- a/src/gateway/PlainExchange.ts
+++ b/src/gateway/PlainExchange.ts
@@ -1,4 +1,6 @@
-/** Runs a request whose answer is one body: taken in whole before any of it goes out. */
+/**
+ * Runs a request whose answer is a single body, which is buffered completely before any of it is passed on.
+ */
 import { createRace } from "./createRace";
 import type { Exchange } from "./Exchange";
 import { PlainSource, type WholeAnswer } from "./PlainSource";
@@ -7,19 +9,17 @@
 /** Runs a request until an answer may be passed on. */
 export class PlainExchange {
   private readonly _exchange: Exchange;
-  /** An endpoint's own failure: passed on as it stands where no other attempt comes to more. */
+  /** Server error answered by an endpoint; passed on unchanged when no other attempt succeeds. */
   private _failure: WholeAnswer | undefined;
 
-  /**
-   * @param exchange - The request and its attempts.
-   */
+  /** @param exchange - The request and its attempts. */
   constructor(exchange: Exchange) {
     this._exchange = exchange;
   }
 
   /**
    * Runs the request.
-   * @throws GatewayRefusal
+   * @throws GatewayRefusal - When no attempt produced an answer.
    */
   async run(): Promise<WholeAnswer> {
     const exchange = this._exchange;
--- a/src/gateway/PlainSource.ts
+++ b/src/gateway/PlainSource.ts
@@ -1,4 +1,4 @@
-/** One attempt at an answer that is one body: its only part is the whole of it. */
+/** One attempt whose answer is a single body; the whole body is its only part. */
 import type { IncomingMessage } from "node:http";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import {
@@ -16,21 +16,24 @@
 import { isFramed } from "./headers";
 import { mayRepeat } from "./patience";
 
-/** A whole answer. */
+/** A complete answer. */
 export interface WholeAnswer {
   readonly status: number;
-  /** As received, names and values in turn. */
+  /** As received, alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Whether the endpoint said where it ends; else only the end of its connection did. */
+  /**
+   * Whether the answer has a length or chunked framing; otherwise only the close of its connection marks its
+   * end.
+   */
   readonly isFramed: boolean;
 }
 
-/** Larger answers are not held. */
+/** Maximum size of an answer; larger ones are aborted. */
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 const SERVER_ERROR = 500;
 
-/** Reads one attempt's answer. */
+/** Reads the answer of one attempt. */
 export class PlainSource implements AnswerSource<WholeAnswer> {
   readonly target: Target;
   heardAt: number;
@@ -38,9 +41,7 @@
   private readonly _onFailure: (answer: WholeAnswer) => void;
   private readonly _abort = new AbortController();
 
-  /**
-   * @param onFailure - Called with an endpoint's own failure, where another attempt may come to more.
-   */
+  /** @param onFailure - Called with a server error of the endpoint when another attempt may succeed. */
   constructor(exchange: Exchange, target: Target, onFailure: (answer: WholeAnswer) => void) {
     this.target = target;
     this.heardAt = exchange.getNow();
@@ -48,7 +49,7 @@
     this._onFailure = onFailure;
   }
 
-  /** Gets the whole answer. */
+  /** Gets the complete answer; `undefined` when the attempt failed. */
   async next(): Promise<WholeAnswer | undefined> {
     const exchange = this._exchange;
     const { call } = exchange.request;
@@ -65,7 +66,7 @@
     return undefined;
   }
 
-  /** Ends it, for another attempt that went on. */
+  /** Aborts the attempt because another one produced output. */
   leave(reason: string): void {
     leaveAttempt(this._abort, this.target, reason);
   }
@@ -83,7 +84,7 @@
       };
     } catch (cause) {
       this._exchange.failAttempt(attempt, {
-        reason: `its answer broke off: ${explainFailure(cause, this._abort)}`,
+        reason: `answer broke off: ${explainFailure(cause, this._abort)}`,
         wasNotRun: false,
         wasSent: true,
         wasBroken: wasBroken(this._abort),
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -1,9 +1,8 @@
 /**
  * Runs a request whose answer is a stream of events.
  *
- * Whole events are passed on as they arrive. Where the route allows it, a stream whose
- * endpoint breaks off or stands still goes on at another one after the last event that
- * was passed on, within the one answer.
+ * Complete events are passed on as they arrive. Where the route allows it, a stream whose endpoint breaks off
+ * or stalls is resumed at another endpoint after the last event that was passed on, within the same answer.
  */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { AttemptRace } from "./AttemptRace";
@@ -16,9 +15,9 @@
 import type { GatePass } from "./StreamGate";
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
 
-/** What a stream came to. */
+/** Result of a stream. */
 export interface StreamResult {
-  /** Whether the caller got the answer whole. */
+  /** Whether the caller received the complete answer. */
   readonly isWhole: boolean;
   readonly firstEventMs: number | undefined;
   readonly longestGapMs: number;
@@ -34,13 +33,13 @@
   private _eventAt: number | undefined;
   private _longestGapMs = 0;
   private _events = 0;
-  /** Whether the caller's answer ends with its connection, as the endpoint's did. */
+  /** Whether the caller's answer is close-delimited, because the endpoint's answer was. */
   private _endsWithConnection = false;
   private _pass: GatePass | undefined;
 
   /**
    * @param exchange - The request and its attempts.
-   * @param response - Where the events go.
+   * @param response - Answer to which the events are written.
    */
   constructor(exchange: Exchange, response: ServerResponse) {
     this._exchange = exchange;
@@ -48,7 +47,7 @@
     this._lastEventId = exchange.request.call.lastEventId;
   }
 
-  /** Gets what the stream has come to so far. */
+  /** Gets the result of the stream so far. */
   getResult(isWhole: boolean): StreamResult {
     return {
       isWhole,
@@ -60,7 +59,7 @@
 
   /**
    * Runs the request.
-   * @throws GatewayRefusal - When nothing of an answer has gone out.
+   * @throws GatewayRefusal - When no part of an answer has been sent.
    */
   async run(): Promise<StreamResult> {
     this._pass = await this._exchange.enterGate();
@@ -87,7 +86,7 @@
       race.close();
     }
     if (!this._response.headersSent) throw exchange.createRefusal();
-    // Without its last chunk the answer is visibly not whole.
+    // The missing last chunk shows the caller that the answer is incomplete.
     this._response.destroy();
     return this.getResult(false);
   }
@@ -141,7 +140,10 @@
     this._eventAt = now;
   }
 
-  /** An endpoint that failed before says nothing of how long others let a request wait. */
+  /**
+   * The delay of a first event after a failed attempt shows nothing about the endpoints' queues, so it is not
+   * added.
+   */
   private _noteFirstEvent(now: number): void {
     this._firstEventMs = Math.round(now - this._exchange.request.receivedAt);
     if (this._exchange.failures.length === 0) this._pass?.addFirstEvent();
@@ -149,7 +151,10 @@
   }
 }
 
-/** A stream may be longer or shorter than its first endpoint meant, so its length is not passed on. */
+/**
+ * Gets the headers of a stream. Its length is not passed on, because a resumed stream may differ in length
+ * from the first endpoint's.
+ */
 function getStreamHeaders(incoming: IncomingMessage): string[] {
   const headers = getEndToEndHeaders(incoming.rawHeaders);
   const kept: string[] = [];
--- a/src/gateway/StreamGate.ts
+++ b/src/gateway/StreamGate.ts
@@ -1,26 +1,26 @@
 /**
- * Lets streams out to endpoints: one window and one queue for each service and model.
+ * Admits streams to endpoints, with one admission window and one queue for each service and model.
  *
- * A stream that finds no room waits until one that was sent has begun or ended, or until it
- * is given up on.
+ * When the window is full, a stream waits until an admitted one has received its first event or ended, or
+ * until its queue timeout expires.
  */
 import type { Clock } from "../clock";
 import { AdmissionWindow } from "./AdmissionWindow";
 import { FreshFirstQueue, type WaitingRequest } from "./FreshFirstQueue";
 
-/** What a stream asks to be let out for. */
+/** A stream that asks for admission. */
 export interface GateRequest extends WaitingRequest {
-  /** How long the caller waits for a first event. */
+  /** How long the caller waits for a first event, milliseconds. */
   readonly callerPatienceMs: number;
   readonly service: string;
   readonly model: string;
 }
 
-/** A stream that was let out. */
+/** Admission of one stream. */
 export interface GatePass {
-  /** Notes its first event. */
+  /** Records the stream's first event. */
   addFirstEvent(): void;
-  /** Notes that it waits no more; more often than once does nothing. */
+  /** Records that the stream no longer waits for its first event; further calls have no effect. */
   end(): void;
 }
 
@@ -33,10 +33,13 @@
   readonly queue: FreshFirstQueue<WaitingStream>;
 }
 
-/** Part of its caller's patience that a stream waits here; then it is refused while that may help. */
+/**
+ * Fraction of its caller's timeout that a stream waits here. It is then refused, while the caller still has
+ * time to retry.
+ */
 const PATIENCE_SHARE = 0.45;
 
-/** The gate of one entry. */
+/** Gate of one entry. */
 export class StreamGate {
   private readonly _clock: Clock;
   private readonly _getFirstSize: (service: string, model: string) => number;
@@ -44,23 +47,23 @@
 
   /**
    * @param clock - Monotonic time.
-   * @param getFirstSize - Gives how many streams of a model this entry may have at endpoints before
-   * their first event while nothing is known of how soon that comes.
+   * @param getFirstSize - Gets the initial size of a model's window: how many of its streams this entry may
+   * have waiting at endpoints before any first event has been measured.
    */
   constructor(clock: Clock, getFirstSize: (service: string, model: string) => number) {
     this._clock = clock;
     this._getFirstSize = getFirstSize;
   }
 
-  /** Gets how many streams wait. */
+  /** Gets the number of queued streams. */
   get waitingCount(): number {
     return [...this._lanes.values()].reduce((sum, lane) => sum + lane.queue.size, 0);
   }
 
   /**
    * Waits until a stream may be sent.
-   * @param signal - Aborted when the caller has left, or its time is over.
-   * @returns `undefined` when it waited for too long, or was aborted.
+   * @param signal - Aborted when the caller has disconnected or its time has expired.
+   * @returns `undefined` when the stream waited for too long or was aborted.
    */
   async enter(request: GateRequest, signal: AbortSignal): Promise<GatePass | undefined> {
     const lane = this._getLane(request);
@@ -84,7 +87,7 @@
     });
   }
 
-  /** Gives all streams up that wait: this entry stops. */
+  /** Refuses all queued streams because this entry stops. */
   refuseAll(): void {
     const now = this._clock.getMonotonicMs();
     for (const { queue } of this._lanes.values()) {
--- a/src/gateway/StreamSource.ts
+++ b/src/gateway/StreamSource.ts
@@ -1,4 +1,7 @@
-/** One attempt at a stream of events: its parts are the whole events of each piece that arrives, then its end. */
+/**
+ * One attempt whose answer is a stream. Its parts are the events completed by each chunk that arrives, then
+ * the end of the stream.
+ */
 import type { IncomingMessage } from "node:http";
 import { LostAnswer } from "../errors";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
@@ -20,30 +23,30 @@
 import { isFramed } from "./headers";
 import { mayRepeat } from "./patience";
 
-/** What came of a stream. */
+/** A part of a stream. */
 export interface StreamPart {
   readonly incoming: IncomingMessage;
   readonly events: readonly StreamEvent[];
   readonly isEnd: boolean;
 }
 
-/** What an attempt has to know of the answer that the caller gets. */
+/** State of the answer that the caller receives. */
 export interface StreamProgress {
-  /** Where the stream goes on. */
+  /** Id of the event after which the stream continues. */
   readonly lastEventId: string | undefined;
-  /** Whether a part of an answer has gone out. */
+  /** Whether the head of an answer has been sent to the caller. */
   readonly hasBegun: boolean;
-  /** Whether the caller's answer ends with its connection. */
+  /** Whether the caller's answer is close-delimited. */
   readonly endsWithConnection: boolean;
-  /** Whether another attempt may still come to more. */
+  /** Whether another attempt is in progress and may still succeed. */
   readonly hasRival: boolean;
 }
 
 const FIRST_FAILURE_STATUS = 300;
-/** An event that is larger is none: a stream's pieces are tokens. */
+/** Maximum size of an event. A stream's events carry tokens, so a larger one is an error. */
 const MAX_EVENT_BYTES = 1_024 * 1_024;
 
-/** Reads one attempt's stream. */
+/** Reads the stream of one attempt. */
 export class StreamSource implements AnswerSource<StreamPart> {
   readonly target: Target;
   heardAt: number;
@@ -57,9 +60,7 @@
   private _endStream: (() => void) | undefined;
   private readonly _held: HeldAnswer;
 
-  /**
-   * @param getProgress - Gives what the caller has got.
-   */
+  /** @param getProgress - Gets the state of the answer that the caller receives. */
   constructor(exchange: Exchange, target: Target, getProgress: () => StreamProgress) {
     this.target = target;
     this.heardAt = exchange.getNow();
@@ -68,7 +69,7 @@
     this._held = exchange.tools.held.open((bytes) => breakOffOversized(this._abort, target, bytes));
   }
 
-  /** Gets the events that came next, or the end. */
+  /** Gets the next events, or the end; `undefined` when the attempt failed. */
   async next(): Promise<StreamPart | undefined> {
     this._attempt ??= await this._begin();
     const attempt = this._attempt;
@@ -85,7 +86,7 @@
     }
   }
 
-  /** Ends it, for another attempt that went on. */
+  /** Aborts the attempt because another one produced output. */
   leave(reason: string): void {
     leaveAttempt(this._abort, this.target, reason);
   }
@@ -102,7 +103,10 @@
     return attempt;
   }
 
-  /** A stream that has begun can't turn into a failure; before that, one may be passed on. */
+  /**
+   * Gets why an answer can't be used. An error status is passed on only when no stream has been sent to the
+   * caller and no other attempt may succeed.
+   */
   private _check({ incoming }: BegunAttempt): AttemptFailure | undefined {
     const failure = checkAnswer(this._exchange, incoming);
     const status = incoming.statusCode ?? 0;
@@ -110,11 +114,11 @@
     const { hasBegun: isAnswering, hasRival } = this._getProgress();
     const canRepeat = mayRepeat(this._exchange.request.route) && this._exchange.hasAttemptsLeft();
     if (!isAnswering && !hasRival && !canRepeat) return undefined;
-    return { reason: `it answered ${status}`, wasNotRun: false, wasSent: true };
+    return { reason: `endpoint answered ${status}`, wasNotRun: false, wasSent: true };
   }
 
   private async _read(attempt: BegunAttempt): Promise<StreamPart> {
-    // The caller may have been slow to take the part before.
+    // The time in which the caller processed the previous part does not count as idle.
     if (this._answeredAt !== undefined) this.heardAt = this._exchange.getNow();
     for (;;) {
       const { done, value } = await this._pieces!.next();
@@ -134,7 +138,7 @@
     return events;
   }
 
-  /** Bytes of an event that doesn't end are no progress. */
+  /** Bytes of an incomplete event do not count as activity. */
   private _addProgress(now: number): void {
     const pace = this._exchange.tools.pool.getPace(this.target.id);
     if (this._endStream === undefined) this._endStream = pace?.startStream(now);
@@ -158,9 +162,9 @@
     const rest = this._splitter.takeRest();
     const { hasBegun: isAnswering, endsWithConnection } = this._getProgress();
     const canEnd = isFramed(incoming) || endsWithConnection || !isAnswering;
-    // Without a length only the end of the connection ends it, and that may come too soon.
+    // A close-delimited answer may have been cut, which looks the same as its end.
     if (!canEnd || (rest.length > 0 && !isFramed(incoming))) {
-      throw new LostAnswer({ address: this.target.address, reason: "it ended without saying so" });
+      throw new LostAnswer({ address: this.target.address, reason: "connection closed without marking the end of the answer" });
     }
     this._close();
     this._exchange.endAttempt(attempt);
@@ -169,7 +173,7 @@
 
   private _explain(cause: unknown): AttemptFailure {
     return {
-      reason: `its stream broke off: ${explainFailure(cause, this._abort)}`,
+      reason: `stream broke off: ${explainFailure(cause, this._abort)}`,
       wasNotRun: false,
       wasSent: true,
       answeredAt: this._answeredAt,
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -1,5 +1,5 @@
 /**
- * The targets that one entry may use, with what it knows of each.
+ * Targets that one entry may use, with their load and failures as observed by this entry.
  *
  * Pure: times are monotonic milliseconds given by the caller.
  */
@@ -7,48 +7,46 @@
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { AnswerPace } from "./AnswerPace";
 
-/** What a choice is made for. */
+/** Criteria for choosing a target. */
 export interface TargetRequest {
   readonly service: string;
   /** "" for a plain service. */
   readonly model: string;
-  /** Targets that this request was sent to already. */
+  /** Ids of the targets that the request has already been sent to. */
   readonly excluded: ReadonlySet<string>;
 }
 
 interface TargetState {
   target: Target;
   inFlight: number;
-  /** Before this time it is used only when there is no other. */
+  /** Until this time the target is only used when there is no other. */
   suspectUntil: number;
   failures: number;
-  /** When any request heard anything of it. */
+  /** When data for any request last arrived from the target. */
   heardAt: number;
   readonly pace: AnswerPace;
 }
 
-/** How long a target is avoided after its first failure; doubled with each that follows. */
+/** How long a target is avoided after its first failure; doubled with each consecutive failure. */
 const SUSPICION_MS = 500;
 const MAX_SUSPICION_MS = 4_000;
 const NEVER = Number.NEGATIVE_INFINITY;
-/** Random part of a score, below any difference that matters. */
+/** Random part of a score, smaller than any relevant difference. */
 const TIE_BREAK = 1e-6;
-/** Requests that a suspect counts as, against one that is not. */
+/** Penalty of a suspected target, in requests per slot. */
 const SUSPECT_LOAD = 1_000;
 
-/** A target's requests in flight. */
+/** Targets of one entry and their requests in flight. */
 export class TargetPool {
   private _targets = new Map<string, TargetState>();
   private readonly _random: RandomSource;
 
-  /**
-   * @param random - Breaks ties, so that entries don't all choose alike.
-   */
+  /** @param random - Breaks ties, so that different entries choose different targets. */
   constructor(random: RandomSource) {
     this._random = random;
   }
 
-  /** Sets the targets; what is known of those that stay is kept. */
+  /** Replaces the targets; the state of targets that remain is retained. */
   setTargets(targets: readonly Target[]): void {
     this._targets = new Map(
       targets.map((target) => {
@@ -60,17 +58,17 @@
     );
   }
 
-  /** Checks whether a target may still be used. */
+  /** Checks whether a target is in the pool. */
   hasTarget(id: string): boolean {
     return this._targets.has(id);
   }
 
-  /** Gets how many requests are in flight at a target. */
+  /** Gets the number of requests in flight at a target. */
   getInFlight(id: string): number {
     return this._targets.get(id)?.inFlight ?? 0;
   }
 
-  /** Gets how many requests the targets of a service and model run at once. */
+  /** Gets how many requests the targets of a service and model can run concurrently. */
   getSlots(service: string, model: string): number {
     const targets = [...this._targets.values()].map((state) => state.target);
     return targets
@@ -78,7 +76,7 @@
       .reduce((sum, target) => sum + target.slots, 0);
   }
 
-  /** Chooses the target with the fewest requests a slot. */
+  /** Chooses the target with the fewest requests in flight per slot; `undefined` when none matches. */
   chooseTarget(now: number, request: TargetRequest): Target | undefined {
     let best: TargetState | undefined;
     let bestScore = Number.POSITIVE_INFINITY;
@@ -93,23 +91,23 @@
     return best?.target;
   }
 
-  /** Checks whether a target is avoided now. */
+  /** Checks whether a target is avoided at the moment. */
   isSuspect(now: number, id: string): boolean {
     const state = this._targets.get(id);
     return state !== undefined && this._isAvoided(now, state);
   }
 
-  /** Checks whether a target's streams all stand still. */
+  /** Checks whether all streams of a target have stalled. */
   isStalled(now: number, id: string): boolean {
     return this._targets.get(id)?.pace.isStalled(now) ?? false;
   }
 
-  /** Gets the pace of a target's streams, if it is known. */
+  /** Gets the stall detector of a target; `undefined` for an unknown target. */
   getPace(id: string): AnswerPace | undefined {
     return this._targets.get(id)?.pace;
   }
 
-  /** Notes the beginning of a request; gives what notes its end. */
+  /** Records the start of a request. Returns a function that records its end. */
   startRequest(id: string): () => void {
     const state = this._targets.get(id);
     if (state === undefined) return () => {};
@@ -122,18 +120,18 @@
     };
   }
 
-  /** Notes that something was heard of a target. */
+  /** Records that data arrived from a target. */
   addSign(now: number, id: string): void {
     const state = this._targets.get(id);
     if (state !== undefined) state.heardAt = now;
   }
 
-  /** Gets when anything was heard of a target. */
+  /** Gets when data last arrived from a target, monotonic milliseconds. */
   getHeardAt(id: string): number {
     return this._targets.get(id)?.heardAt ?? NEVER;
   }
 
-  /** Notes that a target answered as it should. */
+  /** Records a successful answer: the target is no longer avoided. */
   addSuccess(id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
@@ -141,7 +139,7 @@
     state.suspectUntil = 0;
   }
 
-  /** Notes that a target failed: it is avoided for a while. */
+  /** Records a failure: the target is avoided for 0.5 to 4 s. */
   addFailure(now: number, id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
--- a/src/gateway/createRace.ts
+++ b/src/gateway/createRace.ts
@@ -1,17 +1,19 @@
-/** Has the attempts of a request replace each other as its route, its endpoints and the entries' budget allow. */
+/**
+ * Creates the race between a request's attempts, as limited by its route, its endpoints and the retry budget.
+ */
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import { type AnswerSource, AttemptRace } from "./AttemptRace";
 import type { Exchange } from "./Exchange";
 
-/** What an answer is taken with. */
+/** Opens and times the attempts of a request. */
 export interface AnswerReader<T> {
   /** Sends the request to a target. */
   readonly open: (target: Target) => AnswerSource<T>;
-  /** Gets the longest silence of an endpoint that works, milliseconds. */
+  /** Gets how long a working endpoint may send no data, milliseconds. */
   readonly getPatienceMs: () => number;
 }
 
-/** Makes the race of a request's attempts. */
+/** Creates the race between a request's attempts. */
 export function createRace<T>(exchange: Exchange, { open, getPatienceMs }: AnswerReader<T>): AttemptRace<T> {
   let hasBegun = false;
   return new AttemptRace({
--- a/src/gateway/endWithConnection.ts
+++ b/src/gateway/endWithConnection.ts
@@ -1,11 +1,11 @@
-/** Answers whose end only the end of their connection tells. */
+/** Answers whose end is only marked by the close of their connection. */
 import type { ServerResponse } from "node:http";
 
 /**
- * Makes an answer end with its connection.
+ * Makes an answer close-delimited.
  *
- * An endpoint's answer without a length may have been cut without a trace: a length of
- * ours would vouch for what we can't know.
+ * An endpoint's answer without a length may have been cut, which the gateway can't detect. Adding a length
+ * would mark it as complete.
  */
 export function endWithConnection(response: ServerResponse): void {
   response.shouldKeepAlive = false;
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -1,7 +1,10 @@
-/** Which headers go from one side to the other. */
+/** Selects the headers that are passed on between callers and endpoints. */
 import type { IncomingMessage } from "node:http";
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), and framing that is made anew. */
+/**
+ * Headers that apply to one connection only (RFC 9110, section 7.6.1), and framing headers, which are created
+ * again.
+ */
 const HOP_BY_HOP = new Set([
   "connection",
   "keep-alive",
@@ -16,7 +19,7 @@
 ]);
 
 /**
- * Gets the end-to-end headers, names and values in turn.
+ * Gets the end-to-end headers, alternating names and values.
  * @param raw - As received.
  */
 export function getEndToEndHeaders(raw: readonly string[]): string[] {
@@ -29,7 +32,7 @@
   return kept;
 }
 
-/** Gets headers without those of some names, given in lower case. */
+/** Gets headers without those of the given names, which must be lower case. */
 export function dropHeaders(raw: readonly string[], names: ReadonlySet<string>): string[] {
   const kept: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -38,7 +41,7 @@
   return kept;
 }
 
-/** A sender may name more headers as its connection's own. */
+/** Gets the further hop-by-hop headers that the sender lists in `Connection`. */
 function getConnectionHeaders(raw: readonly string[]): Set<string> {
   const names = new Set<string>();
   for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -48,7 +51,10 @@
   return names;
 }
 
-/** Checks whether an answer says where it ends; else the end of its connection does, cut or not. */
+/**
+ * Checks whether an answer has a length or chunked framing. Otherwise the close of its connection ends it,
+ * whether it is complete or cut.
+ */
 export function isFramed(incoming: IncomingMessage): boolean {
   const { headers } = incoming;
   return headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
--- a/src/gateway/returnTime.ts
+++ b/src/gateway/returnTime.ts
@@ -1,29 +1,32 @@
 /**
- * When a refused caller is told to come back.
+ * Computes when a refused caller may retry (`Retry-After`).
  *
- * A caller that comes back into the same outage is refused again and mostly gives up, and callers
- * that all come back in one moment find a queue in place of an outage. Pure.
+ * A caller that retries during the same outage is refused again and mostly abandons the request. Callers that
+ * all retry at the same time overload the endpoints. Pure.
  */
 
-/** Callers come back when they are told to, up to a third of the time that they have left. */
+/** Callers honour a retry time of up to a third of their remaining time. */
 const HONOURED_SHARE = 0.3;
 const MIN_RETURN_MS = 50;
 const MAX_RETURN_MS = 3_000;
-/** Least part of that time: the rest of it spreads callers that were refused in one moment. */
+/**
+ * Minimum fraction of the retry time; the rest is random and spreads callers that were refused at the same
+ * time.
+ */
 const LEAST_SHARE = 0.6;
 /**
- * An entry that has just started has its view after so long: 0.85 s from listening to the first
- * declaration in a loss of power everywhere, where control starts on a fifth of a core.
+ * Time from an entry's start to its first view. After a power loss everywhere, where control starts on a
+ * fifth of a core, it took 0.85 s from listening to the first declaration.
  */
 const FIRST_VIEW_MS = 1_000;
-/** Callers that were refused until then come back spread over this time. */
+/** Callers refused before the first view retry spread over this time. */
 const FIRST_VIEW_SPREAD_MS = 1_200;
-/** What a caller that does not say how long it waits is taken to have left. */
+/** Assumed remaining time of a caller that does not state its timeout. */
 const UNKNOWN_LEFT_MS = 2_000;
 
 /**
- * Gets when a caller is to come back that found no endpoint, or no room.
- * @param leftMs - What it has left.
+ * Gets when a caller may retry whose request found no endpoint or no capacity.
+ * @param leftMs - The caller's remaining time.
  * @param random - In [0, 1).
  */
 export function getReturnMs(leftMs: number, random: number): number {
@@ -32,9 +35,9 @@
 }
 
 /**
- * Gets when a caller is to come back that found an entry without a declaration.
- * @param sinceStartMs - How long the entry has listened.
- * @param leftMs - What the caller has left, if it says so.
+ * Gets when a caller may retry whose request found an entry without a confirmed declaration.
+ * @param sinceStartMs - Time since the entry started listening.
+ * @param leftMs - The caller's remaining time; `undefined` when it is not stated.
  * @param random - In [0, 1).
  */
 export function getFirstViewReturnMs(
