--- a/src/gateway/AdmissionWindow.ts
+++ b/src/gateway/AdmissionWindow.ts
@@ -12,7 +12,7 @@
  * The mean share of the objective that first events may take. A higher mean shows that endpoints queue
  * streams.
  */
-const SLOW_SHARE = 0.75;
+const MAX_MEAN_SHARE = 0.75;
 /**
  * Weight of the newest first event in the mean. It is low because a single long prompt does not show a queue.
  */
@@ -21,18 +21,18 @@
 /**
  * Minimum time between two reductions of the window: first events that arrive together show the same queue.
  */
-const SHRINK_PAUSE_MS = 100;
+const MIN_SHRINK_INTERVAL_MS = 100;
 
 /** Admission window of one model. */
 export class AdmissionWindow {
   private _size: number;
-  private _waiting = 0;
+  private _waitingCount = 0;
   private _meanShare = 0;
-  private _shrunkAt = Number.NEGATIVE_INFINITY;
+  private _lastShrunkAt = Number.NEGATIVE_INFINITY;
 
-  /** @param firstSize - Initial size; clamped to the bounds. */
-  constructor(firstSize: number) {
-    this._size = Math.min(MAX_SIZE, Math.max(MIN_SIZE, firstSize));
+  /** @param initialSize - Initial size; clamped to the bounds. */
+  constructor(initialSize: number) {
+    this._size = Math.min(MAX_SIZE, Math.max(MIN_SIZE, initialSize));
   }
 
   /** Gets how many streams may wait at endpoints. */
@@ -41,18 +41,18 @@
   }
 
   /** Checks whether one more stream may be sent. */
-  hasRoom(): boolean {
-    return this._waiting < Math.floor(this._size);
+  hasCapacity(): boolean {
+    return this._waitingCount < Math.floor(this._size);
   }
 
   /** Records that a stream was sent to an endpoint. */
-  addSent(): void {
-    this._waiting += 1;
+  addWaiting(): void {
+    this._waitingCount += 1;
   }
 
   /** Records that a stream no longer waits for its first event, for any reason. */
-  removeSent(): void {
-    this._waiting -= 1;
+  removeWaiting(): void {
+    this._waitingCount -= 1;
   }
 
   /**
@@ -61,14 +61,14 @@
    */
   addFirstEvent(now: number, share: number): void {
     this._meanShare += (share - this._meanShare) * SHARE_WEIGHT;
-    if (this._meanShare <= SLOW_SHARE) {
+    if (this._meanShare <= MAX_MEAN_SHARE) {
       this._size = Math.min(MAX_SIZE, this._size + 1 / this._size);
       return;
     }
-    if (now - this._shrunkAt < SHRINK_PAUSE_MS) return;
-    this._shrunkAt = now;
+    if (now - this._lastShrunkAt < MIN_SHRINK_INTERVAL_MS) return;
+    this._lastShrunkAt = now;
     // Unused capacity shows nothing about the endpoints, so the reduction starts from the number of waiting
     // streams.
-    this._size = Math.max(MIN_SIZE, Math.min(this._size, this._waiting + 1) * SHRINK_FACTOR);
+    this._size = Math.max(MIN_SIZE, Math.min(this._size, this._waitingCount + 1) * SHRINK_FACTOR);
   }
 }
--- a/src/gateway/AnswerPace.ts
+++ b/src/gateway/AnswerPace.ts
@@ -13,20 +13,20 @@
 const MIN_STALL_MS = 200;
 
 /** Stall detector of one target. */
-export class AnswerPace {
-  private _streams = 0;
-  private _heardAt = Number.NEGATIVE_INFINITY;
+export class StallDetector {
+  private _streamCount = 0;
+  private _lastEventAt = Number.NEGATIVE_INFINITY;
   private _meanGapMs: number | undefined;
 
   /** Records that the first event of a stream arrived. Returns a function that records the stream's end. */
   startStream(now: number): () => void {
-    this._streams += 1;
-    this._heardAt = now;
-    let isOver = false;
+    this._streamCount += 1;
+    this._lastEventAt = now;
+    let hasEnded = false;
     return () => {
-      if (isOver) return;
-      isOver = true;
-      this._streams -= 1;
+      if (hasEnded) return;
+      hasEnded = true;
+      this._streamCount -= 1;
     };
   }
 
@@ -35,7 +35,7 @@
    * @param gapMs - Time since the previous event of the same stream.
    */
   addEvent(now: number, gapMs: number): void {
-    this._heardAt = now;
+    this._lastEventAt = now;
     this._meanGapMs =
       this._meanGapMs === undefined ? gapMs : this._meanGapMs + (gapMs - this._meanGapMs) * GAP_WEIGHT;
   }
@@ -45,7 +45,7 @@
    * explains.
    */
   isStalled(now: number): boolean {
-    if (this._streams === 0 || this._meanGapMs === undefined) return false;
-    return now - this._heardAt > Math.max(MIN_STALL_MS, this._meanGapMs * STALL_GAPS);
+    if (this._streamCount === 0 || this._meanGapMs === undefined) return false;
+    return now - this._lastEventAt > Math.max(MIN_STALL_MS, this._meanGapMs * STALL_GAPS);
   }
 }
--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -17,7 +17,7 @@
 }
 
 /** An attempt whose endpoint has started to answer. */
-export interface BegunAttempt {
+export interface AnsweringAttempt {
   readonly target: Target;
   readonly incoming: IncomingMessage;
   readonly startedAt: number;
@@ -32,34 +32,34 @@
   /** When the first part of the answer arrived, monotonic milliseconds; `undefined` when none did. */
   readonly answeredAt?: number | undefined;
   /** Whether the endpoint ended the attempt, not this entry. */
-  readonly wasBroken?: boolean;
+  readonly wasEndedByEndpoint?: boolean;
   /**
    * Whether this entry abandoned the attempt because another one produced output. This is no failure of the
    * endpoint.
    */
-  readonly wasLeft?: boolean;
+  readonly wasAbandoned?: boolean;
 };
 
 /**
  * Checks whether the endpoint ended an attempt. An attempt that this entry aborts is no evidence about the
  * instance.
  */
-export function wasBroken(abort: AbortController): boolean {
+export function wasEndedByEndpoint(abort: AbortController): boolean {
   return !abort.signal.aborted;
 }
 
 /** Checks whether an attempt was abandoned because another one produced output. */
-export function wasLeft(abort: AbortController): boolean {
+export function wasAbandoned(abort: AbortController): boolean {
   return abort.signal.reason instanceof LostAnswer;
 }
 
 /** Aborts an attempt because another one produced output. */
-export function leaveAttempt(abort: AbortController, { address }: Target, reason: string): void {
+export function abandonAttempt(abort: AbortController, { address }: Target, reason: string): void {
   abort.abort(new LostAnswer({ address, reason }));
 }
 
 /** Aborts an attempt whose answer exceeds the buffer limit. */
-export function breakOffOversized(abort: AbortController, { address }: Target, bytes: number): void {
+export function abortOversized(abort: AbortController, { address }: Target, bytes: number): void {
   const reason = `answer exceeds the buffer limit: ${bytes} bytes are buffered`;
   abort.abort(new OversizedAnswer({ address, reason }));
 }
@@ -68,20 +68,20 @@
  * Gets why an attempt ended. The reason given for an abort takes precedence over the resulting connection
  * error.
  */
-export function explainFailure(cause: unknown, abort: AbortController): string {
-  const given = abort.signal.reason;
-  const told = isExplained(given) ? given : cause;
-  if (isExplained(told)) return told.reason;
-  return told instanceof Error ? told.message : String(told);
+export function getFailureReason(cause: unknown, abort: AbortController): string {
+  const abortReason = abort.signal.reason;
+  const primaryCause = hasReason(abortReason) ? abortReason : cause;
+  if (hasReason(primaryCause)) return primaryCause.reason;
+  return primaryCause instanceof Error ? primaryCause.message : String(primaryCause);
 }
 
-function isExplained(cause: unknown): cause is LostAnswer | OversizedAnswer | UnreachableEndpoint {
+function hasReason(cause: unknown): cause is LostAnswer | OversizedAnswer | UnreachableEndpoint {
   return (
     cause instanceof LostAnswer || cause instanceof OversizedAnswer || cause instanceof UnreachableEndpoint
   );
 }
 
 /** Checks whether the endpoint has started to answer an attempt. */
-export function hasBegun(attempt: BegunAttempt | AttemptFailure): attempt is BegunAttempt {
+export function isAnswering(attempt: AnsweringAttempt | AttemptFailure): attempt is AnsweringAttempt {
   return "incoming" in attempt;
 }
--- a/src/gateway/AttemptRace.ts
+++ b/src/gateway/AttemptRace.ts
@@ -13,18 +13,18 @@
 export interface AnswerSource<T> {
   readonly target: Target;
   /** When data last arrived or the last part was taken, whichever is later; monotonic milliseconds. */
-  readonly heardAt: number;
+  readonly lastActivityAt: number;
   /**
    * Gets the next part of the answer.
    * @returns `undefined` when the attempt has failed.
    */
   next(): Promise<T | undefined>;
   /** Aborts the attempt because another one produced output. */
-  leave(reason: string): void;
+  abandon(reason: string): void;
 }
 
 /** Callbacks with which a race opens attempts. */
-export interface RaceRules<T> {
+export interface RaceOptions<T> {
   /** Gets the current time, monotonic milliseconds. */
   getNow(): number;
   /**
@@ -36,43 +36,43 @@
    * Sends the request to a second endpoint; returns `undefined` unless the first one has been idle for too
    * long and the request may be sent again.
    */
-  openBeside(silent: AnswerSource<T>, silentMs: number): AnswerSource<T> | undefined;
+  openHedge(idle: AnswerSource<T>, idleMs: number): AnswerSource<T> | undefined;
 }
 
-interface Wait<T> {
+interface PendingRead<T> {
   readonly resolve: (part: T | undefined) => void;
   readonly reject: (cause: unknown) => void;
 }
 
 /** Interval at which the primary attempt is checked for being idle. */
-const WATCH_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 /**
  * A check that runs later than this is skipped, because data that arrived meanwhile has not been processed
  * yet.
  */
-const MAX_WATCH_LAG_MS = 30;
+const MAX_CHECK_LAG_MS = 30;
 
 /** Race between the attempts of one request. */
 export class AttemptRace<T> {
-  private readonly _rules: RaceRules<T>;
+  private readonly _options: RaceOptions<T>;
   private readonly _timer: NodeJS.Timeout;
-  private _lead: AnswerSource<T> | undefined;
+  private _primary: AnswerSource<T> | undefined;
   /** Second attempt, opened while the primary one is idle. */
-  private _rival: AnswerSource<T> | undefined;
+  private _hedge: AnswerSource<T> | undefined;
   /** `undefined` while the caller processes a part; idle time does not count then. */
-  private _wait: Wait<T> | undefined;
-  private _lookedAt: number;
-
-  /** @param rules - Callbacks that open attempts. */
-  constructor(rules: RaceRules<T>) {
-    this._rules = rules;
-    this._lookedAt = rules.getNow();
-    this._timer = setInterval(() => this._look(), WATCH_MS);
+  private _pendingRead: PendingRead<T> | undefined;
+  private _checkedAt: number;
+
+  /** @param options - Callbacks that open attempts. */
+  constructor(options: RaceOptions<T>) {
+    this._options = options;
+    this._checkedAt = options.getNow();
+    this._timer = setInterval(() => this._checkIdle(), CHECK_INTERVAL_MS);
   }
 
   /** Gets whether two attempts are in progress. */
-  get hasRival(): boolean {
-    return this._rival !== undefined;
+  get hasHedge(): boolean {
+    return this._hedge !== undefined;
   }
 
   /**
@@ -82,9 +82,9 @@
    */
   next(): Promise<T | undefined> {
     return new Promise((resolve, reject) => {
-      this._wait = { resolve, reject };
-      if (this._lead === undefined) this._openNext();
-      else this._listen(this._lead);
+      this._pendingRead = { resolve, reject };
+      if (this._primary === undefined) this._openNext();
+      else this._readNext(this._primary);
     });
   }
 
@@ -93,60 +93,60 @@
     clearInterval(this._timer);
   }
 
-  private _listen(source: AnswerSource<T>): void {
+  private _readNext(source: AnswerSource<T>): void {
     source.next().then(
-      (part) => this._addPart(source, part),
-      (cause: unknown) => this._wait?.reject(cause),
+      (part) => this._handlePart(source, part),
+      (cause: unknown) => this._pendingRead?.reject(cause),
     );
   }
 
-  private _addPart(source: AnswerSource<T>, part: T | undefined): void {
-    if (source !== this._lead && source !== this._rival) return;
-    if (part === undefined) this._drop(source);
-    else this._keep(source, part);
+  private _handlePart(source: AnswerSource<T>, part: T | undefined): void {
+    if (source !== this._primary && source !== this._hedge) return;
+    if (part === undefined) this._removeFailed(source);
+    else this._select(source, part);
   }
 
-  private _keep(source: AnswerSource<T>, part: T): void {
-    const isLead = source === this._lead;
-    const other = isLead ? this._rival : this._lead;
-    const silentMs = Math.round(this._rules.getNow() - (this._lead?.heardAt ?? 0));
-    this._lead = source;
-    this._rival = undefined;
-    other?.leave(isLead ? "the primary attempt resumed" : `no data received for ${silentMs} ms`);
-    this._end(part);
+  private _select(source: AnswerSource<T>, part: T): void {
+    const isPrimary = source === this._primary;
+    const other = isPrimary ? this._hedge : this._primary;
+    const idleMs = Math.round(this._options.getNow() - (this._primary?.lastActivityAt ?? 0));
+    this._primary = source;
+    this._hedge = undefined;
+    other?.abandon(isPrimary ? "the primary attempt resumed" : `no data received for ${idleMs} ms`);
+    this._resolveRead(part);
   }
 
-  private _drop(source: AnswerSource<T>): void {
-    if (source === this._lead) this._lead = this._rival;
-    this._rival = undefined;
-    if (this._lead === undefined) this._openNext();
+  private _removeFailed(source: AnswerSource<T>): void {
+    if (source === this._primary) this._primary = this._hedge;
+    this._hedge = undefined;
+    if (this._primary === undefined) this._openNext();
   }
 
   private _openNext(): void {
-    this._rules.openNext().then(
+    this._options.openNext().then(
       (source) => {
-        this._lead = source;
-        if (source === undefined) this._end(undefined);
-        else this._listen(source);
+        this._primary = source;
+        if (source === undefined) this._resolveRead(undefined);
+        else this._readNext(source);
       },
-      (cause: unknown) => this._wait?.reject(cause),
+      (cause: unknown) => this._pendingRead?.reject(cause),
     );
   }
 
-  private _end(part: T | undefined): void {
-    const wait = this._wait;
-    this._wait = undefined;
-    wait?.resolve(part);
+  private _resolveRead(part: T | undefined): void {
+    const pendingRead = this._pendingRead;
+    this._pendingRead = undefined;
+    pendingRead?.resolve(part);
   }
 
-  private _look(): void {
-    const now = this._rules.getNow();
-    const lagMs = now - this._lookedAt - WATCH_MS;
-    this._lookedAt = now;
-    const lead = this._lead;
-    if (lagMs > MAX_WATCH_LAG_MS || this._wait === undefined || lead === undefined) return;
-    if (this._rival !== undefined) return;
-    this._rival = this._rules.openBeside(lead, now - lead.heardAt);
-    if (this._rival !== undefined) this._listen(this._rival);
+  private _checkIdle(): void {
+    const now = this._options.getNow();
+    const lagMs = now - this._checkedAt - CHECK_INTERVAL_MS;
+    this._checkedAt = now;
+    const primary = this._primary;
+    if (lagMs > MAX_CHECK_LAG_MS || this._pendingRead === undefined || primary === undefined) return;
+    if (this._hedge !== undefined) return;
+    this._hedge = this._options.openHedge(primary, now - primary.lastActivityAt);
+    if (this._hedge !== undefined) this._readNext(this._hedge);
   }
 }
--- a/src/gateway/CallerWaits.ts
+++ b/src/gateway/CallerWaits.ts
@@ -9,40 +9,40 @@
  */
 
 /** The longest timeout of a route is discarded after two periods of this length. */
-const SPAN_MS = 10_000;
+const PERIOD_MS = 10_000;
 
-interface RouteWaits {
-  spanStartedAt: number;
+interface RouteTimeouts {
+  periodStartedAt: number;
   longestMs: number;
   previousLongestMs: number;
 }
 
 /** Timeouts of callers, by route. */
-export class CallerWaits {
-  private readonly _routes = new Map<string, RouteWaits>();
+export class CallerTimeouts {
+  private readonly _routes = new Map<string, RouteTimeouts>();
 
   /**
    * Records a caller's timeout.
    * @returns Estimated time since the caller's first request, milliseconds.
    */
-  addWait(now: number, route: string, waitMs: number): number {
-    const waits = this._getWaits(now, route);
-    waits.longestMs = Math.max(waits.longestMs, waitMs);
-    return Math.max(waits.longestMs, waits.previousLongestMs) - waitMs;
+  addTimeout(now: number, route: string, timeoutMs: number): number {
+    const timeouts = this._getTimeouts(now, route);
+    timeouts.longestMs = Math.max(timeouts.longestMs, timeoutMs);
+    return Math.max(timeouts.longestMs, timeouts.previousLongestMs) - timeoutMs;
   }
 
-  private _getWaits(now: number, route: string): RouteWaits {
-    const known = this._routes.get(route);
-    if (known === undefined) {
-      const waits = { spanStartedAt: now, longestMs: 0, previousLongestMs: 0 };
-      this._routes.set(route, waits);
-      return waits;
+  private _getTimeouts(now: number, route: string): RouteTimeouts {
+    const existing = this._routes.get(route);
+    if (existing === undefined) {
+      const timeouts = { periodStartedAt: now, longestMs: 0, previousLongestMs: 0 };
+      this._routes.set(route, timeouts);
+      return timeouts;
     }
-    if (now - known.spanStartedAt >= SPAN_MS) {
-      known.previousLongestMs = now - known.spanStartedAt >= 2 * SPAN_MS ? 0 : known.longestMs;
-      known.longestMs = 0;
-      known.spanStartedAt = now;
+    if (now - existing.periodStartedAt >= PERIOD_MS) {
+      existing.previousLongestMs = now - existing.periodStartedAt >= 2 * PERIOD_MS ? 0 : existing.longestMs;
+      existing.longestMs = 0;
+      existing.periodStartedAt = now;
     }
-    return known;
+    return existing;
   }
 }
--- a/src/gateway/CrashWatch.ts
+++ b/src/gateway/CrashWatch.ts
@@ -12,7 +12,7 @@
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import type { CrashRecord } from "../gen/ploverstage/v1/state_pb";
 import type { Logger, Metrics } from "../metrics";
-import { EndedLives } from "./EndedLives";
+import { EndpointProbe } from "./EndedLives";
 
 /** An attempt that its endpoint broke off. */
 export interface BrokenAttempt {
@@ -39,18 +39,18 @@
  * requests that crashed their endpoint did so 40 to 100 ms after it started to run them, before the first
  * event.
  */
-const EARLY_MS = 300;
+const MAX_ANSWERED_MS = 300;
 
 /**
  * Delay after which a withdrawn request's endpoint is probed. In all traced crashes the endpoint ended within
  * 100 ms of starting to run the request.
  */
-const WITHDRAWN_MS = 150;
+const WITHDRAWAL_PROBE_DELAY_MS = 150;
 
 /** Crash monitor of one entry. */
 export class CrashWatch {
   private readonly _options: CrashWatchOptions;
-  private readonly _ended = new EndedLives();
+  private readonly _probe = new EndpointProbe();
 
   /** @param options - Ledger of crashes, and the callback for its changes. */
   constructor(options: CrashWatchOptions) {
@@ -73,7 +73,7 @@
   }
 
   /** Checks whether a request is the confirmed cause of crashes. */
-  isProven(getDigest: () => RequestDigest): boolean {
+  isConfirmedCause(getDigest: () => RequestDigest): boolean {
     const { ledger } = this._options;
     return !ledger.isEmpty && ledger.isProven(getDigest());
   }
@@ -83,32 +83,33 @@
    * endpoint ends now, the crash is attributed to this request and not to the requests that ran concurrently.
    */
   async addWithdrawal(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
-    await pause(WITHDRAWN_MS);
-    await this.addBreak(digest, attempt);
+    await pause(WITHDRAWAL_PROBE_DELAY_MS);
+    await this.addBrokenAttempt(digest, attempt);
   }
 
   /**
    * Records that an endpoint broke off. This counts as a crash once a probe shows that the endpoint has
    * ended. Resolves after the first probe, which detects nearly all crashes.
    */
-  async addBreak(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
+  async addBrokenAttempt(digest: RequestDigest, attempt: BrokenAttempt): Promise<void> {
     const { target, brokeAt, answeredAt } = attempt;
-    if (answeredAt !== undefined && brokeAt - answeredAt > EARLY_MS) return;
-    const { atOnce, atLast } = this._ended.ask(target);
-    if (await atOnce) this._addCrash(digest, attempt);
-    else void atLast.then((hasEnded) => hasEnded && this._addCrash(digest, attempt));
+    if (answeredAt !== undefined && brokeAt - answeredAt > MAX_ANSWERED_MS) return;
+    const { first, final } = this._probe.probe(target);
+    if (await first) this._addCrash(digest, attempt);
+    else void final.then((hasEnded) => hasEnded && this._addCrash(digest, attempt));
   }
 
   /** Applies committed crash records. Each request whose verdict changes is logged. */
-  addAgreed(now: number, records: readonly CrashRecord[]): void {
+  addCommitted(now: number, records: readonly CrashRecord[]): void {
     const { ledger, logger, metrics } = this._options;
     const digests = records.map(({ digest }) => digest);
-    const before = digests.map((digest) => ledger.getVerdict(digest));
+    const oldVerdicts = digests.map((digest) => ledger.getVerdict(digest));
     ledger.addAgreed(now, records);
     metrics.gauge("gateway_kept_away", ledger.countProven());
     for (const [i, digest] of digests.entries()) {
       const verdict = ledger.getVerdict(digest);
-      if (verdict !== before[i]) logger.info({ event: "request_judged", digest, verdict, before: before[i] });
+      if (verdict !== oldVerdicts[i])
+        logger.info({ event: "request_judged", digest, verdict, before: oldVerdicts[i] });
     }
   }
 
--- a/src/gateway/EndedLives.ts
+++ b/src/gateway/EndedLives.ts
@@ -12,49 +12,49 @@
 import { splitAddress } from "../http";
 
 /** A connection within a region is established or refused within a few milliseconds. */
-const CONNECT_MS = 300;
+const CONNECT_TIMEOUT_MS = 300;
 /**
  * A crashing process may close its connections before its listening port, so the port is probed several
  * times.
  */
-const TRIES = 3;
-const PAUSE_MS = 30;
+const MAX_ATTEMPTS = 3;
+const RETRY_DELAY_MS = 30;
 /**
  * Number of incarnations whose results are cached, so that attempts that break off together share one result.
  */
-const KEPT_ANSWERS = 256;
+const MAX_CACHED_RESULTS = 256;
 
 /** Whether an instance has ended. */
-export interface EndedAnswer {
+export interface ProbeResult {
   /** Result of the first connection attempt. */
-  readonly atOnce: Promise<boolean>;
+  readonly first: Promise<boolean>;
   /** Result after the last connection attempt. */
-  readonly atLast: Promise<boolean>;
+  readonly final: Promise<boolean>;
 }
 
 /** Probes the addresses of instances. */
-export class EndedLives {
-  private readonly _asked = new Map<string, EndedAnswer>();
+export class EndpointProbe {
+  private readonly _results = new Map<string, ProbeResult>();
 
   /** Probes whether a target's address refuses connections. */
-  ask({ id, address }: Target): EndedAnswer {
-    const known = this._asked.get(id);
-    if (known !== undefined) return known;
-    const atOnce = refusesConnections(address);
-    const asked = { atOnce, atLast: this._lookAgain(id, address, atOnce) };
-    this._asked.set(id, asked);
-    if (this._asked.size > KEPT_ANSWERS) this._asked.delete(this._asked.keys().next().value!);
-    return asked;
+  probe({ id, address }: Target): ProbeResult {
+    const cached = this._results.get(id);
+    if (cached !== undefined) return cached;
+    const first = refusesConnections(address);
+    const result = { first, final: this._probeAgain(id, address, first) };
+    this._results.set(id, result);
+    if (this._results.size > MAX_CACHED_RESULTS) this._results.delete(this._results.keys().next().value!);
+    return result;
   }
 
-  private async _lookAgain(id: string, address: string, atOnce: Promise<boolean>): Promise<boolean> {
-    if (await atOnce) return true;
-    for (let i = 1; i < TRIES; i++) {
-      await pause(PAUSE_MS);
+  private async _probeAgain(id: string, address: string, first: Promise<boolean>): Promise<boolean> {
+    if (await first) return true;
+    for (let i = 1; i < MAX_ATTEMPTS; i++) {
+      await pause(RETRY_DELAY_MS);
       if (await refusesConnections(address)) return true;
     }
     // The instance is running or partitioned, so the next broken attempt probes it again.
-    this._asked.delete(id);
+    this._results.delete(id);
     return false;
   }
 }
@@ -62,7 +62,7 @@
 function refusesConnections(address: string): Promise<boolean> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
-    const socket = connect({ host, port, timeout: CONNECT_MS });
+    const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
     const end = (isRefused: boolean) => {
       socket.destroy();
       resolve(isRefused);
--- a/src/gateway/EventSplitter.ts
+++ b/src/gateway/EventSplitter.ts
@@ -20,59 +20,59 @@
 /** Splitter of one stream. */
 export class EventSplitter {
   /** Bytes after the last complete event; the capacity grows by doubling. */
-  private _store: Buffer = Buffer.alloc(0);
+  private _buffer: Buffer = Buffer.alloc(0);
   private _length = 0;
   /** Offset at which the search for an empty line continues. */
-  private _searchedTo = 0;
+  private _searchOffset = 0;
 
   /** Gets the number of bytes after the last complete event. */
-  get restLength(): number {
+  get remainderLength(): number {
     return this._length;
   }
 
   /** Removes and returns the bytes after the last complete event. */
-  takeRest(): Buffer {
-    const rest = this._store.subarray(0, this._length);
-    this._keep(Buffer.alloc(0));
-    this._searchedTo = 0;
-    return rest;
+  takeRemainder(): Buffer {
+    const remainder = this._buffer.subarray(0, this._length);
+    this._setBuffer(Buffer.alloc(0));
+    this._searchOffset = 0;
+    return remainder;
   }
 
   /** Adds bytes; returns the events that they complete. */
   addBytes(bytes: Buffer): StreamEvent[] {
-    let rest = this._join(bytes);
+    let remainder = this._append(bytes);
     const events: StreamEvent[] = [];
     for (;;) {
-      const end = findEventEnd(rest, this._searchedTo);
+      const end = findEventEnd(remainder, this._searchOffset);
       if (end === undefined) break;
-      events.push(createEvent(rest.subarray(0, end)));
-      rest = rest.subarray(end);
-      this._searchedTo = 0;
+      events.push(createEvent(remainder.subarray(0, end)));
+      remainder = remainder.subarray(end);
+      this._searchOffset = 0;
     }
     // Returned events share this buffer and must not be overwritten, so the remainder gets no spare capacity
     // in it.
-    if (events.length > 0 || this._length === 0) this._keep(rest);
-    else this._length = rest.length;
+    if (events.length > 0 || this._length === 0) this._setBuffer(remainder);
+    else this._length = remainder.length;
     // The last three bytes may be the start of an empty line.
-    this._searchedTo = Math.max(0, rest.length - 3);
+    this._searchOffset = Math.max(0, remainder.length - 3);
     return events;
   }
 
-  private _join(bytes: Buffer): Buffer {
+  private _append(bytes: Buffer): Buffer {
     if (this._length === 0) return bytes;
     const length = this._length + bytes.length;
-    if (length > this._store.length) {
-      const larger = Buffer.allocUnsafe(Math.max(length, this._store.length * 2));
-      this._store.copy(larger, 0, 0, this._length);
-      this._store = larger;
+    if (length > this._buffer.length) {
+      const larger = Buffer.allocUnsafe(Math.max(length, this._buffer.length * 2));
+      this._buffer.copy(larger, 0, 0, this._length);
+      this._buffer = larger;
     }
-    bytes.copy(this._store, this._length);
-    return this._store.subarray(0, length);
+    bytes.copy(this._buffer, this._length);
+    return this._buffer.subarray(0, length);
   }
 
-  private _keep(rest: Buffer): void {
-    this._store = rest;
-    this._length = rest.length;
+  private _setBuffer(remainder: Buffer): void {
+    this._buffer = remainder;
+    this._length = remainder.length;
   }
 }
 
--- a/src/gateway/FreshFirstQueue.ts
+++ b/src/gateway/FreshFirstQueue.ts
@@ -13,7 +13,7 @@
 }
 
 /** Fraction of its objective that a request may wait here and still meet it. */
-const FRESH_SHARE = 0.5;
+const MAX_FRESH_SHARE = 0.5;
 
 /** Queue of one model. */
 export class FreshFirstQueue<T extends WaitingRequest> {
@@ -45,7 +45,7 @@
 }
 
 function isFresh(now: number, request: WaitingRequest): boolean {
-  return now - request.arrivedAt <= request.objectiveMs * FRESH_SHARE;
+  return now - request.arrivedAt <= request.objectiveMs * MAX_FRESH_SHARE;
 }
 
 function isBefore(now: number, a: WaitingRequest, b: WaitingRequest): boolean {
--- a/src/gateway/GatewayProcess.ts
+++ b/src/gateway/GatewayProcess.ts
@@ -29,7 +29,7 @@
 import { CrashWatch } from "./CrashWatch";
 import type { Dialect } from "./Dialect";
 import { GatewayServer } from "./GatewayServer";
-import { HeldBytes } from "./HeldBytes";
+import { AnswerBuffers } from "./HeldBytes";
 import { StreamGate } from "./StreamGate";
 import { TargetPool } from "./TargetPool";
 
@@ -44,19 +44,19 @@
   readonly metrics: Metrics;
 }
 
-const IDLE_ENDPOINT_MS = 30_000;
+const ENDPOINT_IDLE_TIMEOUT_MS = 30_000;
 /**
  * Limit on the buffered bytes of incomplete answers over all requests: a process has a few hundred megabytes
  * of memory.
  */
-const MAX_HELD_BYTES = 64 * 1_024 * 1_024;
+const MAX_BUFFERED_ANSWER_BYTES = 64 * 1_024 * 1_024;
 /**
  * Fraction of an entry's share of the endpoints' slots that may initially wait for a first event; the other
  * slots are expected to generate. Callers that return after a power loss find few replicas: with an initial
  * window of 32 streams at each of 7 entries they waited in the endpoints' queues for up to 2 s. Mean worth of
  * four days with that window 0.710 and with this fraction 0.722; refused 0.013 and 0.010 of all requests.
  */
-const FIRST_WINDOW_SHARE = 0.5;
+const INITIAL_WINDOW_SHARE = 0.5;
 /**
  * Fraction of the stop timeout in which requests are still accepted; they need the rest of it to complete.
  */
@@ -108,7 +108,7 @@
   const { gateway, process } = live.current;
   const clock = new SystemClock();
   const random = new SeededRandom(randomBytes(4).readInt32LE());
-  const client = new HttpClient(IDLE_ENDPOINT_MS);
+  const client = new HttpClient(ENDPOINT_IDLE_TIMEOUT_MS);
   const view = new FollowedView();
   const pool = new TargetPool(random);
   const budget = new SharedRetryBudget(() => getRetryBound(live.current));
@@ -121,24 +121,24 @@
     metrics,
     onNews: () => {
       reporter.sendSoon();
-      server.withdrawProven();
+      server.withdrawConfirmedCauses();
     },
   });
   const onChange = ({ crashRecords }: ViewUpdate) => {
     if (crashRecords.length > 0) {
-      crashes.addAgreed(clock.getMonotonicMs(), crashRecords);
-      server.withdrawProven();
+      crashes.addCommitted(clock.getMonotonicMs(), crashRecords);
+      server.withdrawConfirmedCauses();
     }
     const targets = view.getTargets();
     pool.setTargets(targets);
     updateRoutes();
   };
   const updateRoutes = () => {
-    const held = view.declaration;
-    if (held === undefined || held.version === routes?.declaration.version) return;
-    routes = new RouteTable(format.parse(unpackDocument(held.document)));
+    const cached = view.declaration;
+    if (cached === undefined || cached.version === routes?.declaration.version) return;
+    routes = new RouteTable(format.parse(unpackDocument(cached.document)));
     server.updateLimits();
-    metrics.gauge("declaration_version", held.version);
+    metrics.gauge("declaration_version", cached.version);
   };
   const server = new GatewayServer({
     listen: gateway.listen,
@@ -146,14 +146,16 @@
     random,
     logger,
     metrics,
-    tools: {
+    dependencies: {
       clock,
       client,
       dialect,
       pool,
       crashes,
-      held: new HeldBytes(MAX_HELD_BYTES),
-      gate: new StreamGate(clock, (service, model) => getFirstWindow(pool, getEntryCount(), service, model)),
+      buffers: new AnswerBuffers(MAX_BUFFERED_ANSWER_BYTES),
+      gate: new StreamGate(clock, (service, model) =>
+        getInitialWindow(pool, getEntryCount(), service, model),
+      ),
       random,
       takeRetry: () => budget.takeRetry(clock.getMonotonicMs(), getEntryCount()),
       onSuspicion: (target, isUnreachable) => {
@@ -167,7 +169,7 @@
     },
     getRoutes: () => routes,
     isConfirmed: () => view.isConfirmed && watcher.isShown,
-    getShown: () => watcher.getLastShown(clock.getMonotonicMs()),
+    getPublishedView: () => watcher.getLastShown(clock.getMonotonicMs()),
     onRequest: () => budget.addRequest(clock.getMonotonicMs(), getEntryCount()),
   });
   const watcherId = `${process.name}.${randomBytes(6).toString("hex")}`;
@@ -189,7 +191,7 @@
     onDeclaration: updateRoutes,
   });
   const suspicions = new SuspicionReporter({
-    tell: (told) => watcher.reportSuspicions(told),
+    tell: (suspected) => watcher.reportSuspicions(suspected),
     clock,
     logger,
   });
@@ -199,7 +201,7 @@
     logger,
     metrics,
     onWake: () => {
-      server.endLate();
+      server.endExpired();
       client.dropIdle();
       watcher.restart();
     },
@@ -220,8 +222,8 @@
  * Gets the initial window of an entry: a fraction of its share of the requests that the endpoints run
  * concurrently.
  */
-function getFirstWindow(pool: TargetPool, entries: number, service: string, model: string): number {
-  return (pool.getSlots(service, model) / entries) * FIRST_WINDOW_SHARE;
+function getInitialWindow(pool: TargetPool, entries: number, service: string, model: string): number {
+  return (pool.getSlots(service, model) / entries) * INITIAL_WINDOW_SHARE;
 }
 
 type Parts = ReturnType<typeof createParts>;
@@ -246,7 +248,7 @@
   // The stop timeout counts from the signal, which a process with a blocked event loop handles late.
   const lateMs = Math.min(Math.max(0, parts.lag.getWorstMs()), stopMs * MAX_LATE_SHARE);
   const startedAt = parts.clock.getMonotonicMs() - lateMs;
-  const getLeftMs = (share: number) =>
+  const getRemainingMs = (share: number) =>
     Math.max(0, stopMs * share - (parts.clock.getMonotonicMs() - startedAt));
   logger.info({
     event: "gateway_stopping",
@@ -255,11 +257,11 @@
   });
   parts.server.announceStop();
   await parts.watcher.announceStop();
-  await pause(getLeftMs(ACCEPTING_SHARE));
+  await pause(getRemainingMs(ACCEPTING_SHARE));
   parts.server.refuseAll();
-  await Promise.race([parts.server.waitUntilIdle(), pause(getLeftMs(LISTENING_SHARE))]);
-  const ended = parts.server.endConnections(getLeftMs(CONNECTING_SHARE));
-  await Promise.race([ended, pause(getLeftMs(ENDING_SHARE))]);
+  await Promise.race([parts.server.waitUntilIdle(), pause(getRemainingMs(LISTENING_SHARE))]);
+  const ended = parts.server.endConnections(getRemainingMs(CONNECTING_SHARE));
+  await Promise.race([ended, pause(getRemainingMs(ENDING_SHARE))]);
   const { requestCount: requests, connectionCount: connections } = parts.server;
   parts.server.stop();
   // Connections that are still open now are closed.
--- a/src/gateway/GatewayRefusal.ts
+++ b/src/gateway/GatewayRefusal.ts
@@ -34,18 +34,23 @@
 }
 
 /** Creates the refusal of a request that did not run and will not run. */
-export function createNotRun(code: GatewayRefusalCode, reason: string, retryAfterMs: number): GatewayRefusal {
+export function createNotRunRefusal(
+  code: GatewayRefusalCode,
+  reason: string,
+  retryAfterMs: number,
+): GatewayRefusal {
   return new GatewayRefusal({ status: 503, code, reason, retryAfterMs });
 }
 
 /** Creates the refusal of a blocked request, which did not run; it may be retried once the block ends. */
-export function createKeptAway(isProven: boolean): GatewayRefusal {
-  const reason = "the last endpoints that ran this request crashed while running it, so it is blocked temporarily";
-  return createNotRun("kept_away", reason, isProven ? KEEP_AWAY_MS : DOUBT_MS);
+export function createBlockedRefusal(isConfirmedCause: boolean): GatewayRefusal {
+  const reason =
+    "the last endpoints that ran this request crashed while running it, so it is blocked temporarily";
+  return createNotRunRefusal("kept_away", reason, isConfirmedCause ? KEEP_AWAY_MS : DOUBT_MS);
 }
 
 /** Creates the refusal of a request that may have run. */
-export function createUnknown(code: GatewayRefusalCode, reason: string): GatewayRefusal {
+export function createOutcomeUnknownRefusal(code: GatewayRefusalCode, reason: string): GatewayRefusal {
   const status = code === "time_over" ? 504 : 502;
   return new GatewayRefusal({ status, code, reason, retryAfterMs: undefined });
 }
--- a/src/gateway/GatewayServer.ts
+++ b/src/gateway/GatewayServer.ts
@@ -7,15 +7,15 @@
 import { Connections, listen } from "../http";
 import type { Logger, Metrics } from "../metrics";
 import type { ShownView } from "../registration";
-import { CallerWaits } from "./CallerWaits";
+import { CallerTimeouts } from "./CallerWaits";
 import type { CallFacts } from "./Dialect";
-import { Exchange, type ExchangeRequest, type ExchangeTools } from "./Exchange";
-import { endWithConnection } from "./endWithConnection";
-import { createNotRun, GatewayRefusal } from "./GatewayRefusal";
+import { Exchange, type ExchangeDependencies, type ExchangeRequest } from "./Exchange";
+import { useCloseDelimiting } from "./endWithConnection";
+import { createNotRunRefusal, GatewayRefusal } from "./GatewayRefusal";
 import { dropHeaders, getEndToEndHeaders } from "./headers";
 import { PlainExchange } from "./PlainExchange";
-import type { WholeAnswer } from "./PlainSource";
-import { getFirstViewReturnMs } from "./returnTime";
+import type { CompleteAnswer } from "./PlainSource";
+import { getFirstViewRetryAfterMs } from "./returnTime";
 import { StreamExchange } from "./StreamExchange";
 
 /** Options of a gateway server. */
@@ -26,7 +26,7 @@
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  readonly tools: ExchangeTools;
+  readonly dependencies: ExchangeDependencies;
   /** Gets the routes of the current declaration; `undefined` until one has been received. */
   readonly getRoutes: () => RouteTable | undefined;
   /**
@@ -35,7 +35,7 @@
    */
   readonly isConfirmed: () => boolean;
   /** Gets which control process last published its view to this entry, and how long ago. */
-  readonly getShown: () => ShownView;
+  readonly getPublishedView: () => ShownView;
   /** Called with each accepted request. */
   readonly onRequest: () => void;
 }
@@ -43,20 +43,20 @@
 const MAX_HEADER_BYTES = 16_384;
 const REQUEST_TIMEOUT_MS = 30_000;
 /** Interval of the check for callers that send their headers too slowly. */
-const SLOW_SENDER_CHECK_MS = 500;
+const SLOW_SENDER_CHECK_INTERVAL_MS = 500;
 /**
  * Retry time for a caller refused because request buffers are full: the requests buffered now have been sent
  * on by then.
  */
-const FULL_RETRY_MS = 500;
+const BUFFERS_FULL_RETRY_MS = 500;
 const STOPPING_RETRY_MS = 50;
 /** Callers reuse a connection up to the declared time, so the server closes it a little later. */
-const IDLE_SLACK_MS = 1_000;
+const IDLE_TIMEOUT_MARGIN_MS = 1_000;
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
-const FRAMING: ReadonlySet<string> = new Set(["content-length"]);
+const FRAMING_HEADERS: ReadonlySet<string> = new Set(["content-length"]);
 
 /** State of a partially processed request. */
-interface Progress {
+interface RequestProgress {
   readonly receivedAt: number;
   call: CallFacts | undefined;
   route: Route | undefined;
@@ -67,7 +67,7 @@
 interface RunningRequest {
   readonly response: ServerResponse;
   /** Ends the request once its time has expired. */
-  readonly endLate: () => void;
+  readonly endExpired: () => void;
 }
 
 /** HTTP server of one gateway. */
@@ -75,10 +75,10 @@
   private readonly _options: GatewayServerOptions;
   private readonly _server: Server;
   private readonly _connections: Connections;
-  private readonly _waits = new CallerWaits();
+  private readonly _callerTimeouts = new CallerTimeouts();
   private readonly _startedAt: number;
   private readonly _running = new Map<Exchange, RunningRequest>();
-  private _requests = 0;
+  private _requestCount = 0;
   private _bufferedBytes = 0;
   private _isStopping = false;
   private _refusesAll = false;
@@ -91,7 +91,7 @@
     this._server = createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
       requestTimeout: REQUEST_TIMEOUT_MS,
-      connectionsCheckingInterval: SLOW_SENDER_CHECK_MS,
+      connectionsCheckingInterval: SLOW_SENDER_CHECK_INTERVAL_MS,
       noDelay: true,
     });
     this._connections = new Connections(this._server, () => options.clock.getMonotonicMs());
@@ -109,7 +109,7 @@
 
   /** Gets the number of requests in progress. */
   get requestCount(): number {
-    return this._requests;
+    return this._requestCount;
   }
 
   /** Gets the number of open connections of callers. */
@@ -131,16 +131,17 @@
   updateLimits(): void {
     const limits = this._options.getRoutes()?.declaration.limits;
     if (limits === undefined) return;
-    this._server.keepAliveTimeout = limits.idleMs + IDLE_SLACK_MS;
-    this._server.headersTimeout = limits.headerMs + IDLE_SLACK_MS;
+    this._server.keepAliveTimeout = limits.idleMs + IDLE_TIMEOUT_MARGIN_MS;
+    this._server.headersTimeout = limits.headerMs + IDLE_TIMEOUT_MARGIN_MS;
   }
 
   /**
    * Ends all requests whose time has expired. After a suspension of the machine their timers fire late by the
    * length of the suspension, and endpoints would work that long for callers that have disconnected.
    */
-  endLate(): void {
-    for (const [exchange, { endLate }] of [...this._running]) if (exchange.getLeftMs() <= 0) endLate();
+  endExpired(): void {
+    for (const [exchange, { endExpired }] of [...this._running])
+      if (exchange.getRemainingMs() <= 0) endExpired();
   }
 
   /**
@@ -149,9 +150,9 @@
    * waited for 1.8 s at the last remaining head. A request that is being answered is not withdrawn, since its
    * completion may still clear it.
    */
-  withdrawProven(): void {
+  withdrawConfirmedCauses(): void {
     for (const [exchange, { response }] of this._running) {
-      if (!response.headersSent && exchange.isProven) exchange.withdraw();
+      if (!response.headersSent && exchange.isConfirmedCause) exchange.withdraw();
     }
   }
 
@@ -164,7 +165,7 @@
   /** Refuses new requests; those in progress continue. */
   refuseAll(): void {
     this._refusesAll = true;
-    this._options.tools.gate.refuseAll();
+    this._options.dependencies.gate.refuseAll();
   }
 
   /** Resolves when all answers have been sent. */
@@ -190,12 +191,12 @@
   }
 
   private _endIfIdle(): void {
-    if (this._requests === 0) this._onIdle();
+    if (this._requestCount === 0) this._onIdle();
   }
 
   private async _handle(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
-    this._requests += 1;
-    const progress: Progress = {
+    this._requestCount += 1;
+    const progress: RequestProgress = {
       receivedAt: this._options.clock.getMonotonicMs(),
       call: undefined,
       route: undefined,
@@ -206,16 +207,20 @@
     } catch (cause) {
       this._refuse(response, progress, toRefusal(cause));
     } finally {
-      this._requests -= 1;
+      this._requestCount -= 1;
       // The last bytes of an answer are sent in this turn of the event loop.
       setImmediate(() => this._endIfIdle());
     }
   }
 
-  private async _run(incoming: IncomingMessage, response: ServerResponse, progress: Progress): Promise<void> {
+  private async _run(
+    incoming: IncomingMessage,
+    response: ServerResponse,
+    progress: RequestProgress,
+  ): Promise<void> {
     const request = await this._accept(incoming, progress);
     if (response.destroyed) return;
-    const exchange = new Exchange(request, this._options.tools);
+    const exchange = new Exchange(request, this._options.dependencies);
     progress.exchange = exchange;
     this._options.onRequest();
     // Checked before the request waits for capacity: a blocked request must not run at any endpoint.
@@ -223,38 +228,55 @@
     response.once("close", () => {
       if (!response.writableFinished) exchange.cancel();
     });
-    const endLate = () => this._endLate(response, progress);
-    const timer = setTimeout(endLate, Math.max(0, exchange.getLeftMs()));
-    this._running.set(exchange, { response, endLate });
+    const endExpired = () => this._endExpired(response, progress);
+    const timer = setTimeout(endExpired, Math.max(0, exchange.getRemainingMs()));
+    this._running.set(exchange, { response, endExpired });
     try {
       if (request.route.kind === "stream") await this._runStream(exchange, response, progress);
-      else this._sendWhole(response, progress, await new PlainExchange(exchange).run());
+      else this._sendAnswer(response, progress, await new PlainExchange(exchange).run());
     } finally {
       clearTimeout(timer);
       this._running.delete(exchange);
     }
   }
 
-  private async _accept(incoming: IncomingMessage, progress: Progress): Promise<ExchangeRequest> {
-    const call = this._options.tools.dialect.readCall(incoming.headers);
+  private async _accept(incoming: IncomingMessage, progress: RequestProgress): Promise<ExchangeRequest> {
+    const call = this._options.dependencies.dialect.readCall(incoming.headers);
     progress.call = call;
     const routes = this._options.getRoutes();
     if (routes === undefined) {
-      throw this._createUnknown("no_declaration", "this entry has not received a declaration yet", progress, call);
+      throw this._createUnconfirmedRefusal(
+        "no_declaration",
+        "this entry has not received a declaration yet",
+        progress,
+        call,
+      );
     }
-    if (this._refusesAll) throw createNotRun("stopping", "this entry is stopping", STOPPING_RETRY_MS);
+    if (this._refusesAll) throw createNotRunRefusal("stopping", "this entry is stopping", STOPPING_RETRY_MS);
     const route = routes.getRoute(incoming.headers.host ?? "", incoming.url ?? "");
     if (route === undefined) {
-      throw this._createNo(404, "no_route", "no route matches this host and path", progress, call);
+      throw this._createDeclarationRefusal(
+        404,
+        "no_route",
+        "no route matches this host and path",
+        progress,
+        call,
+      );
     }
     progress.route = route;
     const organisation = getOrganisation(routes, route, call.key);
     if (organisation === "unknown") {
-      throw this._createNo(401, "unknown_key", "the request needs a valid key", progress, call);
+      throw this._createDeclarationRefusal(
+        401,
+        "unknown_key",
+        "the request needs a valid key",
+        progress,
+        call,
+      );
     }
     const body = await this._readBody(incoming, routes.declaration.limits.bodyBytes);
     const { receivedAt } = progress;
-    const waitMs = call.waitMs ?? route.timeoutMs;
+    const timeoutMs = call.waitMs ?? route.timeoutMs;
     return {
       call,
       route,
@@ -262,11 +284,11 @@
       organisation: organisation?.name,
       method: incoming.method ?? "GET",
       path: incoming.url ?? "/",
-      headers: dropHeaders(getEndToEndHeaders(incoming.rawHeaders), FRAMING),
+      headers: dropHeaders(getEndToEndHeaders(incoming.rawHeaders), FRAMING_HEADERS),
       body,
       receivedAt,
-      firstAskedAt: receivedAt - this._waits.addWait(receivedAt, route.name, waitMs),
-      deadlineAt: receivedAt + Math.min(route.timeoutMs, waitMs),
+      firstRequestedAt: receivedAt - this._callerTimeouts.addTimeout(receivedAt, route.name, timeoutMs),
+      deadlineAt: receivedAt + Math.min(route.timeoutMs, timeoutMs),
     };
   }
 
@@ -277,65 +299,78 @@
    * acknowledgement, a route of the acknowledged version got 404 from the entry's first listening until it
    * received from a leader.
    */
-  private _createNo(
+  private _createDeclarationRefusal(
     status: number,
     code: GatewayRefusal["code"],
     reason: string,
-    progress: Progress,
+    progress: RequestProgress,
     call: CallFacts,
   ): GatewayRefusal {
-    if (this._options.isConfirmed()) return createFinal(status, code, reason);
-    const unconfirmed = `${reason} in the cached declaration, which may be outdated`;
-    return this._createUnknown("unconfirmed_declaration", unconfirmed, progress, call);
+    if (this._options.isConfirmed()) return createFinalRefusal(status, code, reason);
+    const unconfirmedReason = `${reason} in the cached declaration, which may be outdated`;
+    return this._createUnconfirmedRefusal("unconfirmed_declaration", unconfirmedReason, progress, call);
   }
 
-  private _createUnknown(
+  private _createUnconfirmedRefusal(
     code: GatewayRefusal["code"],
     reason: string,
-    { receivedAt }: Progress,
+    { receivedAt }: RequestProgress,
     { waitMs }: CallFacts,
   ): GatewayRefusal {
     const sinceStartMs = receivedAt - this._startedAt;
-    const returnMs = getFirstViewReturnMs(sinceStartMs, waitMs, this._options.random.next());
-    return createNotRun(code, reason, returnMs);
+    const retryAfterMs = getFirstViewRetryAfterMs(sinceStartMs, waitMs, this._options.random.next());
+    return createNotRunRefusal(code, reason, retryAfterMs);
   }
 
   /** Chooses a service with the probability given by its weight. */
   private _chooseService(route: Route): string {
     const total = route.split.reduce((sum, share) => sum + share.weight, 0);
-    let left = this._options.random.next() * total;
+    let remaining = this._options.random.next() * total;
     for (const share of route.split) {
-      left -= share.weight;
-      if (left < 0) return share.service;
+      remaining -= share.weight;
+      if (remaining < 0) return share.service;
     }
     return route.split.find((share) => share.weight > 0)!.service;
   }
 
   private async _readBody(incoming: IncomingMessage, limit: number): Promise<Buffer> {
     const declared = Number(incoming.headers["content-length"] ?? 0);
-    if (declared > limit) throw createFinal(413, "body_too_large", `the body exceeds ${limit} bytes`);
+    if (declared > limit) throw createFinalRefusal(413, "body_too_large", `the body exceeds ${limit} bytes`);
     const chunks: Buffer[] = [];
     let length = 0;
     try {
       for await (const chunk of incoming as AsyncIterable<Buffer>) {
         length += chunk.length;
         this._bufferedBytes += chunk.length;
-        if (length > limit) throw createFinal(413, "body_too_large", `the body exceeds ${limit} bytes`);
+        if (length > limit)
+          throw createFinalRefusal(413, "body_too_large", `the body exceeds ${limit} bytes`);
         if (this._bufferedBytes > MAX_BUFFERED_BYTES) {
-          throw createNotRun("body_too_large", "too many request bodies are buffered", FULL_RETRY_MS);
+          throw createNotRunRefusal(
+            "body_too_large",
+            "too many request bodies are buffered",
+            BUFFERS_FULL_RETRY_MS,
+          );
         }
         chunks.push(chunk);
       }
     } catch (cause) {
       if (cause instanceof GatewayRefusal) throw cause;
-      throw createFinal(400, "malformed_request", "the connection closed before the body was complete");
+      throw createFinalRefusal(
+        400,
+        "malformed_request",
+        "the connection closed before the body was complete",
+      );
     } finally {
       this._bufferedBytes -= length;
     }
     return Buffer.concat(chunks);
   }
 
-  private async _runStream(exchange: Exchange, response: ServerResponse, progress: Progress): Promise<void> {
+  private async _runStream(
+    exchange: Exchange,
+    response: ServerResponse,
+    progress: RequestProgress,
+  ): Promise<void> {
     const stream = new StreamExchange(exchange, response);
     const result = await stream.run();
     if (result.isWhole) this._log(progress, "done", { ...result });
@@ -345,55 +380,55 @@
     this._options.metrics.timing("gateway_gap_ms", result.longestGapMs);
   }
 
-  private _sendWhole(response: ServerResponse, progress: Progress, answer: WholeAnswer): void {
+  private _sendAnswer(response: ServerResponse, progress: RequestProgress, answer: CompleteAnswer): void {
     if (response.headersSent || response.destroyed) return;
-    const headers = dropHeaders(getEndToEndHeaders(answer.headers), FRAMING);
+    const headers = dropHeaders(getEndToEndHeaders(answer.headers), FRAMING_HEADERS);
     if (answer.isFramed) headers.push("Content-Length", String(answer.body.length));
-    else endWithConnection(response);
+    else useCloseDelimiting(response);
     response.writeHead(answer.status, headers);
     response.end(answer.body);
     this._log(progress, "done", { status: answer.status });
   }
 
   /** Sends the final answer when the request's time has expired, and aborts the attempts in progress. */
-  private _endLate(response: ServerResponse, progress: Progress): void {
+  private _endExpired(response: ServerResponse, progress: RequestProgress): void {
     const { exchange } = progress;
     if (exchange === undefined || response.writableEnded || response.destroyed) return;
-    const hasRun = exchange.sentCount > 0;
+    const wasSent = exchange.sentCount > 0;
     exchange.cancel();
     if (response.headersSent) {
       response.destroy();
       return;
     }
     const reason = "the request's time has expired";
-    const refusal = hasRun
-      ? createFinal(504, "time_over", reason)
-      : createNotRun("time_over", reason, STOPPING_RETRY_MS);
+    const refusal = wasSent
+      ? createFinalRefusal(504, "time_over", reason)
+      : createNotRunRefusal("time_over", reason, STOPPING_RETRY_MS);
     this._refuse(response, progress, refusal);
   }
 
-  private _refuse(response: ServerResponse, progress: Progress, refusal: GatewayRefusal): void {
+  private _refuse(response: ServerResponse, progress: RequestProgress, refusal: GatewayRefusal): void {
     if (response.writableEnded) return;
-    const isGone = response.destroyed;
+    const isDisconnected = response.destroyed;
     if (response.headersSent) response.destroy();
-    else if (!isGone) writeRefusal(response, refusal);
-    const code = isGone ? "caller_gone" : refusal.code;
+    else if (!isDisconnected) writeRefusal(response, refusal);
+    const code = isDisconnected ? "caller_gone" : refusal.code;
     this._log(progress, "refused", { status: refusal.status, reason: refusal.reason }, code);
   }
 
   private _countAttempts({ failures }: Exchange, kind: string): void {
     const { metrics } = this._options;
-    const left = failures.filter(({ wasLeft }) => wasLeft).length;
-    metrics.increment("gateway_failed_attempts", failures.length - left, { kind });
-    metrics.increment("gateway_left_attempts", left, { kind });
+    const abandonedCount = failures.filter(({ wasLeft }) => wasLeft).length;
+    metrics.increment("gateway_failed_attempts", failures.length - abandonedCount, { kind });
+    metrics.increment("gateway_left_attempts", abandonedCount, { kind });
   }
 
-  private _log(progress: Progress, outcome: string, details: object, code = ""): void {
+  private _log(progress: RequestProgress, outcome: string, details: object, code = ""): void {
     const { call, route, exchange, receivedAt } = progress;
     const { metrics, clock } = this._options;
     const tookMs = Math.round(clock.getMonotonicMs() - receivedAt);
     const kind = route?.kind ?? "none";
-    const shown = this._options.getShown();
+    const publishedView = this._options.getPublishedView();
     metrics.increment("gateway_requests", 1, { kind, outcome, code });
     metrics.timing("gateway_answer_ms", tookMs, { kind });
     if (exchange !== undefined) this._countAttempts(exchange, kind);
@@ -405,10 +440,10 @@
       objective_ms: route?.objectiveMs ?? 0,
       gap_objective_ms: route?.gapObjectiveMs,
       declaration: this._options.getRoutes()?.declaration.version ?? 0,
-      view_term: shown.term,
-      view_control: shown.control,
+      view_term: publishedView.term,
+      view_control: publishedView.control,
       // JSON can't represent infinity, which stands for no published view.
-      view_silence_ms: shown.control === "" ? undefined : Math.round(shown.silenceMs),
+      view_silence_ms: publishedView.control === "" ? undefined : Math.round(publishedView.silenceMs),
       outcome,
       code,
       took_ms: tookMs,
@@ -416,7 +451,7 @@
       failures: exchange?.failures,
       not_repeated: exchange?.denial,
       // Shows whether two failed calls were the same request.
-      digest: isDigestTold(exchange, code) ? exchange?.digest : undefined,
+      digest: shouldLogDigest(exchange, code) ? exchange?.digest : undefined,
       ...details,
     });
   }
@@ -424,11 +459,11 @@
 
 /** Gets which side ended an answer early. */
 function getCutCode(exchange: Exchange): string {
-  if (exchange.getLeftMs() <= 0) return "time_over";
-  return exchange.isOver ? "caller_gone" : "endpoint_broke_off";
+  if (exchange.getRemainingMs() <= 0) return "time_over";
+  return exchange.isCancelled ? "caller_gone" : "endpoint_broke_off";
 }
 
-function isDigestTold(exchange: Exchange | undefined, code: string): boolean {
+function shouldLogDigest(exchange: Exchange | undefined, code: string): boolean {
   return exchange !== undefined && (exchange.failures.length > 0 || code === "kept_away");
 }
 
@@ -446,13 +481,13 @@
   return organisation !== undefined || route.allowsAnonymous ? organisation : "unknown";
 }
 
-function createFinal(status: number, code: GatewayRefusal["code"], reason: string): GatewayRefusal {
+function createFinalRefusal(status: number, code: GatewayRefusal["code"], reason: string): GatewayRefusal {
   return new GatewayRefusal({ status, code, reason, retryAfterMs: undefined });
 }
 
 function toRefusal(cause: unknown): GatewayRefusal {
   if (cause instanceof GatewayRefusal) return cause;
-  return createFinal(502, "answer_lost", String(cause));
+  return createFinalRefusal(502, "answer_lost", String(cause));
 }
 
 function writeRefusal(response: ServerResponse, refusal: GatewayRefusal): void {
--- a/src/gateway/HeldAnswer.ts
+++ b/src/gateway/HeldAnswer.ts
@@ -1,26 +1,26 @@
 /** Counts the buffered bytes of one incomplete answer toward the limit over all answers. Pure. */
 
 /** Total over all buffered answers. */
-export interface HeldSum {
+export interface BufferTotal {
   /** Adds a number of bytes to the total; a negative number subtracts. */
-  change(bytes: number): void;
+  add(bytes: number): void;
   /** Abandons answers until the total is within the limit. */
-  bound(): void;
+  enforceLimit(): void;
   /** Removes an answer from the total. */
-  remove(answer: HeldAnswer): void;
+  remove(answer: BufferedAnswer): void;
 }
 
 /** Buffered bytes of one answer. */
-export class HeldAnswer {
-  private readonly _held: HeldSum;
-  private readonly _giveUp: (bytes: number) => void;
+export class BufferedAnswer {
+  private readonly _total: BufferTotal;
+  private readonly _onAbandoned: (bytes: number) => void;
   private _bytes = 0;
   private _isOpen = true;
 
   /** @internal Use `AnswerBuffers.open`. */
-  constructor(held: HeldSum, giveUp: (bytes: number) => void) {
-    this._held = held;
-    this._giveUp = giveUp;
+  constructor(total: BufferTotal, onAbandoned: (bytes: number) => void) {
+    this._total = total;
+    this._onAbandoned = onAbandoned;
   }
 
   /** Gets the number of buffered bytes. */
@@ -39,23 +39,23 @@
    */
   setBytes(bytes: number): void {
     if (!this._isOpen) return;
-    this._held.change(bytes - this._bytes);
+    this._total.add(bytes - this._bytes);
     this._bytes = bytes;
-    this._held.bound();
+    this._total.enforceLimit();
   }
 
   /** Removes the answer's bytes from the total. */
   close(): void {
     this._isOpen = false;
-    this._held.change(-this._bytes);
+    this._total.add(-this._bytes);
     this._bytes = 0;
-    this._held.remove(this);
+    this._total.remove(this);
   }
 
   /** Abandons the answer because it is the largest one while the total exceeds the limit. */
-  giveUp(): void {
+  abandon(): void {
     const bytes = this._bytes;
     this.close();
-    this._giveUp(bytes);
+    this._onAbandoned(bytes);
   }
 }
--- a/src/gateway/HeldBytes.ts
+++ b/src/gateway/HeldBytes.ts
@@ -4,12 +4,12 @@
  * When the total exceeds the limit, the largest answer is abandoned. An endpoint that sends data without end
  * therefore costs no other caller its answer. Pure.
  */
-import { HeldAnswer, type HeldSum } from "./HeldAnswer";
+import { BufferedAnswer, type BufferTotal } from "./HeldAnswer";
 
 /** Buffered bytes of all answers of a process. */
-export class HeldBytes implements HeldSum {
+export class AnswerBuffers implements BufferTotal {
   private readonly _maxBytes: number;
-  private readonly _answers = new Set<HeldAnswer>();
+  private readonly _answers = new Set<BufferedAnswer>();
   private _bytes = 0;
 
   /** @param maxBytes - Limit on the total. */
@@ -24,30 +24,30 @@
 
   /**
    * Starts to count an answer.
-   * @param giveUp - Called when the answer is abandoned, with the number of bytes that were buffered for it.
+   * @param onAbandoned - Called when the answer is abandoned, with the number of bytes that were buffered for it.
    */
-  open(giveUp: (bytes: number) => void): HeldAnswer {
-    const answer = new HeldAnswer(this, giveUp);
+  open(onAbandoned: (bytes: number) => void): BufferedAnswer {
+    const answer = new BufferedAnswer(this, onAbandoned);
     this._answers.add(answer);
     return answer;
   }
 
   /** @internal */
-  change(bytes: number): void {
+  add(bytes: number): void {
     this._bytes += bytes;
   }
 
   /** @internal */
-  remove(answer: HeldAnswer): void {
+  remove(answer: BufferedAnswer): void {
     this._answers.delete(answer);
   }
 
   /** @internal Abandons the largest answers until the total is within the limit. */
-  bound(): void {
-    while (this._bytes > this._maxBytes) this._getLargest().giveUp();
+  enforceLimit(): void {
+    while (this._bytes > this._maxBytes) this._getLargest().abandon();
   }
 
-  private _getLargest(): HeldAnswer {
+  private _getLargest(): BufferedAnswer {
     return [...this._answers].reduce((largest, answer) => (answer.bytes > largest.bytes ? answer : largest));
   }
 }
--- a/src/gateway/PlainExchange.ts
+++ b/src/gateway/PlainExchange.ts
@@ -3,14 +3,14 @@
  */
 import { createRace } from "./createRace";
 import type { Exchange } from "./Exchange";
-import { PlainSource, type WholeAnswer } from "./PlainSource";
-import { getAnswerPatienceMs } from "./patience";
+import { type CompleteAnswer, PlainSource } from "./PlainSource";
+import { getAnswerTimeoutMs } from "./patience";
 
 /** Runs a request until an answer may be passed on. */
 export class PlainExchange {
   private readonly _exchange: Exchange;
   /** Server error answered by an endpoint; passed on unchanged when no other attempt succeeds. */
-  private _failure: WholeAnswer | undefined;
+  private _serverError: CompleteAnswer | undefined;
 
   /** @param exchange - The request and its attempts. */
   constructor(exchange: Exchange) {
@@ -21,17 +21,17 @@
    * Runs the request.
    * @throws GatewayRefusal - When no attempt produced an answer.
    */
-  async run(): Promise<WholeAnswer> {
+  async run(): Promise<CompleteAnswer> {
     const exchange = this._exchange;
     const race = createRace(exchange, {
       open: (target) =>
-        new PlainSource(exchange, target, (failure) => {
-          this._failure = failure;
+        new PlainSource(exchange, target, (answer) => {
+          this._serverError = answer;
         }),
-      getPatienceMs: () => getAnswerPatienceMs(exchange.request.route),
+      getIdleTimeoutMs: () => getAnswerTimeoutMs(exchange.request.route),
     });
     try {
-      const answer = (await race.next()) ?? this._failure;
+      const answer = (await race.next()) ?? this._serverError;
       if (answer === undefined) throw exchange.createRefusal();
       return answer;
     } finally {
--- a/src/gateway/PlainSource.ts
+++ b/src/gateway/PlainSource.ts
@@ -2,13 +2,13 @@
 import type { IncomingMessage } from "node:http";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import {
-  type BegunAttempt,
-  breakOffOversized,
-  explainFailure,
-  hasBegun,
-  leaveAttempt,
-  wasBroken,
-  wasLeft,
+  type AnsweringAttempt,
+  abandonAttempt,
+  abortOversized,
+  getFailureReason,
+  isAnswering,
+  wasAbandoned,
+  wasEndedByEndpoint,
 } from "./Attempt";
 import type { AnswerSource } from "./AttemptRace";
 import { checkAnswer } from "./checkAnswer";
@@ -17,7 +17,7 @@
 import { mayRepeat } from "./patience";
 
 /** A complete answer. */
-export interface WholeAnswer {
+export interface CompleteAnswer {
   readonly status: number;
   /** As received, alternating names and values. */
   readonly headers: readonly string[];
@@ -31,51 +31,51 @@
 
 /** Maximum size of an answer; larger ones are aborted. */
 const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
-const SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** Reads the answer of one attempt. */
-export class PlainSource implements AnswerSource<WholeAnswer> {
+export class PlainSource implements AnswerSource<CompleteAnswer> {
   readonly target: Target;
-  heardAt: number;
+  lastActivityAt: number;
   private readonly _exchange: Exchange;
-  private readonly _onFailure: (answer: WholeAnswer) => void;
+  private readonly _onServerError: (answer: CompleteAnswer) => void;
   private readonly _abort = new AbortController();
 
-  /** @param onFailure - Called with a server error of the endpoint when another attempt may succeed. */
-  constructor(exchange: Exchange, target: Target, onFailure: (answer: WholeAnswer) => void) {
+  /** @param onServerError - Called with a server error of the endpoint when another attempt may succeed. */
+  constructor(exchange: Exchange, target: Target, onServerError: (answer: CompleteAnswer) => void) {
     this.target = target;
-    this.heardAt = exchange.getNow();
+    this.lastActivityAt = exchange.getNow();
     this._exchange = exchange;
-    this._onFailure = onFailure;
+    this._onServerError = onServerError;
   }
 
   /** Gets the complete answer; `undefined` when the attempt failed. */
-  async next(): Promise<WholeAnswer | undefined> {
+  async next(): Promise<CompleteAnswer | undefined> {
     const exchange = this._exchange;
     const { call } = exchange.request;
     const attempt = await exchange.send(this.target, call.lastEventId, this._abort);
-    if (!hasBegun(attempt)) return undefined;
+    if (!isAnswering(attempt)) return undefined;
     const failure = checkAnswer(exchange, attempt.incoming);
     if (failure !== undefined) {
-      exchange.failAttempt(attempt, failure);
+      exchange.addFailedAttempt(attempt, failure);
       return undefined;
     }
-    const answer = await this._readWhole(attempt);
-    if (answer === undefined || !this._isWorthRepeating(answer)) return answer;
-    this._onFailure(answer);
+    const answer = await this._readAnswer(attempt);
+    if (answer === undefined || !this._isRetryable(answer)) return answer;
+    this._onServerError(answer);
     return undefined;
   }
 
   /** Aborts the attempt because another one produced output. */
-  leave(reason: string): void {
-    leaveAttempt(this._abort, this.target, reason);
+  abandon(reason: string): void {
+    abandonAttempt(this._abort, this.target, reason);
   }
 
-  private async _readWhole(attempt: BegunAttempt): Promise<WholeAnswer | undefined> {
+  private async _readAnswer(attempt: AnsweringAttempt): Promise<CompleteAnswer | undefined> {
     const { incoming } = attempt;
     try {
       const body = await this._readBody(incoming);
-      this._exchange.endAttempt(attempt);
+      this._exchange.addSuccessfulAttempt(attempt);
       return {
         status: incoming.statusCode ?? 0,
         headers: incoming.rawHeaders,
@@ -83,12 +83,12 @@
         isFramed: isFramed(incoming),
       };
     } catch (cause) {
-      this._exchange.failAttempt(attempt, {
-        reason: `answer broke off: ${explainFailure(cause, this._abort)}`,
+      this._exchange.addFailedAttempt(attempt, {
+        reason: `answer broke off: ${getFailureReason(cause, this._abort)}`,
         wasNotRun: false,
         wasSent: true,
-        wasBroken: wasBroken(this._abort),
-        wasLeft: wasLeft(this._abort),
+        wasEndedByEndpoint: wasEndedByEndpoint(this._abort),
+        wasAbandoned: wasAbandoned(this._abort),
       });
       return undefined;
     }
@@ -96,23 +96,23 @@
 
   private async _readBody(incoming: IncomingMessage): Promise<Buffer> {
     const chunks: Buffer[] = [];
-    const giveUp = (bytes: number) => breakOffOversized(this._abort, this.target, bytes);
-    const held = this._exchange.tools.held.open(giveUp);
+    const abort = (bytes: number) => abortOversized(this._abort, this.target, bytes);
+    const buffered = this._exchange.dependencies.buffers.open(abort);
     try {
       for await (const chunk of incoming as AsyncIterable<Buffer>) {
-        this.heardAt = this._exchange.getNow();
+        this.lastActivityAt = this._exchange.getNow();
         chunks.push(chunk);
-        held.setBytes(held.bytes + chunk.length);
-        if (held.bytes > MAX_ANSWER_BYTES) giveUp(held.bytes);
+        buffered.setBytes(buffered.bytes + chunk.length);
+        if (buffered.bytes > MAX_ANSWER_BYTES) abort(buffered.bytes);
         this._abort.signal.throwIfAborted();
       }
       return Buffer.concat(chunks);
     } finally {
-      held.close();
+      buffered.close();
     }
   }
 
-  private _isWorthRepeating(answer: WholeAnswer): boolean {
-    return answer.status >= SERVER_ERROR && mayRepeat(this._exchange.request.route);
+  private _isRetryable(answer: CompleteAnswer): boolean {
+    return answer.status >= MIN_SERVER_ERROR_STATUS && mayRepeat(this._exchange.request.route);
   }
 }
--- a/src/gateway/StreamExchange.ts
+++ b/src/gateway/StreamExchange.ts
@@ -9,9 +9,9 @@
 import { createRace } from "./createRace";
 import type { StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import { endWithConnection } from "./endWithConnection";
+import { useCloseDelimiting } from "./endWithConnection";
 import { getEndToEndHeaders, isFramed } from "./headers";
-import { getAnswerPatienceMs, getGapPatienceMs } from "./patience";
+import { getAnswerTimeoutMs, getGapTimeoutMs } from "./patience";
 import type { GatePass } from "./StreamGate";
 import { type StreamPart, type StreamProgress, StreamSource } from "./StreamSource";
 
@@ -30,11 +30,11 @@
   private readonly _response: ServerResponse;
   private _lastEventId: string | undefined;
   private _firstEventMs: number | undefined;
-  private _eventAt: number | undefined;
+  private _lastEventAt: number | undefined;
   private _longestGapMs = 0;
-  private _events = 0;
+  private _eventCount = 0;
   /** Whether the caller's answer is close-delimited, because the endpoint's answer was. */
-  private _endsWithConnection = false;
+  private _isCloseDelimited = false;
   private _pass: GatePass | undefined;
 
   /**
@@ -53,7 +53,7 @@
       isWhole,
       firstEventMs: this._firstEventMs,
       longestGapMs: Math.round(this._longestGapMs),
-      events: this._events,
+      events: this._eventCount,
     };
   }
 
@@ -63,7 +63,7 @@
    */
   async run(): Promise<StreamResult> {
     this._pass = await this._exchange.enterGate();
-    if (this._pass === undefined) throw this._exchange.createOverload();
+    if (this._pass === undefined) throw this._exchange.createOverloadRefusal();
     try {
       return await this._runAttempts();
     } finally {
@@ -75,12 +75,12 @@
     const exchange = this._exchange;
     const race: AttemptRace<StreamPart> = createRace(exchange, {
       open: (target) => new StreamSource(exchange, target, () => this._getProgress(race)),
-      getPatienceMs: () => this._getPatienceMs(),
+      getIdleTimeoutMs: () => this._getIdleTimeoutMs(),
     });
     try {
       for (let part = await race.next(); part !== undefined; part = await race.next()) {
         for (const event of part.events) await this._passOn(part.incoming, event);
-        if (part.isEnd) return await this._endWhole(part.incoming);
+        if (part.isEnd) return await this._complete(part.incoming);
       }
     } finally {
       race.close();
@@ -91,21 +91,21 @@
     return this.getResult(false);
   }
 
-  private _getProgress({ hasRival }: AttemptRace<StreamPart>): StreamProgress {
+  private _getProgress({ hasHedge }: AttemptRace<StreamPart>): StreamProgress {
     return {
       lastEventId: this._lastEventId,
-      hasBegun: this._response.headersSent,
-      endsWithConnection: this._endsWithConnection,
-      hasRival,
+      hasSentHead: this._response.headersSent,
+      isCloseDelimited: this._isCloseDelimited,
+      hasHedge,
     };
   }
 
-  private _getPatienceMs(): number {
+  private _getIdleTimeoutMs(): number {
     const { route } = this._exchange.request;
-    return this._events === 0 ? getAnswerPatienceMs(route) : getGapPatienceMs(route);
+    return this._eventCount === 0 ? getAnswerTimeoutMs(route) : getGapTimeoutMs(route);
   }
 
-  private async _endWhole(incoming: IncomingMessage): Promise<StreamResult> {
+  private async _complete(incoming: IncomingMessage): Promise<StreamResult> {
     this._writeHead(incoming);
     await new Promise<void>((resolve) => this._response.end(resolve));
     return this.getResult(true);
@@ -113,7 +113,7 @@
 
   private async _passOn(incoming: IncomingMessage, { bytes, id }: StreamEvent): Promise<void> {
     this._writeHead(incoming);
-    this._noteEvent();
+    this._addEvent();
     if (id !== undefined) this._lastEventId = id;
     const response = this._response;
     if (response.write(bytes) || response.destroyed) return;
@@ -126,25 +126,25 @@
   private _writeHead(incoming: IncomingMessage): void {
     if (this._response.headersSent) return;
     if (!isFramed(incoming)) {
-      endWithConnection(this._response);
-      this._endsWithConnection = true;
+      useCloseDelimiting(this._response);
+      this._isCloseDelimited = true;
     }
     this._response.writeHead(incoming.statusCode ?? 0, getStreamHeaders(incoming));
   }
 
-  private _noteEvent(): void {
+  private _addEvent(): void {
     const now = this._exchange.getNow();
-    this._events += 1;
-    if (this._eventAt === undefined) this._noteFirstEvent(now);
-    else this._longestGapMs = Math.max(this._longestGapMs, now - this._eventAt);
-    this._eventAt = now;
+    this._eventCount += 1;
+    if (this._lastEventAt === undefined) this._addFirstEvent(now);
+    else this._longestGapMs = Math.max(this._longestGapMs, now - this._lastEventAt);
+    this._lastEventAt = now;
   }
 
   /**
    * The delay of a first event after a failed attempt shows nothing about the endpoints' queues, so it is not
    * added.
    */
-  private _noteFirstEvent(now: number): void {
+  private _addFirstEvent(now: number): void {
     this._firstEventMs = Math.round(now - this._exchange.request.receivedAt);
     if (this._exchange.failures.length === 0) this._pass?.addFirstEvent();
     else this._pass?.end();
@@ -157,9 +157,9 @@
  */
 function getStreamHeaders(incoming: IncomingMessage): string[] {
   const headers = getEndToEndHeaders(incoming.rawHeaders);
-  const kept: string[] = [];
+  const result: string[] = [];
   for (let i = 0; i + 1 < headers.length; i += 2) {
-    if (headers[i]!.toLowerCase() !== "content-length") kept.push(headers[i]!, headers[i + 1]!);
+    if (headers[i]!.toLowerCase() !== "content-length") result.push(headers[i]!, headers[i + 1]!);
   }
-  return kept;
+  return result;
 }
--- a/src/gateway/StreamGate.ts
+++ b/src/gateway/StreamGate.ts
@@ -11,7 +11,7 @@
 /** A stream that asks for admission. */
 export interface GateRequest extends WaitingRequest {
   /** How long the caller waits for a first event, milliseconds. */
-  readonly callerPatienceMs: number;
+  readonly callerTimeoutMs: number;
   readonly service: string;
   readonly model: string;
 }
@@ -25,10 +25,10 @@
 }
 
 interface WaitingStream extends GateRequest {
-  readonly letOut: (pass: GatePass | undefined) => void;
+  readonly admit: (pass: GatePass | undefined) => void;
 }
 
-interface Lane {
+interface ModelQueue {
   readonly window: AdmissionWindow;
   readonly queue: FreshFirstQueue<WaitingStream>;
 }
@@ -37,27 +37,27 @@
  * Fraction of its caller's timeout that a stream waits here. It is then refused, while the caller still has
  * time to retry.
  */
-const PATIENCE_SHARE = 0.45;
+const QUEUE_TIMEOUT_SHARE = 0.45;
 
 /** Gate of one entry. */
 export class StreamGate {
   private readonly _clock: Clock;
-  private readonly _getFirstSize: (service: string, model: string) => number;
-  private readonly _lanes = new Map<string, Lane>();
+  private readonly _getInitialSize: (service: string, model: string) => number;
+  private readonly _modelQueues = new Map<string, ModelQueue>();
 
   /**
    * @param clock - Monotonic time.
-   * @param getFirstSize - Gets the initial size of a model's window: how many of its streams this entry may
+   * @param getInitialSize - Gets the initial size of a model's window: how many of its streams this entry may
    * have waiting at endpoints before any first event has been measured.
    */
-  constructor(clock: Clock, getFirstSize: (service: string, model: string) => number) {
+  constructor(clock: Clock, getInitialSize: (service: string, model: string) => number) {
     this._clock = clock;
-    this._getFirstSize = getFirstSize;
+    this._getInitialSize = getInitialSize;
   }
 
   /** Gets the number of queued streams. */
   get waitingCount(): number {
-    return [...this._lanes.values()].reduce((sum, lane) => sum + lane.queue.size, 0);
+    return [...this._modelQueues.values()].reduce((sum, modelQueue) => sum + modelQueue.queue.size, 0);
   }
 
   /**
@@ -66,71 +66,72 @@
    * @returns `undefined` when the stream waited for too long or was aborted.
    */
   async enter(request: GateRequest, signal: AbortSignal): Promise<GatePass | undefined> {
-    const lane = this._getLane(request);
-    if (lane.queue.size === 0 && lane.window.hasRoom()) return this._createPass(lane, request);
-    const patienceMs = request.callerPatienceMs * PATIENCE_SHARE;
+    const modelQueue = this._getModelQueue(request);
+    if (modelQueue.queue.size === 0 && modelQueue.window.hasCapacity())
+      return this._createPass(modelQueue, request);
+    const timeoutMs = request.callerTimeoutMs * QUEUE_TIMEOUT_SHARE;
     return new Promise((resolve) => {
       const stream: WaitingStream = {
         ...request,
-        letOut: (pass) => {
+        admit: (pass) => {
           clearTimeout(timer);
-          signal.removeEventListener("abort", giveUp);
+          signal.removeEventListener("abort", abandon);
           resolve(pass);
         },
       };
-      const giveUp = () => {
-        if (lane.queue.remove(stream)) stream.letOut(undefined);
+      const abandon = () => {
+        if (modelQueue.queue.remove(stream)) stream.admit(undefined);
       };
-      const timer = setTimeout(giveUp, patienceMs);
-      signal.addEventListener("abort", giveUp, { once: true });
-      lane.queue.add(stream);
+      const timer = setTimeout(abandon, timeoutMs);
+      signal.addEventListener("abort", abandon, { once: true });
+      modelQueue.queue.add(stream);
     });
   }
 
   /** Refuses all queued streams because this entry stops. */
   refuseAll(): void {
     const now = this._clock.getMonotonicMs();
-    for (const { queue } of this._lanes.values()) {
+    for (const { queue } of this._modelQueues.values()) {
       for (let next = queue.takeNext(now); next !== undefined; next = queue.takeNext(now)) {
-        next.letOut(undefined);
+        next.admit(undefined);
       }
     }
   }
 
-  private _getLane({ service, model }: GateRequest): Lane {
+  private _getModelQueue({ service, model }: GateRequest): ModelQueue {
     const key = `${service}/${model}`;
-    const known = this._lanes.get(key);
-    if (known !== undefined) return known;
-    const window = new AdmissionWindow(this._getFirstSize(service, model));
-    const lane = { window, queue: new FreshFirstQueue<WaitingStream>() };
-    this._lanes.set(key, lane);
-    return lane;
+    const existing = this._modelQueues.get(key);
+    if (existing !== undefined) return existing;
+    const window = new AdmissionWindow(this._getInitialSize(service, model));
+    const modelQueue = { window, queue: new FreshFirstQueue<WaitingStream>() };
+    this._modelQueues.set(key, modelQueue);
+    return modelQueue;
   }
 
-  private _createPass(lane: Lane, { objectiveMs }: GateRequest): GatePass {
+  private _createPass(modelQueue: ModelQueue, { objectiveMs }: GateRequest): GatePass {
     const sentAt = this._clock.getMonotonicMs();
-    let isOver = false;
-    lane.window.addSent();
+    let hasEnded = false;
+    modelQueue.window.addWaiting();
     const end = () => {
-      if (isOver) return;
-      isOver = true;
-      lane.window.removeSent();
-      this._letOut(lane);
+      if (hasEnded) return;
+      hasEnded = true;
+      modelQueue.window.removeWaiting();
+      this._admitNext(modelQueue);
     };
     const addFirstEvent = () => {
-      if (isOver) return;
+      if (hasEnded) return;
       const now = this._clock.getMonotonicMs();
-      lane.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
+      modelQueue.window.addFirstEvent(now, (now - sentAt) / objectiveMs);
       end();
     };
     return { addFirstEvent, end };
   }
 
-  private _letOut(lane: Lane): void {
-    while (lane.window.hasRoom()) {
-      const next = lane.queue.takeNext(this._clock.getMonotonicMs());
+  private _admitNext(modelQueue: ModelQueue): void {
+    while (modelQueue.window.hasCapacity()) {
+      const next = modelQueue.queue.takeNext(this._clock.getMonotonicMs());
       if (next === undefined) return;
-      next.letOut(this._createPass(lane, next));
+      next.admit(this._createPass(modelQueue, next));
     }
   }
 }
--- a/src/gateway/StreamSource.ts
+++ b/src/gateway/StreamSource.ts
@@ -6,20 +6,20 @@
 import { LostAnswer } from "../errors";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
 import {
+  type AnsweringAttempt,
   type AttemptFailure,
-  type BegunAttempt,
-  breakOffOversized,
-  explainFailure,
-  hasBegun,
-  leaveAttempt,
-  wasBroken,
-  wasLeft,
+  abandonAttempt,
+  abortOversized,
+  getFailureReason,
+  isAnswering,
+  wasAbandoned,
+  wasEndedByEndpoint,
 } from "./Attempt";
 import type { AnswerSource } from "./AttemptRace";
 import { checkAnswer } from "./checkAnswer";
 import { EventSplitter, type StreamEvent } from "./EventSplitter";
 import type { Exchange } from "./Exchange";
-import type { HeldAnswer } from "./HeldAnswer";
+import type { BufferedAnswer } from "./HeldAnswer";
 import { isFramed } from "./headers";
 import { mayRepeat } from "./patience";
 
@@ -35,71 +35,73 @@
   /** Id of the event after which the stream continues. */
   readonly lastEventId: string | undefined;
   /** Whether the head of an answer has been sent to the caller. */
-  readonly hasBegun: boolean;
+  readonly hasSentHead: boolean;
   /** Whether the caller's answer is close-delimited. */
-  readonly endsWithConnection: boolean;
+  readonly isCloseDelimited: boolean;
   /** Whether another attempt is in progress and may still succeed. */
-  readonly hasRival: boolean;
+  readonly hasHedge: boolean;
 }
 
-const FIRST_FAILURE_STATUS = 300;
+const MIN_FAILURE_STATUS = 300;
 /** Maximum size of an event. A stream's events carry tokens, so a larger one is an error. */
 const MAX_EVENT_BYTES = 1_024 * 1_024;
 
 /** Reads the stream of one attempt. */
 export class StreamSource implements AnswerSource<StreamPart> {
   readonly target: Target;
-  heardAt: number;
+  lastActivityAt: number;
   private readonly _exchange: Exchange;
   private readonly _getProgress: () => StreamProgress;
   private readonly _abort = new AbortController();
   private readonly _splitter = new EventSplitter();
-  private _attempt: BegunAttempt | undefined;
-  private _pieces: AsyncIterator<Buffer> | undefined;
+  private _attempt: AnsweringAttempt | undefined;
+  private _chunks: AsyncIterator<Buffer> | undefined;
   private _answeredAt: number | undefined;
   private _endStream: (() => void) | undefined;
-  private readonly _held: HeldAnswer;
+  private readonly _buffered: BufferedAnswer;
 
   /** @param getProgress - Gets the state of the answer that the caller receives. */
   constructor(exchange: Exchange, target: Target, getProgress: () => StreamProgress) {
     this.target = target;
-    this.heardAt = exchange.getNow();
+    this.lastActivityAt = exchange.getNow();
     this._exchange = exchange;
     this._getProgress = getProgress;
-    this._held = exchange.tools.held.open((bytes) => breakOffOversized(this._abort, target, bytes));
+    this._buffered = exchange.dependencies.buffers.open((bytes) =>
+      abortOversized(this._abort, target, bytes),
+    );
   }
 
   /** Gets the next events, or the end; `undefined` when the attempt failed. */
   async next(): Promise<StreamPart | undefined> {
-    this._attempt ??= await this._begin();
+    this._attempt ??= await this._start();
     const attempt = this._attempt;
     if (attempt === undefined) {
-      this._held.close();
+      this._buffered.close();
       return undefined;
     }
     try {
       return await this._read(attempt);
     } catch (cause) {
       this._close();
-      this._exchange.failAttempt(attempt, this._explain(cause));
+      this._exchange.addFailedAttempt(attempt, this._createFailure(cause));
       return undefined;
     }
   }
 
   /** Aborts the attempt because another one produced output. */
-  leave(reason: string): void {
-    leaveAttempt(this._abort, this.target, reason);
+  abandon(reason: string): void {
+    abandonAttempt(this._abort, this.target, reason);
   }
 
-  private async _begin(): Promise<BegunAttempt | undefined> {
+  private async _start(): Promise<AnsweringAttempt | undefined> {
     const attempt = await this._exchange.send(this.target, this._getProgress().lastEventId, this._abort);
-    if (!hasBegun(attempt)) return undefined;
+    if (!isAnswering(attempt)) return undefined;
     const failure = this._check(attempt);
     if (failure !== undefined) {
-      this._exchange.failAttempt(attempt, failure);
+      this._exchange.addFailedAttempt(attempt, failure);
       return undefined;
     }
-    this._pieces = (attempt.incoming as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
+    this._chunks = (attempt.incoming as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
     return attempt;
   }
 
@@ -107,78 +109,85 @@
    * Gets why an answer can't be used. An error status is passed on only when no stream has been sent to the
    * caller and no other attempt may succeed.
    */
-  private _check({ incoming }: BegunAttempt): AttemptFailure | undefined {
+  private _check({ incoming }: AnsweringAttempt): AttemptFailure | undefined {
     const failure = checkAnswer(this._exchange, incoming);
     const status = incoming.statusCode ?? 0;
-    if (failure !== undefined || status < FIRST_FAILURE_STATUS) return failure;
-    const { hasBegun: isAnswering, hasRival } = this._getProgress();
+    if (failure !== undefined || status < MIN_FAILURE_STATUS) return failure;
+    const { hasSentHead, hasHedge } = this._getProgress();
     const canRepeat = mayRepeat(this._exchange.request.route) && this._exchange.hasAttemptsLeft();
-    if (!isAnswering && !hasRival && !canRepeat) return undefined;
+    if (!hasSentHead && !hasHedge && !canRepeat) return undefined;
     return { reason: `endpoint answered ${status}`, wasNotRun: false, wasSent: true };
   }
 
-  private async _read(attempt: BegunAttempt): Promise<StreamPart> {
+  private async _read(attempt: AnsweringAttempt): Promise<StreamPart> {
     // The time in which the caller processed the previous part does not count as idle.
-    if (this._answeredAt !== undefined) this.heardAt = this._exchange.getNow();
+    if (this._answeredAt !== undefined) this.lastActivityAt = this._exchange.getNow();
     for (;;) {
-      const { done, value } = await this._pieces!.next();
-      if (done === true) return this._end(attempt);
-      const events = this._addPiece(value);
+      const { done, value } = await this._chunks!.next();
+      if (done === true) return this._complete(attempt);
+      const events = this._addChunk(value);
       if (events.length > 0) return { incoming: attempt.incoming, events, isEnd: false };
     }
   }
 
-  private _addPiece(piece: Buffer): StreamEvent[] {
+  private _addChunk(chunk: Buffer): StreamEvent[] {
     const now = this._exchange.getNow();
     this._answeredAt ??= now;
-    this._exchange.tools.pool.addSign(now, this.target.id);
-    const events = this._splitter.addBytes(piece);
-    this._bound(this._splitter.restLength);
-    if (events.length > 0) this._addProgress(now);
+    this._exchange.dependencies.pool.addActivity(now, this.target.id);
+    const events = this._splitter.addBytes(chunk);
+    this._enforceLimits(this._splitter.remainderLength);
+    if (events.length > 0) this._addActivity(now);
     return events;
   }
 
   /** Bytes of an incomplete event do not count as activity. */
-  private _addProgress(now: number): void {
-    const pace = this._exchange.tools.pool.getPace(this.target.id);
-    if (this._endStream === undefined) this._endStream = pace?.startStream(now);
-    else pace?.addEvent(now, now - this.heardAt);
-    this.heardAt = now;
+  private _addActivity(now: number): void {
+    const stallDetector = this._exchange.dependencies.pool.getStallDetector(this.target.id);
+    if (this._endStream === undefined) this._endStream = stallDetector?.startStream(now);
+    else stallDetector?.addEvent(now, now - this.lastActivityAt);
+    this.lastActivityAt = now;
   }
 
-  private _bound(restBytes: number): void {
-    this._held.setBytes(restBytes);
-    if (restBytes > MAX_EVENT_BYTES) breakOffOversized(this._abort, this.target, restBytes);
+  private _enforceLimits(remainderBytes: number): void {
+    this._buffered.setBytes(remainderBytes);
+    if (remainderBytes > MAX_EVENT_BYTES) abortOversized(this._abort, this.target, remainderBytes);
     this._abort.signal.throwIfAborted();
   }
 
   private _close(): void {
     this._endStream?.();
-    this._held.close();
+    this._buffered.close();
   }
 
-  private _end(attempt: BegunAttempt): StreamPart {
+  private _complete(attempt: AnsweringAttempt): StreamPart {
     const { incoming } = attempt;
-    const rest = this._splitter.takeRest();
-    const { hasBegun: isAnswering, endsWithConnection } = this._getProgress();
-    const canEnd = isFramed(incoming) || endsWithConnection || !isAnswering;
+    const remainder = this._splitter.takeRemainder();
+    const { hasSentHead, isCloseDelimited } = this._getProgress();
+    const canEnd = isFramed(incoming) || isCloseDelimited || !hasSentHead;
     // A close-delimited answer may have been cut, which looks the same as its end.
-    if (!canEnd || (rest.length > 0 && !isFramed(incoming))) {
-      throw new LostAnswer({ address: this.target.address, reason: "connection closed without marking the end of the answer" });
+    if (!canEnd || (remainder.length > 0 && !isFramed(incoming))) {
+      throw new LostAnswer({
+        address: this.target.address,
+        reason: "connection closed without marking the end of the answer",
+      });
     }
     this._close();
-    this._exchange.endAttempt(attempt);
-    return { incoming, events: rest.length > 0 ? [{ bytes: rest, id: undefined }] : [], isEnd: true };
+    this._exchange.addSuccessfulAttempt(attempt);
+    return {
+      incoming,
+      events: remainder.length > 0 ? [{ bytes: remainder, id: undefined }] : [],
+      isEnd: true,
+    };
   }
 
-  private _explain(cause: unknown): AttemptFailure {
+  private _createFailure(cause: unknown): AttemptFailure {
     return {
-      reason: `stream broke off: ${explainFailure(cause, this._abort)}`,
+      reason: `stream broke off: ${getFailureReason(cause, this._abort)}`,
       wasNotRun: false,
       wasSent: true,
       answeredAt: this._answeredAt,
-      wasBroken: wasBroken(this._abort),
-      wasLeft: wasLeft(this._abort),
+      wasEndedByEndpoint: wasEndedByEndpoint(this._abort),
+      wasAbandoned: wasAbandoned(this._abort),
     };
   }
 }
--- a/src/gateway/TargetPool.ts
+++ b/src/gateway/TargetPool.ts
@@ -5,7 +5,7 @@
  */
 import type { RandomSource } from "../consensus";
 import type { Target } from "../gen/ploverstage/v1/fleet_pb";
-import { AnswerPace } from "./AnswerPace";
+import { StallDetector } from "./AnswerPace";
 
 /** Criteria for choosing a target. */
 export interface TargetRequest {
@@ -23,8 +23,8 @@
   suspectUntil: number;
   failures: number;
   /** When data for any request last arrived from the target. */
-  heardAt: number;
-  readonly pace: AnswerPace;
+  lastActivityAt: number;
+  readonly stallDetector: StallDetector;
 }
 
 /** How long a target is avoided after its first failure; doubled with each consecutive failure. */
@@ -34,7 +34,7 @@
 /** Random part of a score, smaller than any relevant difference. */
 const TIE_BREAK = 1e-6;
 /** Penalty of a suspected target, in requests per slot. */
-const SUSPECT_LOAD = 1_000;
+const SUSPECT_PENALTY = 1_000;
 
 /** Targets of one entry and their requests in flight. */
 export class TargetPool {
@@ -50,10 +50,10 @@
   setTargets(targets: readonly Target[]): void {
     this._targets = new Map(
       targets.map((target) => {
-        const known = this._targets.get(target.id);
-        if (known === undefined) return [target.id, createState(target)];
-        known.target = target;
-        return [target.id, known];
+        const existing = this._targets.get(target.id);
+        if (existing === undefined) return [target.id, createState(target)];
+        existing.target = target;
+        return [target.id, existing];
       }),
     );
   }
@@ -81,7 +81,7 @@
     let best: TargetState | undefined;
     let bestScore = Number.POSITIVE_INFINITY;
     for (const state of this._targets.values()) {
-      if (!isWanted(state.target, request)) continue;
+      if (!isMatch(state.target, request)) continue;
       const score = this._getScore(now, state);
       if (score < bestScore) {
         best = state;
@@ -92,19 +92,19 @@
   }
 
   /** Checks whether a target is avoided at the moment. */
-  isSuspect(now: number, id: string): boolean {
+  isSuspected(now: number, id: string): boolean {
     const state = this._targets.get(id);
     return state !== undefined && this._isAvoided(now, state);
   }
 
   /** Checks whether all streams of a target have stalled. */
   isStalled(now: number, id: string): boolean {
-    return this._targets.get(id)?.pace.isStalled(now) ?? false;
+    return this._targets.get(id)?.stallDetector.isStalled(now) ?? false;
   }
 
   /** Gets the stall detector of a target; `undefined` for an unknown target. */
-  getPace(id: string): AnswerPace | undefined {
-    return this._targets.get(id)?.pace;
+  getStallDetector(id: string): StallDetector | undefined {
+    return this._targets.get(id)?.stallDetector;
   }
 
   /** Records the start of a request. Returns a function that records its end. */
@@ -112,23 +112,23 @@
     const state = this._targets.get(id);
     if (state === undefined) return () => {};
     state.inFlight += 1;
-    let isOver = false;
+    let hasEnded = false;
     return () => {
-      if (isOver) return;
-      isOver = true;
+      if (hasEnded) return;
+      hasEnded = true;
       state.inFlight -= 1;
     };
   }
 
   /** Records that data arrived from a target. */
-  addSign(now: number, id: string): void {
+  addActivity(now: number, id: string): void {
     const state = this._targets.get(id);
-    if (state !== undefined) state.heardAt = now;
+    if (state !== undefined) state.lastActivityAt = now;
   }
 
   /** Gets when data last arrived from a target, monotonic milliseconds. */
-  getHeardAt(id: string): number {
-    return this._targets.get(id)?.heardAt ?? NEVER;
+  getLastActivityAt(id: string): number {
+    return this._targets.get(id)?.lastActivityAt ?? NEVER;
   }
 
   /** Records a successful answer: the target is no longer avoided. */
@@ -143,26 +143,33 @@
   addFailure(now: number, id: string): void {
     const state = this._targets.get(id);
     if (state === undefined) return;
-    const span = Math.min(MAX_SUSPICION_MS, SUSPICION_MS * 2 ** state.failures);
+    const suspicionMs = Math.min(MAX_SUSPICION_MS, SUSPICION_MS * 2 ** state.failures);
     state.failures += 1;
-    state.suspectUntil = Math.max(state.suspectUntil, now + span);
+    state.suspectUntil = Math.max(state.suspectUntil, now + suspicionMs);
   }
 
   private _getScore(now: number, state: TargetState): number {
     const load = state.inFlight / Math.max(1, state.target.slots);
-    const penalty = this._isAvoided(now, state) ? SUSPECT_LOAD : 0;
+    const penalty = this._isAvoided(now, state) ? SUSPECT_PENALTY : 0;
     return load + penalty + this._random.next() * TIE_BREAK;
   }
 
   private _isAvoided(now: number, state: TargetState): boolean {
-    return state.suspectUntil > now || state.pace.isStalled(now);
+    return state.suspectUntil > now || state.stallDetector.isStalled(now);
   }
 }
 
 function createState(target: Target): TargetState {
-  return { target, inFlight: 0, suspectUntil: 0, failures: 0, heardAt: NEVER, pace: new AnswerPace() };
+  return {
+    target,
+    inFlight: 0,
+    suspectUntil: 0,
+    failures: 0,
+    lastActivityAt: NEVER,
+    stallDetector: new StallDetector(),
+  };
 }
 
-function isWanted(target: Target, { service, model, excluded }: TargetRequest): boolean {
+function isMatch(target: Target, { service, model, excluded }: TargetRequest): boolean {
   return target.service === service && target.model === model && !excluded.has(target.id);
 }
--- a/src/gateway/checkAnswer.ts
+++ b/src/gateway/checkAnswer.ts
@@ -5,13 +5,18 @@
 
 /** Gets why an answer may not be passed on; `undefined` when it may. */
 export function checkAnswer(
-  { tools, request }: Exchange,
+  { dependencies, request }: Exchange,
   incoming: IncomingMessage,
 ): AttemptFailure | undefined {
   const status = incoming.statusCode ?? 0;
-  const facts = tools.dialect.readAnswer(request.call, { status, headers: incoming.headers });
-  if (!facts.isOwn) return { reason: "answer belongs to another request", wasNotRun: false, wasSent: true };
-  if (facts.wasNotRun) return { reason: `endpoint refused the request with ${status}`, wasNotRun: true, wasSent: true };
-  if (facts.isGenuine) return undefined;
-  return { reason: `answer with status ${status} lacks the headers of an endpoint`, wasNotRun: false, wasSent: true };
+  const answer = dependencies.dialect.readAnswer(request.call, { status, headers: incoming.headers });
+  if (!answer.isOwn) return { reason: "answer belongs to another request", wasNotRun: false, wasSent: true };
+  if (answer.wasNotRun)
+    return { reason: `endpoint refused the request with ${status}`, wasNotRun: true, wasSent: true };
+  if (answer.isGenuine) return undefined;
+  return {
+    reason: `answer with status ${status} lacks the headers of an endpoint`,
+    wasNotRun: false,
+    wasSent: true,
+  };
 }
--- a/src/gateway/createRace.ts
+++ b/src/gateway/createRace.ts
@@ -6,27 +6,27 @@
 import type { Exchange } from "./Exchange";
 
 /** Opens and times the attempts of a request. */
-export interface AnswerReader<T> {
+export interface RaceSource<T> {
   /** Sends the request to a target. */
   readonly open: (target: Target) => AnswerSource<T>;
   /** Gets how long a working endpoint may send no data, milliseconds. */
-  readonly getPatienceMs: () => number;
+  readonly getIdleTimeoutMs: () => number;
 }
 
 /** Creates the race between a request's attempts. */
-export function createRace<T>(exchange: Exchange, { open, getPatienceMs }: AnswerReader<T>): AttemptRace<T> {
-  let hasBegun = false;
+export function createRace<T>(exchange: Exchange, { open, getIdleTimeoutMs }: RaceSource<T>): AttemptRace<T> {
+  let hasOpened = false;
   return new AttemptRace({
     getNow: () => exchange.getNow(),
     openNext: async () => {
-      if (hasBegun && !(await exchange.takeNextAttempt())) return undefined;
-      hasBegun = true;
+      if (hasOpened && !(await exchange.takeRetry())) return undefined;
+      hasOpened = true;
       const target = exchange.chooseTarget();
       return target === undefined ? undefined : open(target);
     },
-    openBeside: (silent, silentMs) => {
-      if (!exchange.isSilentTooLong(silent.target, silentMs, getPatienceMs())) return undefined;
-      const target = exchange.takeTargetBeside(silent.target);
+    openHedge: (idle, idleMs) => {
+      if (!exchange.isIdleTooLong(idle.target, idleMs, getIdleTimeoutMs())) return undefined;
+      const target = exchange.takeHedgeTarget(idle.target);
       return target === undefined ? undefined : open(target);
     },
   });
--- a/src/gateway/headers.ts
+++ b/src/gateway/headers.ts
@@ -5,7 +5,7 @@
  * Headers that apply to one connection only (RFC 9110, section 7.6.1), and framing headers, which are created
  * again.
  */
-const HOP_BY_HOP = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -23,22 +23,22 @@
  * @param raw - As received.
  */
 export function getEndToEndHeaders(raw: readonly string[]): string[] {
-  const named = getConnectionHeaders(raw);
-  const kept: string[] = [];
+  const connectionHeaders = getConnectionHeaders(raw);
+  const result: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
     const name = raw[i]!.toLowerCase();
-    if (!HOP_BY_HOP.has(name) && !named.has(name)) kept.push(raw[i]!, raw[i + 1]!);
+    if (!HOP_BY_HOP_HEADERS.has(name) && !connectionHeaders.has(name)) result.push(raw[i]!, raw[i + 1]!);
   }
-  return kept;
+  return result;
 }
 
 /** Gets headers without those of the given names, which must be lower case. */
 export function dropHeaders(raw: readonly string[], names: ReadonlySet<string>): string[] {
-  const kept: string[] = [];
+  const result: string[] = [];
   for (let i = 0; i + 1 < raw.length; i += 2) {
-    if (!names.has(raw[i]!.toLowerCase())) kept.push(raw[i]!, raw[i + 1]!);
+    if (!names.has(raw[i]!.toLowerCase())) result.push(raw[i]!, raw[i + 1]!);
   }
-  return kept;
+  return result;
 }
 
 /** Gets the further hop-by-hop headers that the sender lists in `Connection`. */
--- a/src/gateway/patience.ts
+++ b/src/gateway/patience.ts
@@ -5,38 +5,38 @@
  * Multiple of its objective after which a missing answer is requested from another endpoint, where the route
  * allows it.
  */
-const ANSWER_PATIENCE = 2.5;
-const MIN_ANSWER_PATIENCE_MS = 250;
-const MIN_FIRST_EVENT_PATIENCE_MS = 800;
+const ANSWER_TIMEOUT_FACTOR = 2.5;
+const MIN_ANSWER_TIMEOUT_MS = 250;
+const MIN_FIRST_EVENT_TIMEOUT_MS = 800;
 /**
  * Factor on the timeout while the endpoint sends data for other requests: it works, and this request may be
  * queued there.
  */
-const BUSY_PATIENCE = 4;
+const BUSY_TIMEOUT_FACTOR = 4;
 /** Multiple of its objective that a gap between two events may take. */
-const GAP_PATIENCE = 2;
-const MIN_GAP_PATIENCE_MS = 500;
+const GAP_TIMEOUT_FACTOR = 2;
+const MIN_GAP_TIMEOUT_MS = 500;
 
 /** Gets the maximum wait for an answer, or for the first event of a stream; milliseconds. */
-export function getAnswerPatienceMs(route: Route): number {
-  const least = route.kind === "stream" ? MIN_FIRST_EVENT_PATIENCE_MS : MIN_ANSWER_PATIENCE_MS;
-  return Math.max(least, route.objectiveMs * ANSWER_PATIENCE);
+export function getAnswerTimeoutMs(route: Route): number {
+  const minMs = route.kind === "stream" ? MIN_FIRST_EVENT_TIMEOUT_MS : MIN_ANSWER_TIMEOUT_MS;
+  return Math.max(minMs, route.objectiveMs * ANSWER_TIMEOUT_FACTOR);
 }
 
 /** Gets the maximum gap between two events of a stream; milliseconds. */
-export function getGapPatienceMs(route: Route): number {
-  return Math.max(MIN_GAP_PATIENCE_MS, (route.gapObjectiveMs ?? route.objectiveMs) * GAP_PATIENCE);
+export function getGapTimeoutMs(route: Route): number {
+  return Math.max(MIN_GAP_TIMEOUT_MS, (route.gapObjectiveMs ?? route.objectiveMs) * GAP_TIMEOUT_FACTOR);
 }
 
 /**
  * Checks whether a request has received no data for too long.
- * @param silentMs - Time since this request last received data.
- * @param targetSilentMs - Time since any request last received data from the endpoint.
- * @param patienceMs - How long a working endpoint may send no data.
+ * @param idleMs - Time since this request last received data.
+ * @param targetIdleMs - Time since any request last received data from the endpoint.
+ * @param timeoutMs - How long a working endpoint may send no data.
  */
-export function isSilentTooLong(silentMs: number, targetSilentMs: number, patienceMs: number): boolean {
-  if (silentMs < patienceMs) return false;
-  return targetSilentMs >= patienceMs || silentMs >= patienceMs * BUSY_PATIENCE;
+export function isIdleTooLong(idleMs: number, targetIdleMs: number, timeoutMs: number): boolean {
+  if (idleMs < timeoutMs) return false;
+  return targetIdleMs >= timeoutMs || idleMs >= timeoutMs * BUSY_TIMEOUT_FACTOR;
 }
 
 /** Checks whether a request of a route may run more than once. */
--- a/src/gateway/returnTime.ts
+++ b/src/gateway/returnTime.ts
@@ -7,13 +7,13 @@
 
 /** Callers honour a retry time of up to a third of their remaining time. */
 const HONOURED_SHARE = 0.3;
-const MIN_RETURN_MS = 50;
-const MAX_RETURN_MS = 3_000;
+const MIN_RETRY_AFTER_MS = 50;
+const MAX_RETRY_AFTER_MS = 3_000;
 /**
  * Minimum fraction of the retry time; the rest is random and spreads callers that were refused at the same
  * time.
  */
-const LEAST_SHARE = 0.6;
+const MIN_RANDOM_SHARE = 0.6;
 /**
  * Time from an entry's start to its first view. After a power loss everywhere, where control starts on a
  * fifth of a core, it took 0.85 s from listening to the first declaration.
@@ -22,29 +22,31 @@
 /** Callers refused before the first view retry spread over this time. */
 const FIRST_VIEW_SPREAD_MS = 1_200;
 /** Assumed remaining time of a caller that does not state its timeout. */
-const UNKNOWN_LEFT_MS = 2_000;
+const DEFAULT_REMAINING_MS = 2_000;
 
 /**
  * Gets when a caller may retry whose request found no endpoint or no capacity.
- * @param leftMs - The caller's remaining time.
+ * @param remainingMs - The caller's remaining time.
  * @param random - In [0, 1).
  */
-export function getReturnMs(leftMs: number, random: number): number {
-  const share = LEAST_SHARE + (1 - LEAST_SHARE) * random;
-  return Math.round(Math.min(MAX_RETURN_MS, Math.max(MIN_RETURN_MS, leftMs * HONOURED_SHARE * share)));
+export function getRetryAfterMs(remainingMs: number, random: number): number {
+  const share = MIN_RANDOM_SHARE + (1 - MIN_RANDOM_SHARE) * random;
+  return Math.round(
+    Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, remainingMs * HONOURED_SHARE * share)),
+  );
 }
 
 /**
  * Gets when a caller may retry whose request found an entry without a confirmed declaration.
  * @param sinceStartMs - Time since the entry started listening.
- * @param leftMs - The caller's remaining time; `undefined` when it is not stated.
+ * @param remainingMs - The caller's remaining time; `undefined` when it is not stated.
  * @param random - In [0, 1).
  */
-export function getFirstViewReturnMs(
+export function getFirstViewRetryAfterMs(
   sinceStartMs: number,
-  leftMs: number | undefined,
+  remainingMs: number | undefined,
   random: number,
 ): number {
-  const viewMs = Math.max(MIN_RETURN_MS, FIRST_VIEW_MS - sinceStartMs) + random * FIRST_VIEW_SPREAD_MS;
-  return Math.round(Math.min((leftMs ?? UNKNOWN_LEFT_MS) * HONOURED_SHARE, viewMs));
+  const viewMs = Math.max(MIN_RETRY_AFTER_MS, FIRST_VIEW_MS - sinceStartMs) + random * FIRST_VIEW_SPREAD_MS;
+  return Math.round(Math.min((remainingMs ?? DEFAULT_REMAINING_MS) * HONOURED_SHARE, viewMs));
 }
