--- a/bench/support/CpuSampler.ts
+++ b/bench/support/CpuSampler.ts
@@ -1,18 +1,18 @@
-/** Processor time of processes over a span, through their restarts. */
+/** Measures the processor time of processes over a span, including their restarts. */
 import type { ProcessHandle } from "../../test/support/ProcessHandle";
 import { getCpuMs } from "./processes";
 
 const INTERVAL_MS = 100;
 const MS_PER_S = 1_000;
 
-/** What a process had used at a moment. */
+/** Processor time that a process had used at a Unix time in milliseconds. */
 interface Sample {
   readonly at: number;
   readonly pid: number;
   readonly cpuMs: number;
 }
 
-/** Samples processes. */
+/** Samples the processor time of processes every 100 ms. */
 export class CpuSampler {
   private readonly _samples: readonly { handle: ProcessHandle; samples: Sample[] }[];
   private _timer: NodeJS.Timeout | undefined;
@@ -21,17 +21,18 @@
     this._samples = handles.map((handle) => ({ handle, samples: [] }));
   }
 
-  /** Begins to sample. */
   start(): void {
     this._timer = setInterval(() => this._sample(), INTERVAL_MS);
   }
 
-  /** Samples no more. */
   stop(): void {
     clearInterval(this._timer);
   }
 
-  /** Gets what each process used a second in a span, milliseconds; the span is in Unix milliseconds. */
+  /**
+   * Gets the processor time of each process per second of a span, milliseconds. `from` and `to` are Unix
+   * milliseconds.
+   */
   getRates(from: number, to: number): number[] {
     return this._samples.map(({ samples }) => {
       const span = samples.filter(({ at }) => at >= from && at <= to);
@@ -50,7 +51,10 @@
   }
 }
 
-/** A process that started in between has used all of its time since. */
+/**
+ * Gets the processor time between two samples, milliseconds. A process that restarted between them has used
+ * all of its time since the first.
+ */
 function getUsedMs(before: Sample | undefined, { pid, cpuMs }: Sample): number {
   if (before === undefined) return 0;
   return before.pid === pid ? cpuMs - before.cpuMs : cpuMs;
--- a/bench/support/createWatcher.ts
+++ b/bench/support/createWatcher.ts
@@ -2,9 +2,9 @@
 import { FollowedView, orderByAffinity, ViewWatcher } from "../../src/registration";
 import { TransportPool } from "../../src/rpc";
 
-const SILENT = { info: () => {}, warn: () => {}, error: () => {} } as never;
+const SILENT_LOGGER = { info: () => {}, warn: () => {}, error: () => {} } as never;
 
-/** Makes a watcher that is to control as an entry of its own. */
+/** Creates a watcher that control treats as a separate entry. */
 export function createWatcher(index: number, seeds: readonly string[]): ViewWatcher {
   return new ViewWatcher({
     watcherId: `bench-${index}`,
@@ -18,7 +18,7 @@
     transports: new TransportPool(undefined),
     view: new FollowedView(),
     clock: new SystemClock(),
-    logger: SILENT,
+    logger: SILENT_LOGGER,
     onChange: () => {},
     onDeclaration: () => {},
   });
--- a/bench/support/passThrough.ts
+++ b/bench/support/passThrough.ts
@@ -1,7 +1,7 @@
-/** A bare HTTP pass-through, the baseline of the path: `passThrough PORT TARGET…`. */
+/** Bare HTTP pass-through, the baseline of the `path` bench: `passThrough PORT TARGET…`. */
 import { Agent, createServer, request } from "node:http";
 
-/** Passes every request on to the targets in turn. */
+/** Forwards requests to the targets in turn. */
 export function runPassThrough(port: number, targets: readonly string[]): void {
   const agent = new Agent({ keepAlive: true });
   let next = 0;
--- a/bench/support/planning.ts
+++ b/bench/support/planning.ts
@@ -1,4 +1,4 @@
-/** How long the planner takes at several sizes. */
+/** Measures how long the planner takes at several fleet sizes. */
 import { type Configuration, parseConfiguration } from "../../src/configuration";
 import type { Replica } from "../../src/gen/ploverstage/v1/state_pb";
 import { type InstanceFacts, Planner, type PlanningFacts } from "../../src/planner";
@@ -7,26 +7,34 @@
 import type { Figure } from "../Figure";
 
 const SIZES = [50, 1_000, 12_000] as const;
-const MEMBERS = 4;
-const PER_FABRIC = 32;
+const REPLICA_SIZE = 4;
+const INSTANCES_PER_FABRIC = 32;
 const REPEATS = 5;
 
-/** Measures a plan with every tenth replica missing an instance, and without any formed. */
+/** Measures a plan when every tenth replica lacks an instance, and a plan when no replica is formed. */
 export function measurePlanning(): Figure[] {
   return SIZES.flatMap((size) => {
     const configuration = parseConfiguration(
       "bench",
-      createConfiguration({ replicas: Math.floor(size / MEMBERS) }),
+      createConfiguration({ replicas: Math.floor(size / REPLICA_SIZE) }),
     );
-    const instances = Array.from({ length: size }, (_, i) => createMachine(i));
+    const instances = Array.from({ length: size }, (_, i) => createNumberedInstance(i));
     return [
-      { figure: `plan_repair_${size}`, value: time(configuration, getFacts(instances, true)), unit: "ms" },
-      { figure: `plan_form_${size}`, value: time(configuration, getFacts(instances, false)), unit: "ms" },
+      {
+        figure: `plan_repair_${size}`,
+        value: measureMedianMs(configuration, getFacts(instances, true)),
+        unit: "ms",
+      },
+      {
+        figure: `plan_form_${size}`,
+        value: measureMedianMs(configuration, getFacts(instances, false)),
+        unit: "ms",
+      },
     ];
   });
 }
 
-function time(configuration: Configuration, facts: PlanningFacts): number {
+function measureMedianMs(configuration: Configuration, facts: PlanningFacts): number {
   const planner = new Planner();
   const times = Array.from({ length: REPEATS }, () => {
     const startedAt = performance.now();
@@ -36,13 +44,13 @@
   return times.sort((a, b) => a - b)[Math.floor(REPEATS / 2)]!;
 }
 
-function createMachine(i: number): InstanceFacts {
-  const isLost = i % (MEMBERS * 10) === 0;
+function createNumberedInstance(i: number): InstanceFacts {
+  const isLost = i % (REPLICA_SIZE * 10) === 0;
   return createInstance(`instance-${i}`, {
     failureDomain: `domain-${i % 16}`,
-    fabricDomain: `fabric-${Math.floor(i / PER_FABRIC)}`,
+    fabricDomain: `fabric-${Math.floor(i / INSTANCES_PER_FABRIC)}`,
     answeredAt: isLost ? NOW - 600_000 : NOW,
-    epoch: Math.floor(i / MEMBERS) + 1,
+    epoch: Math.floor(i / REPLICA_SIZE) + 1,
     isReady: true,
     model: "m",
     modelVersion: "1",
@@ -51,8 +59,8 @@
 
 function createReplicas(instances: readonly InstanceFacts[]): Replica[] {
   return Array.from(
-    { length: Math.floor(instances.length / MEMBERS) },
-    (_, i) => createReplica(i + 1, instances.slice(i * MEMBERS, (i + 1) * MEMBERS)).replica,
+    { length: Math.floor(instances.length / REPLICA_SIZE) },
+    (_, i) => createReplica(i + 1, instances.slice(i * REPLICA_SIZE, (i + 1) * REPLICA_SIZE)).replica,
   );
 }
 
